--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -85,7 +85,7 @@
 def rollout(job):
     """One rollout of three stages: for each method whether it stopped it, in which window of all, and queries hurt till then."""
     seed, worse, trouble = job
-    out = {method: None for method in ("judge", "fixed", "threshold")}
+    out = dict.fromkeys(("judge", "fixed", "threshold"))
     for k, group in enumerate(GROUPS):
         for method, at in judged(seed, worse, trouble, group).items():
             if out[method] is None and at is not None:
--- a/benchmarks/soak/channel.py
+++ b/benchmarks/soak/channel.py
@@ -77,7 +77,7 @@
         while self.last() <= resume and time.monotonic() < until:
             try:
                 await asyncio.wait_for(self.news.wait(), max(0.001, until - time.monotonic()))
-            except asyncio.TimeoutError:
+            except TimeoutError:
                 break
         while time.monotonic() < self.silent_until:
             await asyncio.sleep(0.02)
--- a/benchmarks/soak/client.py
+++ b/benchmarks/soak/client.py
@@ -268,7 +268,7 @@
                 held.append(
                     await asyncio.wait_for(asyncio.open_connection(world.HOST, self.ports[router]), 1.0)
                 )
-            except (OSError, asyncio.TimeoutError):
+            except (TimeoutError, OSError):
                 break
         await asyncio.sleep(for_s)
         for _, writer in held:
@@ -304,7 +304,7 @@
     async def request(self, router, request):
         try:
             connection = await self.connection(router)
-        except (OSError, asyncio.TimeoutError):
+        except (TimeoutError, OSError):
             return
         if connection is None:
             return
--- a/benchmarks/soak/driver.py
+++ b/benchmarks/soak/driver.py
@@ -157,7 +157,7 @@
                     self.ready = True
                     self.driver.record("router_ready", router=self.name, after_s=time.monotonic() - began)
                     return self.driver.tell_clients("use", router=self.name, used=True)
-            except (OSError, asyncio.TimeoutError):
+            except (TimeoutError, OSError):
                 pass
             await asyncio.sleep(0.05)
         self.driver.record("router_not_ready", router=self.name)
@@ -174,7 +174,7 @@
         loop.call_later(FRONT_LEAVES_S, lambda: self.driver.tell_clients("open_only", router=self.name))
         try:
             await asyncio.wait_for(asyncio.shield(process.wait()), world.kill_after_s())
-        except asyncio.TimeoutError:
+        except TimeoutError:
             self.driver.record("router_killed", router=self.name, process=process.pid, late=True)
             process.kill()
             await process.wait()
--- a/benchmarks/soak/server.py
+++ b/benchmarks/soak/server.py
@@ -168,7 +168,7 @@
             return await link.ask(name, pull, kind, beyond, accept_s)
         except ConnectionRefusedError:
             return b"full", [(b"n", b"src_refused")], b""
-        except (OSError, asyncio.TimeoutError):
+        except (TimeoutError, OSError):
             return b"failed", [(b"n", b"src_broke")], b""
 
 
--- a/benchmarks/store_kills.py
+++ b/benchmarks/store_kills.py
@@ -73,7 +73,7 @@
             try:
                 while not self.stopped and not caller.reading.done():
                     await self.ask(caller)
-            except (OSError, asyncio.TimeoutError):
+            except (TimeoutError, OSError):
                 self.counts["unanswered"] += 1
             finally:
                 caller.close()
--- a/brookhinge/cli/demo.py
+++ b/brookhinge/cli/demo.py
@@ -8,7 +8,6 @@
 
 from brookhinge.cli import refuse
 
-
 PACE_S = 0.015  # between two queries: a caller in a hurry would be told to come back
 
 
--- a/brookhinge/client/client.py
+++ b/brookhinge/client/client.py
@@ -80,7 +80,7 @@
             self.writer.write(thrift.message(method, thrift.CALL, number, *args, b"\0"))
             try:
                 return await asyncio.wait_for(future, within_s)
-            except asyncio.TimeoutError:
+            except TimeoutError:
                 self.close()
                 return GONE
             except asyncio.CancelledError:
@@ -185,7 +185,7 @@
         }
         try:
             connection = await asyncio.wait_for(self.connected(), left)
-        except (OSError, asyncio.TimeoutError) as fault:
+        except (TimeoutError, OSError) as fault:
             return GONE._replace(why=f"no connection: {fault}")
         return await connection.ask(fields, left + SLACK_S)
 
--- a/brookhinge/engine/log.py
+++ b/brookhinge/engine/log.py
@@ -8,7 +8,6 @@
 
 import orjson
 
-
 MOST = 20  # lines of one event in a second; of the rest the next one tells how many there were
 
 
--- a/brookhinge/membership/look.py
+++ b/brookhinge/membership/look.py
@@ -39,7 +39,7 @@
                 _, seen, _, shown, _, (at, total) = await asyncio.wait_for(
                     onlooker.answers.get(), max(0.01, end - time.monotonic())
                 )
-            except asyncio.TimeoutError:
+            except TimeoutError:
                 tries += 1
                 continue
             if digest not in (None, seen) and rows:
--- a/brookhinge/net/caches.py
+++ b/brookhinge/net/caches.py
@@ -4,7 +4,6 @@
 import collections
 import math
 import socket
-
 from typing import NamedTuple
 
 from tornado.iostream import StreamClosedError
@@ -260,7 +259,7 @@
                     self.answered(line, came, *answer)
         except (StreamClosedError, OSError):
             pass
-        except asyncio.TimeoutError:
+        except TimeoutError:
             why = "no connection in time"
         except cachewire.Unreadable as fault:
             why, reason = f"unreadable: {fault}", CloseReason.UNREADABLE
--- a/brookhinge/net/channel.py
+++ b/brookhinge/net/channel.py
@@ -55,7 +55,7 @@
                 self.take(cursor, commands)
                 self.known_until = self.asked_at  # not before: until here they were read, but known to nobody
                 continue
-            except (StreamClosedError, OSError, asyncio.TimeoutError) as fault:
+            except (TimeoutError, StreamClosedError, OSError) as fault:
                 why = type(fault).__name__
             except (http.Unreadable, NoCommands) as fault:
                 why = str(fault)
--- a/brookhinge/net/timeouts.py
+++ b/brookhinge/net/timeouts.py
@@ -17,7 +17,7 @@
         if not done and watch is not None and watch.stalled_since(started_at):
             done, _ = await asyncio.wait({task}, timeout=READ_S)
         if not done:
-            raise asyncio.TimeoutError
+            raise TimeoutError
         return task.result()
     finally:
         if not task.done():
--- a/brookhinge/purgelog/submit.py
+++ b/brookhinge/purgelog/submit.py
@@ -42,7 +42,7 @@
                     status = await asyncio.wait_for(self.answers.get(), ANSWER_S)
                     if status.number == self.number:
                         return status
-            except asyncio.TimeoutError:
+            except TimeoutError:
                 continue
         raise NotAppended("no answer: not up, another key, or another site")
 
--- a/brookhinge/standin/capacity/driver.py
+++ b/brookhinge/standin/capacity/driver.py
@@ -59,7 +59,7 @@
         self.send(command)
         try:
             line = await asyncio.wait_for(self.process.stdout.readline(), ANSWER_S)
-        except asyncio.TimeoutError:
+        except TimeoutError:
             raise ProcessFailed(f"{self.title}: no answer to {type(command).__name__}") from None
         if not line:
             raise ProcessFailed(f"{self.title}: ended")
@@ -73,7 +73,7 @@
         self.process.stdin.close()
         try:
             await asyncio.wait_for(self.process.wait(), END_S)
-        except asyncio.TimeoutError:
+        except TimeoutError:
             self.process.kill()
             await self.process.wait()
 
--- a/brookhinge/standin/capacity/logged.py
+++ b/brookhinge/standin/capacity/logged.py
@@ -5,6 +5,7 @@
 import time
 
 from brookhinge.clock import steady
+from brookhinge.operator.capacity import Cut
 from brookhinge.operator.schema import CONTROL, MUST, Control
 from brookhinge.purgelog.client import LogClient
 from brookhinge.purgelog.messages import Entry, Kind
@@ -25,7 +26,6 @@
     StartControl,
 )
 from brookhinge.standin.capacity.worker import LagWatch, resident_bytes
-from brookhinge.operator.capacity import Cut
 
 PROOF_S = 3.0  # as the operator's file has it by default
 KNOWN_S = 1.2  # by then a source knows that a purge is in force everywhere, or names who is missing
--- a/brookhinge/standin/capacity/runs.py
+++ b/brookhinge/standin/capacity/runs.py
@@ -7,8 +7,9 @@
 import multiprocessing
 import os
 import sys
+from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
-from typing import Callable, NamedTuple
+from typing import NamedTuple
 
 from brookhinge.standin.capacity import results
 from brookhinge.standin.capacity.driver import LOG, PEERS
@@ -95,7 +96,7 @@
         "sites": sum(site.routers > 0 for site in layout.sites),
         "seed": seed,
         "loss": layout.capacity.loss,
-        "date": datetime.datetime.now(datetime.timezone.utc).strftime("%Y-%m-%d %H:%M UTC"),
+        "date": datetime.datetime.now(datetime.UTC).strftime("%Y-%m-%d %H:%M UTC"),
         "command": results.command(sys.argv[1:]),
         "revision": results.revision(),
         "machine_load": round(os.getloadavg()[0], 1),
--- a/brookhinge/standin/capacity/worker.py
+++ b/brookhinge/standin/capacity/worker.py
@@ -13,6 +13,7 @@
 import sys
 import time
 
+from brookhinge.operator.capacity import Cut
 from brookhinge.standin.capacity.hollow import HollowRouter
 from brookhinge.standin.capacity.layout import Layout
 from brookhinge.standin.capacity.messages import (
@@ -36,7 +37,6 @@
     read_command,
     write,
 )
-from brookhinge.operator.capacity import Cut
 
 LAG_STEP_S = 0.05  # the event loop's lateness is looked at so often
 LONGEST_COMMAND = 64 << 20
--- a/brookhinge/standin/channel.py
+++ b/brookhinge/standin/channel.py
@@ -56,7 +56,7 @@
                 while self.deaf or 0 < resume == self.last and time.monotonic() < until:
                     try:
                         await asyncio.wait_for(self.news.wait(), max(0.001, until - time.monotonic()))
-                    except asyncio.TimeoutError:
+                    except TimeoutError:
                         if self.deaf:
                             await asyncio.sleep(0.05)
                 body = json.dumps(self.answer(resume)).encode()
--- a/brookhinge/standin/rolling.py
+++ b/brookhinge/standin/rolling.py
@@ -7,8 +7,8 @@
 import sys
 
 from brookhinge.rollout import roll
-from brookhinge.standin.rig import KEY, MAIN, Rig
 from brookhinge.standin.ports import free_port
+from brookhinge.standin.rig import KEY, MAIN, Rig
 
 PLAN = """rollout "test" {{
   old      = "v1"
@@ -177,7 +177,7 @@
         """Its exit code, or None if it is not over by then."""
         try:
             return await asyncio.wait_for(process.wait(), within_s)
-        except asyncio.TimeoutError:
+        except TimeoutError:
             return None
 
     async def __aexit__(self, *_):
--- a/brookhinge/standin/sharing.py
+++ b/brookhinge/standin/sharing.py
@@ -60,7 +60,7 @@
                     kinds=("parent", "origin"),
                     reports=[],
                 ),
-                ["pages".encode()],
+                [b"pages"],
                 ["hub", "edge"],
                 None,
                 Tight(0.0),
--- a/brookhinge/store/store.py
+++ b/brookhinge/store/store.py
@@ -73,7 +73,7 @@
         if closing is not None:
             try:
                 await asyncio.wait_for(asyncio.shield(closing), within_s)
-            except asyncio.TimeoutError:
+            except TimeoutError:
                 self.say("store left open", why=f"the disk did not answer in {within_s:g} s")
             except OSError as fault:
                 self.say("store closed without a picture", why=str(fault))
--- a/brookhinge/verdicts/verdicts.py
+++ b/brookhinge/verdicts/verdicts.py
@@ -13,7 +13,7 @@
 from brookhinge.membership.look import VERDICTS
 from brookhinge.membership.view import ALIVE
 from brookhinge.verdicts import judge
-from brookhinge.verdicts.evidence import T, Evidence
+from brookhinge.verdicts.evidence import Evidence, T
 
 BEAT = 0.5  # between two tellings
 TURN = 0.6  # a turn to try a resting server lasts so long
--- a/examples/ask.py
+++ b/examples/ask.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-from brookhinge.net import thrift  # noqa: E402
+from brookhinge.net import thrift
 
 
 def main(key, part="0"):
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -2,8 +2,8 @@
 
 from brookhinge.standin.capacity import results
 from brookhinge.standin.capacity.driver import LOG, PEERS
-from brookhinge.standin.capacity.page import NOT_MEASURED, PAGE, Page, breaking_size
 from brookhinge.standin.capacity.fit import fit
+from brookhinge.standin.capacity.page import NOT_MEASURED, PAGE, Page, breaking_size
 
 
 def row(**changes):
--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -7,12 +7,12 @@
 import sys
 import time
 
+from helpers import Machine, Town
 from hypothesis import given
 from hypothesis import strategies as st
 
 from brookhinge.client import Client, returns
 from brookhinge.rules import CloseReason
-from helpers import Machine, Town
 
 X = "ab" * 8
 
--- a/tests/crossings/test_rare.py
+++ b/tests/crossings/test_rare.py
@@ -12,9 +12,9 @@
 
 from brookhinge.engine.commands import read_commands
 from brookhinge.engine.reducer import Reducer
+from brookhinge.net import caches as net_caches
 from brookhinge.net import front, listener, thrift
 from brookhinge.net.calls import LONGEST_BODY
-from brookhinge.net import caches as net_caches
 from brookhinge.storm.lineage import Lineage
 from tests.crossings.test_sockets import Raw, warm
 from tests.helpers import Bench, Desk, Machine, configuration, settings, track
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -5,7 +5,8 @@
 
 import msgspec
 import pytest
-from hypothesis import given, settings, strategies as st
+from hypothesis import given, settings
+from hypothesis import strategies as st
 
 from brookhinge.membership import codec
 from brookhinge.membership.codec import MOST_BYTES, Codec, Guard
--- a/tests/membership/test_tight.py
+++ b/tests/membership/test_tight.py
@@ -1,10 +1,10 @@
 """What peers tell of servers: it tightens at once, and nothing it says loosens."""
 
-from hypothesis import given, settings, strategies as st
-
 from helpers import Bench
+from hypothesis import given, settings
+from hypothesis import strategies as st
 
-from brookhinge.membership.tight import Tight, WORSE
+from brookhinge.membership.tight import WORSE, Tight
 
 
 def row(server="s", health="ready", born=None):
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -2,7 +2,8 @@
 
 import random
 
-from hypothesis import given, settings, strategies as st
+from hypothesis import given, settings
+from hypothesis import strategies as st
 
 from brookhinge.membership.counting import sharers
 from brookhinge.membership.view import ALIVE, LEFT, LOST, SUSPECTED, View
--- a/tests/purgelog/test_figures.py
+++ b/tests/purgelog/test_figures.py
@@ -6,8 +6,8 @@
 import urllib.request
 from pathlib import Path
 
-from brookhinge.standin.rig import Rig
 from brookhinge.standin.ports import free_port
+from brookhinge.standin.rig import Rig
 
 ROOT = Path(__file__).parents[2]
 LONG = 60.0
--- a/tests/purgelog/test_log.py
+++ b/tests/purgelog/test_log.py
@@ -7,7 +7,7 @@
 from brookhinge.purgelog.backfill import Backfill, PurgeSet
 from brookhinge.purgelog.batching import split
 from brookhinge.purgelog.log import SourceLog, fingerprint
-from brookhinge.purgelog.messages import Append, Batch, BackfillRequest, Entry, Horizon, Kind, Segment
+from brookhinge.purgelog.messages import Append, BackfillRequest, Batch, Entry, Horizon, Kind, Segment
 from brookhinge.purgelog.positions import START, Position
 
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -21,7 +21,6 @@
 from brookhinge.store.tier import DiskTier
 from tests.store.simfiles import SimFiles
 
-
 NEVER_S = 3600.0  # longer than any test runs
 
 
@@ -313,7 +312,7 @@
 def test_cleaning_always_finds_a_segment_that_is_worth_it(count, data):
     segment = 1000
     limit = (count + 1) * segment
-    sizes = {n: segment for n in range(count)}
+    sizes = dict.fromkeys(range(count), segment)
     left, live = room(limit, segment), {}
     for n in range(count):
         live[n] = data.draw(st.integers(0, min(segment, left)))
@@ -321,4 +320,4 @@
     pick = choose(sizes, live, count - 1, limit, segment)
     assert pick is not None and pick != count - 1
     assert live[pick] <= FULL * segment
-    assert choose({n: segment for n in range(count - 1)}, live, 0, limit, segment) is None
+    assert choose(dict.fromkeys(range(count - 1), segment), live, 0, limit, segment) is None
--- a/tests/storm/test_daemon.py
+++ b/tests/storm/test_daemon.py
@@ -4,14 +4,13 @@
 import json
 import random
 
+import helpers
 import pytest
+from test_service import *
 
-import helpers
 from brookhinge.standin.town import Town as Processes
-from test_service import *  # noqa: F403 - the same tests, no second copy of them
-
 
-del test_a_slow_transfer_does_not_hold_up_the_rest  # noqa: F821 - it repeats what is out: see the one below
+del test_a_slow_transfer_does_not_hold_up_the_rest
 
 
 @pytest.fixture(autouse=True)
@@ -36,7 +35,7 @@
         heard += [await t.caller.hear() for _ in range(4)]
         return heard, sum(line.split()[2].endswith("3") for line in t.pulled() if "PULL" in line)
 
-    heard, beside = played(scene, tmp_path)  # noqa: F405
+    heard, beside = played(scene, tmp_path)
     assert sorted(heard[1:3]) == [(4, "satisfied 19"), (5, "satisfied 19")] and beside == 0
     assert sorted(n for n, _ in heard[3:]) == [2, 3]
 
@@ -106,7 +105,7 @@
         gate = t.service.gate
         for _, writer in crowd:
             writer.close()
-        await until(lambda: gate.door.open == len(t.service.front.clients) == 1)  # noqa: F405
+        await until(lambda: gate.door.open == len(t.service.front.clients) == 1)
         return (
             heard,
             kept,
@@ -114,7 +113,7 @@
             [line.split()[1] for line in t.lines if line.startswith("storm")],
         )
 
-    heard, kept, away, states = played(scene, tmp_path, limits={"memory_mb": 192, "sockets": 160})  # noqa: F405
+    heard, kept, away, states = played(scene, tmp_path, limits={"memory_mb": 192, "sockets": 160})
     assert (
         heard == [(1, "satisfied 19"), (2, "satisfied 19")]
         and kept <= 83
--- a/tests/storm/test_decisions.py
+++ b/tests/storm/test_decisions.py
@@ -1,9 +1,10 @@
 """What the decisions make of retries and promised places: new queries first on a cold fleet, promises kept within its
 budget, and nobody shut out for good."""
 
-from brookhinge.storm.plan import Returns
 from helpers import CACHES, Bench
 
+from brookhinge.storm.plan import Returns
+
 
 def bench(**other):
     b = Bench(routers=2, **other)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,8 +1,9 @@
 """The ordinary path: home, holders, sibling fills, parents, sub-ranges."""
 
-from brookhinge.decide import Rings
 from helpers import Bench, track
 
+from brookhinge.decide import Rings
+
 
 def test_home_then_holder():
     """The home fills from the parent hashed from the object, and is asked again as its holder."""
--- a/tests/verdicts/test_judge.py
+++ b/tests/verdicts/test_judge.py
@@ -3,14 +3,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brookhinge.verdicts.evidence import LATE, T, Evidence
+from brookhinge.verdicts.evidence import LATE, Evidence, T
 from brookhinge.verdicts.judge import at_fault, outweighs, own_trouble, pooled, troubled
 
 A, B, C, D, E = (("s-%d" % k, 0) for k in range(1, 6))
 
 
 def fine(routers, tries=10):
-    return {router: (tries, 0) for router in range(1, routers + 1)}
+    return dict.fromkeys(range(1, routers + 1), (tries, 0))
 
 
 def seen(**bad):
@@ -19,7 +19,7 @@
 
 
 def test_a_server_that_fails_one_answer_in_three_for_all():
-    assert at_fault(seen(s1={r: (3, 1) for r in range(1, 9)}), 8, 5) == {A: 1 / 3}
+    assert at_fault(seen(s1=dict.fromkeys(range(1, 9), (3, 1))), 8, 5) == {A: 1 / 3}
 
 
 def test_one_witness_condemns_nobody_whatever_it_says():
@@ -44,7 +44,7 @@
 
 
 def test_not_half_of_all_at_once():
-    bad = {r: (6, 5) for r in range(1, 9)}
+    bad = dict.fromkeys(range(1, 9), (6, 5))
     assert set(at_fault(seen(s1=bad, s2=bad), 8, 5)) == {A, B}
     assert at_fault(seen(s1=bad, s2=bad, s3=bad), 8, 5) == {}  # the way there or the origin fails
     assert at_fault({A: bad}, 8, 1) == {}  # the only one there is
@@ -57,7 +57,7 @@
 def test_a_router_knows_its_own_trouble():
     one = seen(s1={**fine(8), 4: (5, 4)})
     assert own_trouble(one, 4) == [A] and own_trouble(one, 5) == []
-    assert own_trouble(seen(s1={r: (5, 3) for r in range(1, 9)}), 4) == []
+    assert own_trouble(seen(s1=dict.fromkeys(range(1, 9), (5, 3))), 4) == []
     assert outweighs((8, 0)) and not outweighs((7, 0)) and not outweighs((8, 1))
 
 
