--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -46,13 +46,13 @@
         super().__init__(*args, **named)
         self.sent_cold, self.sent_bad, self.left_at, self.bad = 0.0, [], None, None
 
-    def pull(self, n, query, push, server, *rest):
-        box = self.boxes[server[0]] if server[0] in self.boxes else None
+    def pull(self, n, effect):
+        box = self.boxes.get(effect.server.server)
         if box is not None and box.born is not None and CALM < self.now < CALM + SPAN:
             self.sent_cold += self.work
         if box is not None and box.name == self.bad:
             self.sent_bad.append(self.now)
-        super().pull(n, query, push, server, *rest)
+        super().pull(n, effect)
 
     def fail(self, name, part):
         self.bad, self.boxes[name].fails = name, part
--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -73,11 +73,14 @@
 
 
 def body_wrong():
+    from msgspec import structs
+
     from brookhinge.net.front import Front
 
     real = Front.satisfy
-    Front.satisfy = lambda self, client, number, body, same: real(
-        self, client, number, body[:-1] if chance.random() < 0.01 else body, same
+    Front.satisfy = lambda self, effect: real(
+        self,
+        structs.replace(effect, body=effect.body[:-1] if chance.random() < 0.01 else effect.body),
     )
 
 
@@ -103,8 +106,8 @@
     """What is given up is not told to its server."""
     from brookhinge.net.caches import Caches
 
-    def kill(self, query, push):
-        self.where.pop((query, push), None)
+    def kill(self, effect):
+        self.where.pop((effect.request_id, effect.attempt), None)
 
     Caches.kill = kill
     no_checks()
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -15,6 +15,7 @@
 
 from benchmarks import kept
 from brookhinge.decide import Router
+from brookhinge.engine.events import ClientConnected, ClientDisconnected, RequestCancelled, RequestReceived
 from brookhinge.engine.reducer import Reducer
 from brookhinge.interface import Allowed, ColdStart, Place, Supply, Track
 from brookhinge.standin.model import Model
@@ -118,24 +119,21 @@
         self.open[n, client] = need
         self.hear(
             n,
-            *((("connected", (client, need.address)),) if self.storm else ()),
-            (
-                "query",
-                (
-                    client,
-                    1,
-                    b"%x" % client,
-                    TRACKS[need.track].name.encode(),
-                    b"%016x" % need.object,
-                    b"0",
-                    0,
-                    1,
-                    1000.0 * WORK,
-                    PATIENCE_S,
-                    None,
-                    b"",
-                    self.now,
-                ),
+            *((ClientConnected(client, need.address),) if self.storm else ()),
+            RequestReceived(
+                client,
+                1,
+                b"%x" % client,
+                TRACKS[need.track].name.encode(),
+                b"%016x" % need.object,
+                b"0",
+                0,
+                1,
+                1000.0 * WORK,
+                PATIENCE_S,
+                None,
+                b"",
+                self.now,
             ),
         )
         self.at(self.now + PATIENCE_S * 0.7, self.tire, n, client, need)
@@ -143,30 +141,30 @@
     def tire(self, n, client, need):
         if self.open.pop((n, client), None):
             need.out = False
-            self.hear(n, ("forgotten", (client, 1)), ("client_gone", (client,)))
+            self.hear(n, RequestCancelled(client, 1), ClientDisconnected(client))
             self.back(need, None)
 
     def over(self, n, client):
         need = self.open.pop((n, client), None)
         if need is not None:
             need.out = False
-            self.at(self.now + 1e-6, self.hear, n, ("client_gone", (client,)))
+            self.at(self.now + 1e-6, self.hear, n, ClientDisconnected(client))
         return need
 
-    def satisfy(self, n, client, number, body, same):
-        need = self.over(n, client)
+    def satisfy(self, n, effect):
+        need = self.over(n, effect.client)
         if need is not None:
             need.served_at = need.served_at or self.now
             self.count_told(need, True)
 
-    def nack(self, n, client, number, wait):
-        need = self.over(n, client)
+    def nack(self, n, effect):
+        need = self.over(n, effect.client)
         if need is not None:
             self.count_told(need, False)
-            self.back(need, wait)
+            self.back(need, effect.retry_after_s)
 
-    def error(self, n, client, number):
-        need = self.over(n, client)
+    def error(self, n, effect):
+        need = self.over(n, effect.client)
         if need is not None:
             self.count_told(need, False)
             self.back(need, None)
--- a/brookhinge/box/orders.py
+++ b/brookhinge/box/orders.py
@@ -4,6 +4,7 @@
 
 import asyncio
 
+from brookhinge.engine.events import CommandSkipped, ObjectsPurged
 from brookhinge.net.channel import Channel
 
 AGAIN_S = 0.05  # between polls while the number in them can't rise: the channel answers those at once
@@ -24,15 +25,16 @@
         return await super().ask()
 
     def take(self, cursor, commands):
-        first = commands[0][1][0] if commands else cursor + 1
+        first = commands[0].number if commands else cursor + 1
         why = None
         if self.met and cursor < self.taken:
             why = f"the channel tells up to {cursor} after {self.taken}: it has started anew"
         elif self.met and commands and first > self.cursor + 1:
             why = f"the channel goes on at {first} after {self.cursor}"
-        for method, values in commands:
-            if method == "skipped" or (values[0] > self.taken if why is None else method == "purged"):
-                self.post(method, values)
+        for command in commands:
+            is_new = command.number > self.taken if why is None else isinstance(command, ObjectsPurged)
+            if is_new or isinstance(command, CommandSkipped):
+                self.post(command)
         if why is None:
             self.met, self.taken = True, max(self.taken, cursor)
             self.heard()
--- a/brookhinge/box/service.py
+++ b/brookhinge/box/service.py
@@ -8,6 +8,9 @@
 from brookhinge.box import wire
 from brookhinge.box.lines import LineServer
 from brookhinge.box.orders import Orders
+from brookhinge.engine.effects import CancelAttempt, RetireServer, SendAttempt
+from brookhinge.engine.endpoints import ServerInstance
+from brookhinge.engine.events import EndpointsListed, ObjectsPurged
 from brookhinge.net.caches import Caches
 from brookhinge.store import Copy, DiskTier, Store
 from brookhinge.store.files import Files
@@ -121,7 +124,7 @@
             self.caches.sweep()
             for fill, number in [(f, n) for n, f in self.fills.items()]:
                 if self.now() - fill.began > self.stand.fill_s:
-                    self.caches.kill(number, 1)
+                    self.caches.kill(CancelAttempt(number, 1))
                     self.finish(number, "timeout", 0, b"", False, None, None, None)
 
     def watch_clock(self):
@@ -148,23 +151,23 @@
 
     # the command channel
 
-    def told(self, method, values):
-        if method == "listed":
-            self.listed(*values)
-        elif method == "purged":
-            number, group, moment, name = values
-            kind, name = (OBJECT, name.encode()) if name else (GROUP, group)
-            self.purge(number, kind, name, moment)
+    def told(self, event):
+        if isinstance(event, EndpointsListed):
+            self.listed(event)
+        elif isinstance(event, ObjectsPurged):
+            by_object = OBJECT, event.object_key.encode()
+            kind, name = by_object if event.object_key else (GROUP, event.purge_group)
+            self.purge(event.number, kind, name, event.purged_at)
         else:
-            self.say("command skipped", cursor=values[0], why=values[1])
+            self.say("command skipped", cursor=event.number, why=event.reason)
 
-    def listed(self, _, complete, hosts):
-        if complete:
+    def listed(self, event):
+        if event.is_complete:
             self.servers = {}
-        for server, address, _, kind, _, health, _, born in hosts:
+        for server, address, _, kind, _, health, _, born in event.endpoints:
             old = self.servers.get(server)
             if old and (old[0], old[2]) != (address, born):
-                self.caches.retire((server, old[0], old[2]))
+                self.caches.retire(RetireServer(ServerInstance(server, old[0], old[2])))
             if health == "gone":
                 self.servers.pop(server, None)
             else:
@@ -342,31 +345,41 @@
         beyond = "" if origin or pull.local or source == self.origin else self.origin
         tag = held.tag if held is not None and held.tag else None
         self.caches.pull(
-            number,
-            1,
-            (source, address, born),
-            b"%016x" % number,
-            pull.sort,
-            pull.object,
-            b"%d" % pull.part,
-            self.caches.now() + min(pull.patience_s, self.stand.fill_s),
-            beyond,
-            pull.rank,
-            bound,
-            pull.merge,
-            pull.local,
-            False,
-            tag,
-            b"",
-            pull.skip,
+            SendAttempt(
+                request_id=number,
+                attempt=1,
+                server=ServerInstance(source, address, born),
+                client_request_id=b"%016x" % number,
+                class_name=pull.sort,
+                object_key=pull.object,
+                part=b"%d" % pull.part,
+                deadline=self.caches.now() + min(pull.patience_s, self.stand.fill_s),
+                fill_from=beyond,
+                retention=pull.rank,
+                max_age_s=bound,
+                joins_fill=pull.merge,
+                cached_only=pull.local,
+                renews=False,
+                etag=tag,
+                body=b"",
+                leaves_no_copy=pull.skip,
+            )
         )
         return fill
 
-    def ended(self, _, values):
+    def ended(self, event):
         """What a source answered, or what became of the connection to it."""
-        number, _, result, note, _, _, body, same, _, *copy = values
-        if number in self.fills:
-            self.finish(number, result, note, body, same, *(copy or (None, None, None)))
+        if event.request_id in self.fills:
+            self.finish(
+                event.request_id,
+                event.result,
+                event.note,
+                event.body,
+                event.is_unchanged,
+                event.dated_at,
+                event.etag,
+                event.purge_group,
+            )
 
     def finish(self, number, result, note, body, same, dated, tag, lot):
         fill = self.fills.pop(number)
--- /dev/null
+++ b/brookhinge/engine/events.py
@@ -0,0 +1,163 @@
+"""Events: what the sources report to the router's state, one class for each kind.
+
+Sources post them to the `EventScheduler`; `RouterState` has one handler for each. Times are seconds since the
+router's start. `request_id` is the router's own number of an open request, `attempt` counts its
+attempts from 1; the id that the client gave is `client_request_id`.
+"""
+
+from collections.abc import Sequence
+
+import msgspec
+
+from brookhinge.engine.endpoints import ListedEndpoint
+
+
+class Event(msgspec.Struct, frozen=True):
+    """Base of all events."""
+
+
+# From clients' connections.
+
+
+class ClientConnected(Event):
+    """A connection was accepted; posted only where retries are recognized."""
+
+    client: int
+    address: str
+
+
+class ClientDisconnected(Event):
+    """A client's connection has ended: nothing is owed on it any more."""
+
+    client: int
+
+
+class RequestReceived(Event):
+    """A call that is owed exactly one final response."""
+
+    client: int
+    number: int  # the client's, of the call on its connection
+    client_request_id: bytes  # passed on to the cache servers
+    class_name: bytes
+    object_key: bytes
+    part: bytes
+    part_number: int
+    purge_group: int
+    size_kb: float  # 0: not told
+    timeout_s: float
+    etag: bytes | None  # of the copy that the client holds
+    body: bytes
+    received_at: float
+    idempotency_key: bytes | None = None
+
+
+class RequestCancelled(Event):
+    """A client has withdrawn one of its calls."""
+
+    client: int
+    number: int
+
+
+# From connections to servers.
+
+
+class AttemptEnded(Event):
+    """A response of a server, or what became of an attempt without one."""
+
+    request_id: int
+    attempt: int
+    result: str  # 'satisfied', 'miss', 'full', 'errored', 'moot', 'unreachable', 'broken' or 'unsent'
+    note: int  # how the server came by its copy, as numbered by `net/cachewire.py`; 0: not told
+    source_wait_s: float  # what the server waited for its fill source
+    load: list[float] | None  # the load report
+    body: bytes
+    is_unchanged: bool  # the copy that the client holds is the response
+    received_at: float
+    dated_at: float | None = None  # when the copy left the origin
+    etag: bytes | None = None
+    purge_group: bytes | None = None
+
+
+# From the command channel; `number` is the place of each in its order.
+
+
+class EndpointsListed(Event):
+    """Servers and their health: the whole endpoint list, or its changes."""
+
+    number: int
+    is_complete: bool
+    endpoints: Sequence[ListedEndpoint]
+
+
+class ObjectsPurged(Event):
+    """Copies made before a moment must not be used any more."""
+
+    number: int
+    purge_group: int  # 0 with a key
+    purged_at: float  # by the clock of whoever purged
+    object_key: str  # "": all objects of the group
+
+
+class CommandSkipped(Event):
+    """A command that cannot be read."""
+
+    number: int
+    reason: str
+
+
+# From the fleet.
+
+
+class PeerNoticeReceived(Event):
+    """A notice of a peer; it can only tighten a rule."""
+
+    kind: str  # 'purge', 'draining' or 'gone'
+    values: tuple
+
+
+class PurgeLogEntryRead(Event):
+    """An entry of the purge log."""
+
+    kind: int  # brookhinge/purgelog/messages.py
+    text: str
+    number: int
+    stamp_ms: int
+
+
+class CopyRuleChanged(Event):
+    """What this router may do with copies that it holds itself, as far as it knows all purges."""
+
+    rule: object  # a CopyRule of brookhinge/purgelog/subscriber.py
+    missed_purges: object | None
+
+
+class RouterCountChanged(Event):
+    """By how many routers the limits of this zone and of the whole fleet are divided."""
+
+    here: int
+    everywhere: int
+
+
+class QuotasAssigned(Event):
+    """What this router may use of limits that the fleet shares."""
+
+    quotas: Sequence[tuple]  # (kind, server, its start in ms, quota or None) each
+
+
+class OutlierVerdictsChanged(Event):
+    """What follows from what all routers saw of servers."""
+
+    verdicts: Sequence[tuple]  # (server, its start in ms, verdict, seconds) each
+
+
+class WarmStartReceived(Event):
+    """What a peer knows that has run for longer."""
+
+    rows: Sequence[tuple]
+
+
+# From the process itself.
+
+
+class ShutdownBegan(Event):
+    """The process ends now: what is open fails, nothing more is decided."""
--- a/brookhinge/engine/loop_watch.py
+++ b/brookhinge/engine/loop_watch.py
@@ -1,16 +1,19 @@
-"""Notices that the event loop stood still: the process was stopped, had no processor, or was busy for too long.
+"""Detects stalls of the event loop: the process was stopped, had no processor, or was busy for too long.
 
-While it stands still, calls, cancels, answers and events of the command channel lie unread in the system, and deadlines run."""
+During a stall, calls, cancels, responses and events of the command channel lie unread in the system, and
+deadlines run on.
+"""
 
 import collections
 import time
+from collections.abc import Callable
 from typing import NamedTuple
 
-# The loop is known to turn each 0.05 s. Longer than this between two turns, and it stood still.
+# A sweep turns the loop every 0.05 s; a longer gap than this between two turns is a stall.
 STALL_S = 0.15
-# The same for what may have come meanwhile: shorter gaps matter to nobody's deadline.
+# A gap that counts for receive times; shorter ones matter to nobody's deadline.
 BLIND_S = 0.08
-REMEMBERED = 64  # gaps
+GAPS_KEPT = 64
 
 
 class Stall(NamedTuple):
@@ -18,36 +21,63 @@
 
     began_at: float
     ended_at: float
-    processor_s: float  # used by this process meanwhile: about as much as the stall if it was busy itself
+    processor_s: float  # used by this process meanwhile: near the length of the stall if it was busy itself
 
 
 class LoopWatch:
-    """now(): seconds of a steady clock; processor_s(): seconds of processor time that this process has used.
-
-    `tick` is called every few hundredths of a second by a timer, `turned` by whoever is about to rely on the present."""
-
-    def __init__(self, now, processor_s=time.process_time, blind_s=BLIND_S):
-        self.now, self.processor_s, self.blind_s = now, processor_s, blind_s
-        self.turned_at, self.used_s = now(), processor_s()
-        self.stalls, self.stalled_s = 0, 0.0  # since the start: how many, and their seconds
-        self.last = None  # the latest Stall
-        self.gaps = collections.deque(
-            maxlen=REMEMBERED
-        )  # (beginning, end) of the latest that count for arrivals
-        self.listeners = []  # called with each Stall as it is noticed
-        self.gap_listeners = []  # called with the end of each gap
-
-    def begin(self):
-        """The loop turns from now on: the time before, of the start, was no stall."""
-        self.turned_at, self.used_s = self.now(), self.processor_s()
-
-    def tick(self):
+    """Measures the gaps between turns of the loop.
+
+    `tick` is called by a timer every few hundredths of a second, `turned` by whoever is about to rely on the
+    present.
+
+    Attributes:
+        stalls: How many stalls there were since the start.
+        stalled_s: Their seconds in all.
+        last: The latest stall, or None.
+        gaps: (beginning, end) of the latest gaps that count for receive times.
+        listeners: Called with each stall as it is noticed.
+        gap_listeners: Called with the end of each gap.
+    """
+
+    def __init__(
+        self,
+        now: Callable[[], float],
+        processor_s: Callable[[], float] = time.process_time,
+        blind_s: float = BLIND_S,
+    ) -> None:
+        """Watch from now on.
+
+        Args:
+            now: Seconds of a steady clock.
+            processor_s: Seconds of processor time that this process has used.
+            blind_s: The least gap that counts for receive times.
+        """
+        self.now = now
+        self.processor_s = processor_s
+        self.blind_s = blind_s
+        self.turned_at = now()
+        self.processor_used_s = processor_s()
+        self.stalls = 0
+        self.stalled_s = 0.0
+        self.last: Stall | None = None
+        self.gaps: collections.deque[tuple[float, float]] = collections.deque(maxlen=GAPS_KEPT)
+        self.listeners: list[Callable[[Stall], None]] = []
+        self.gap_listeners: list[Callable[[float], None]] = []
+
+    def begin(self) -> None:
+        """Count from now on: the time that the start took was no stall."""
+        self.turned_at = self.now()
+        self.processor_used_s = self.processor_s()
+
+    def tick(self) -> None:
+        """Note a turn of the loop, and the processor time used by then."""
         self.turned()
-        self.used_s = self.processor_s()
+        self.processor_used_s = self.processor_s()
 
-    def turned(self):
-        """The loop turns now; a stall that ends with this is noticed."""
-        before, self.turned_at = self.turned_at, self.now()
+    def turned(self) -> None:
+        """Note a turn of the loop; a stall that ends with it is reported to the listeners."""
+        before = self.turned_at
+        self.turned_at = self.now()
         if self.turned_at - before > self.blind_s:
             self.gaps.append((before, self.turned_at))
             for listener in self.gap_listeners:
@@ -55,21 +85,24 @@
         if self.turned_at - before > STALL_S:
             self.stalls += 1
             self.stalled_s += self.turned_at - before
-            self.last = Stall(before, self.turned_at, self.processor_s() - self.used_s)
+            self.last = Stall(before, self.turned_at, self.processor_s() - self.processor_used_s)
             for listener in self.listeners:
                 listener(self.last)
 
-    def stalled_since(self, at):
-        """Whether the loop stood still at some time after that."""
+    def stalled_since(self, at: float) -> bool:
+        """Whether a stall ended after that moment."""
         self.turned()
         return self.last is not None and self.last.ended_at > at
 
-    def blind_from(self, at):
-        """Since when something may have come that is read now, and was not there `at` that moment. None: just now."""
+    def blind_from(self, at: float) -> float | None:
+        """The earliest time at which something that is read now, and was not there at `at`, may have come.
+
+        None: just now.
+        """
         self.turned()
         since = None
-        for began, ended in reversed(self.gaps):
-            if ended <= at:
+        for began_at, ended_at in reversed(self.gaps):
+            if ended_at <= at:
                 break
-            since = max(at, began)
+            since = max(at, began_at)
         return since
--- a/brookhinge/engine/reducer.py
+++ b/brookhinge/engine/reducer.py
@@ -1,11 +1,7 @@
 """All state of the router on sockets, changed in one place: (now, events) -> effects. No I/O, no clock.
 
-Events and effects are (method, values). The reducer holds the Router, runs one round of it a loop pass and is
-its writer: decisions become effects. Times are seconds since the start. It knows nothing of any wire.
-
-Events in: query, forgotten, client_gone, ended, listed, purged, closing; with a lineage also connected, among peers
-also notice, peers, parts, verdicts and remember; with the purge log logged and copy_rule.
-Effects out: pull, kill, satisfy, nack, error, reject, shut, retire, say; among peers also spread; traced also trace.
+Events and effects are those of `events.py` and `effects.py`. The reducer holds the Router, runs one round of it a
+loop pass and is its writer: decisions become effects. Times are seconds since the start. It knows nothing of any wire.
 
 What is sent and answered is checked against a record of its own just before (`brookhinge/engine/invariants.py`).
 """
@@ -15,13 +11,53 @@
 import traceback
 
 from brookhinge import rules
+from brookhinge.engine.effects import (
+    CancelAttempt,
+    CloseClient,
+    FailRequest,
+    NotifyPeers,
+    RefuseCall,
+    RejectRequest,
+    Respond,
+    RetireServer,
+    SendAttempt,
+    WriteLog,
+    WriteTrace,
+)
+from brookhinge.engine.endpoints import ServerInstance
+from brookhinge.engine.events import (
+    AttemptEnded,
+    ClientConnected,
+    ClientDisconnected,
+    CommandSkipped,
+    CopyRuleChanged,
+    EndpointsListed,
+    Event,
+    ObjectsPurged,
+    OutlierVerdictsChanged,
+    PeerNoticeReceived,
+    PurgeLogEntryRead,
+    QuotasAssigned,
+    RequestCancelled,
+    RequestReceived,
+    RouterCountChanged,
+    ShutdownBegan,
+    WarmStartReceived,
+)
 from brookhinge.engine.invariants import Attempt, Invariant, Invariants, RuleBroken
+from brookhinge.engine.scores import Outcome
 from brookhinge.rules import HeldBack, Ran, Refusal, Withdrawal
 
 OPEN = 32  # queries on one connection, by the protocol
 WAIT_END_S = 0.02  # who waits beside a query is told that nothing came so long before its time is over
 PURGE_KIND, DRAINING_KIND = 1, 2  # entries of the purge log: brookhinge/purgelog/messages.py
 PURGES_KEPT_S = 1.0  # beside the time after which the settings take an old copy to be gone
+OUTCOMES = {
+    None: Outcome.SATISFIED,
+    "refused": Outcome.REJECTED,
+    "failed": Outcome.FAILED,
+    "forgotten": Outcome.WITHDRAWN,
+}
 PAST = 1024  # ids remembered of queries that are over: each query has a new one
 
 
@@ -71,12 +107,12 @@
 
 
 def newest_stamps(purges):
-    """{number: the newest stamp of the purges with that number or a later one}. purges: values of `purged`, in the order of
+    """{number: the newest stamp of the purges with that number or a later one}. purges: in the order of
     their numbers. A purge with an older stamp than one before it came after all clocks were set back: the stamps of those
     before the step say nothing of when it was."""
     newest, stamps = float("-inf"), {}
-    for number, _, moment, _ in reversed(purges):
-        newest = stamps[number] = max(newest, moment)
+    for purge in reversed(purges):
+        newest = stamps[purge.number] = max(newest, purge.purged_at)
     return stamps
 
 
@@ -108,6 +144,24 @@
         self.begun = False  # the first pass, with what was known at the start, is over
         self.newest_known = {}  # of each purge known at the start, by number: the newest stamp from it on
         self.effects, self.inbox, self.current = [], [], None
+        self.handlers = {
+            RequestReceived: self.query,
+            RequestCancelled: self.forgotten,
+            ClientConnected: self.connected,
+            ClientDisconnected: self.client_gone,
+            AttemptEnded: self.ended,
+            EndpointsListed: self.listed,
+            ObjectsPurged: self.purged,
+            CommandSkipped: self.skipped,
+            PeerNoticeReceived: self.notice,
+            PurgeLogEntryRead: self.logged,
+            CopyRuleChanged: self.copy_rule,
+            RouterCountChanged: self.peers,
+            QuotasAssigned: self.parts,
+            OutlierVerdictsChanged: self.verdicts,
+            WarmStartReceived: self.remember,
+            ShutdownBegan: self.closing,
+        }
         self.facts = []  # what was told in this pass: the decisions hear of it before all queries and ends of it
         self.counts = dict.fromkeys(
             (
@@ -132,10 +186,10 @@
         self.now, self.effects, self.inbox, self.shut, self.served = now, [], [], set(), {}
         self.facts = []
         if not self.begun:
-            self.newest_known = newest_stamps([values for method, values in events if method == "purged"])
+            self.newest_known = newest_stamps([event for event in events if isinstance(event, ObjectsPurged)])
         for self.current in events:
             try:
-                getattr(self, self.current[0])(*self.current[1])
+                self.handlers[type(self.current)](self.current)
             except Exception as fault:
                 self.faulted(fault)
         self.expire()
@@ -158,8 +212,12 @@
         self.current = None
 
     def faulted(self, fault):
-        method, values = self.current or ("round", ())
-        query = values[0] if method in ("query", "ended", "left") else None
+        if isinstance(self.current, Event):
+            method = type(self.current).__name__
+            query = self.current.request_id if isinstance(self.current, AttemptEnded) else None
+        else:
+            method, values = self.current or ("round", ())
+            query = values[0] if method in ("query", "ended", "left") else None
         if isinstance(fault, RuleBroken):
             self.say_violation(query, fault.violation)
         else:
@@ -173,12 +231,12 @@
     def say_violation(self, query, violation):
         q = self.queries.get(query)
         told = {"invariant": violation.invariant, "detail": violation.detail}
-        self.effects.append(("say", ("violation", {"ref": q.name.decode() if q else None, **told})))
+        self.effects.append(WriteLog("violation", {"ref": q.name.decode() if q else None, **told}))
 
     def trace(self, step, q, **values):
         """A step of a query, for who follows it by its id."""
         if self.traced:
-            self.effects.append(("trace", (step, q.name.decode(), values)))
+            self.effects.append(WriteTrace(step, q.name.decode(), values))
 
     def next_at(self):
         """When the next push runs out of time, or who waits beside one, or None."""
@@ -198,26 +256,12 @@
 
     # events
 
-    def query(
-        self,
-        client,
-        number,
-        name,
-        kind,
-        key,
-        part,
-        part_number,
-        group,
-        size_kb,
-        allow,
-        tag,
-        body,
-        came,
-        mark=None,
-    ):
+    def query(self, event):
+        client, number, name, came = event.client, event.number, event.client_request_id, event.received_at
+        kind, key, group, size_kb = event.class_name, event.object_key, event.purge_group, event.size_kb
         track = self.tracks.get(kind)
         if track is None:
-            return self.effects.append(("reject", (client, number, "service: no such class")))
+            return self.effects.append(RefuseCall(client, number, "service: no such class"))
         if client in self.shut:
             return
         if number <= self.numbers.get(
@@ -230,17 +274,19 @@
         if name in self.names:
             if self.queries[self.names[name]].client == client:
                 return self.close(client, "an id that is open")
-            return self.effects.append(("reject", (client, number, "ref: still open")))
+            return self.effects.append(RefuseCall(client, number, "ref: still open"))
         if name in self.past:
-            return self.effects.append(("reject", (client, number, "ref: used before")))
+            return self.effects.append(RefuseCall(client, number, "ref: used before"))
         if self.closed:  # it was read after the end began: it never ran, nor will it
             self.counts["queries"] += 1
             self.counts["nacked"] += 1
             self.refusals[Refusal.STOPPING] += 1
-            return self.effects.append(("nack", (client, number, 0.0)))
+            return self.effects.append(RejectRequest(client, number, 0.0))
         query, self.serial = self.serial, self.serial + 1
-        until = came + allow
-        q = self.queries[query] = Open(client, number, name, kind, key, part, tag, body, until, mark)
+        until = came + event.timeout_s
+        q = self.queries[query] = Open(
+            client, number, name, kind, key, event.part, event.etag, event.body, until, event.idempotency_key
+        )
         q.track, q.group, q.text_key, q.came = track, group, key.decode("ascii"), came
         self.names[name] = query
         self.clients.setdefault(client, {})[number] = query
@@ -248,7 +294,7 @@
         if self.scores is not None:
             q.seen = track, size_kb, came
         self.trace("taken", q, client=client, number=number, kind=kind.decode(), left_s=until - self.now)
-        call = track, q.text_key, part_number, group, size_kb, False, False
+        call = track, q.text_key, event.part_number, group, size_kb, False, False
         if (
             self.lineage is None or self.router.tracks[track].effect != "replayable"
         ):  # an effect is asked for anew
@@ -295,19 +341,23 @@
         else:
             self.known_again(query, q.call)
 
-    def connected(self, client, address):
-        self.addresses[client] = address
-        self.lineage.connected(address)
+    def connected(self, event):
+        self.addresses[event.client] = event.address
+        self.lineage.connected(event.address)
 
-    def forgotten(self, client, number):
-        query = self.clients.get(client, {}).get(number)
+    def forgotten(self, event):
+        client = event.client
+        query = self.clients.get(client, {}).get(event.number)
         if query is not None:
             self.leave(query, Withdrawal.CANCELLED)
             times = self.withdrawn[client] = self.withdrawn.get(client, 0) + 1
             if times > OPEN and client not in self.clients:  # in mass, and nothing that it would cost
                 self.close(client, f"{times} queries withdrawn and none satisfied")
 
-    def client_gone(self, client):
+    def client_gone(self, event):
+        self.forget_client(event.client)
+
+    def forget_client(self, client):
         for query in list(self.clients.get(client, {}).values()):
             self.leave(query, Withdrawal.CLIENT_GONE)
         self.numbers.pop(client, None)
@@ -318,11 +368,11 @@
 
     def close(self, client, why):
         """A connection that breaks the protocol: nothing on it is answered, nor taken in the rest of this pass."""
-        self.client_gone(client)
+        self.forget_client(client)
         self.shut.add(client)
-        self.effects.append(("shut", (client, why)))
+        self.effects.append(CloseClient(client, why))
 
-    def closing(self):
+    def closing(self, event):
         """The process ends: what is open gets its error now, and nothing more is decided; what is read later is refused."""
         self.closed = True
         self.inbox.clear()
@@ -331,10 +381,10 @@
             self.end_out(query)
             self.error(query, Refusal.STOPPING)
 
-    def ended(
-        self, query, push, result, note, waited, load, body, same, came, dated=None, tag=None, lot=None
-    ):
+    def ended(self, event):
         """What a cache server answered, or what became of a push; one that is out no more counts no more."""
+        query, push, result, body = event.request_id, event.attempt, event.result, event.body
+        same, came, dated = event.is_unchanged, event.received_at, event.dated_at
         if not self.is_out(query, push):
             return
         q = self.queries[query]
@@ -346,14 +396,28 @@
         if over and not same and dated is not None and rules.stamp_is_plausible(came, dated):
             copy = dated, len(body)
         self.inbox.append(
-            ("ended", (query, push, q.server, result, came - q.sent_at, over, note, waited, load, copy))
+            (
+                "ended",
+                (
+                    query,
+                    push,
+                    q.server,
+                    result,
+                    came - q.sent_at,
+                    over,
+                    event.note,
+                    event.source_wait_s,
+                    event.load,
+                    copy,
+                ),
+            )
         )
         if over:
-            self.served[query] = body, tag
+            self.served[query] = body, event.etag
             self.counts["satisfied"] += 1
             self.trace("served", q, of=q.server)
             self.withdrawn.pop(q.client, None)
-            self.effects.append(("satisfy", (q.client, q.number, body, same)))
+            self.effects.append(Respond(q.client, q.number, body, same))
             self.satisfy_beside(query, body, same)
             self.settle(query)
 
@@ -371,48 +435,49 @@
             if other in self.queries:
                 q = self.queries[other]
                 self.counts["satisfied"] += 1
-                self.effects.append(("satisfy", (q.client, q.number, body, same)))
+                self.effects.append(Respond(q.client, q.number, body, same))
                 self.settle(other)
 
-    def listed(self, number, complete, hosts):
-        """A list of servers: (id, address, zone, kind, cell, health, weight, start) each."""
-        if number <= self.cursor:
+    def listed(self, event):
+        """A list of servers."""
+        if event.number <= self.cursor:
             return
-        self.cursor, rows, seen = number, [], set()
-        for server, address, zone, kind, cell, health, weight, born in hosts:
+        self.cursor, rows, seen = event.number, [], set()
+        for server, address, zone, kind, cell, health, weight, born in event.endpoints:
             seen.add(server)
             row = server, health, weight, born, cell, kind, self.zones.get(zone, -1)
             if self.tight is not None:
                 row, notice = self.tight.receive_row(row)
                 if notice is not None:
-                    self.effects.append(("spread", notice))
+                    self.effects.append(NotifyPeers(notice[0], notice[1:]))
             rows.append(row)
             self.invariants.listed(server, row[1], row[6], cell)
             self.redial(server, (address, born) if row[1] != "gone" else None)
-        if complete:
+        if event.is_complete:
             for server in [s for s in self.dials if s not in seen]:
                 self.redial(server, None)
             self.invariants.absent(seen)
             if self.tight is not None:
-                self.effects += [("spread", notice) for notice in self.tight.absent(seen)]
-        self.facts.append(("roster", ("full" if complete else "changes", rows)))
+                self.effects += [NotifyPeers(notice[0], notice[1:]) for notice in self.tight.absent(seen)]
+        self.facts.append(("roster", ("full" if event.is_complete else "changes", rows)))
 
     def redial(self, server, dial):
         """Connections belong to a server's id and start: those to an earlier start are used no more."""
         old = self.dials.get(server)
         if old is not None and old != dial:
-            self.effects.append(("retire", ((server, *old),)))
+            self.effects.append(RetireServer(ServerInstance(server, *old)))
         if dial is None:
             self.dials.pop(server, None)
         else:
             self.dials[server] = dial
 
-    def purged(self, number, group, moment, key):
+    def purged(self, event):
+        number, group, moment, key = event.number, event.purge_group, event.purged_at, event.object_key
         if number > self.cursor:
             self.cursor = number
             if self.tight is not None:
                 stamp = round((moment + self.tight.start) * 1000)
-                self.effects.append(("spread", ("purge", group, key, stamp)))
+                self.effects.append(NotifyPeers("purge", (group, key, stamp)))
                 if not self.tight.purge_is_new(group, key, stamp):
                     return
             self.take_purge(group, self.purge_age(moment, self.newest_known.get(number, moment)), key)
@@ -429,8 +494,11 @@
             return self.now - rules.known_event_time(self.now, stamped, newest)
         return self.now - rules.event_time(self.now, stamped)
 
-    def notice(self, kind, values):
+    def notice(self, event):
         """A peer's notice. It can only tighten, and binds in this very pass."""
+        self.take_notice(event.kind, event.values)
+
+    def take_notice(self, kind, values):
         if kind == "purge":
             group, key, stamp = values
             if self.tight.purge_is_new(group, key, stamp):
@@ -443,27 +511,28 @@
             if row[1] == "gone":
                 self.redial(row[0], None)
             self.facts.append(("roster", ("changes", [row])))
-            self.effects.append(("say", ("notice", {"server": row[0], "health": row[1]})))
+            self.effects.append(WriteLog("notice", {"server": row[0], "health": row[1]}))
 
-    def logged(self, kind, text, number, stamp):
+    def logged(self, event):
         """An entry of the purge log. A purge counts from now on by this router's own clock, whatever others' clocks say."""
-        if kind != PURGE_KIND:
-            self.notice("draining" if kind == DRAINING_KIND else "gone", (text, number))
-        elif self.tight.purge_is_new(number, text, stamp):
-            self.take_purge(number, 0.0, text)
+        if event.kind != PURGE_KIND:
+            kind = "draining" if event.kind == DRAINING_KIND else "gone"
+            self.take_notice(kind, (event.text, event.number))
+        elif self.tight.purge_is_new(event.number, event.text, event.stamp_ms):
+            self.take_purge(event.number, 0.0, event.text)
 
-    def copy_rule(self, rule, purges):
+    def copy_rule(self, event):
         """What this router may do with copies that it holds itself, as far as it knows all purges."""
-        self.facts.append(("copy_rule", (rule, purges)))
+        self.facts.append(("copy_rule", (event.rule, event.missed_purges)))
 
-    def peers(self, here, all_):
+    def peers(self, event):
         """By how many routers this place's limits and the whole fleet's are divided from here on."""
-        self.facts.append(("peers", (here, all_)))
+        self.facts.append(("peers", (event.here, event.everywhere)))
 
-    def parts(self, rows):
+    def parts(self, event):
         """What this router may use of limits that the fleet shares: (kind, server, start in ms, part or None) each."""
         told = []
-        for kind, server, start, part in rows:
+        for kind, server, start, part in event.quotas:
             row = self.tight.rows.get(server)
             if kind == "own" or row is not None and self.tight.stamp(row[3]) == start:
                 told.append((kind, server, row and row[3], part))
@@ -476,19 +545,19 @@
             for kind, server, born, *told in self.router.demand(self.now)
         ]
 
-    def verdicts(self, rows):
+    def verdicts(self, event):
         """What follows from what all routers saw of servers: (server, start in ms, how, seconds) each."""
         told = []
-        for server, start, how, seconds in rows:
+        for server, start, how, seconds in event.verdicts:
             row = self.tight.rows.get(server)
             if row is not None and self.tight.stamp(row[3]) == start:
                 told.append((server, how, seconds))
         self.facts.append(("verdicts", (told,)))
 
-    def remember(self, rows):
+    def remember(self, event):
         """What a peer knows that has run for longer."""
-        self.inbox.append(("remember", (rows,)))
-        self.effects.append(("say", ("remembered", {"rows": len(rows)})))
+        self.inbox.append(("remember", (event.rows,)))
+        self.effects.append(WriteLog("remembered", {"rows": len(event.rows)}))
 
     def seen(self):
         """{(server, start in ms): (tries, failed)} of caches, totals of this process."""
@@ -497,9 +566,9 @@
             for server, born, tries, failed in self.router.seen()
         }
 
-    def skipped(self, number, why):
-        self.cursor = max(self.cursor, number)
-        self.effects.append(("say", ("command skipped", {"cursor": number, "why": why})))
+    def skipped(self, event):
+        self.cursor = max(self.cursor, event.number)
+        self.effects.append(WriteLog("command skipped", {"cursor": event.number, "why": event.reason}))
 
     # time
 
@@ -529,7 +598,7 @@
         q = self.queries[query]
         if q.out:
             q.out = False
-            self.effects.append(("kill", (query, q.pushes)))
+            self.effects.append(CancelAttempt(query, q.pushes))
 
     def end_out(self, query):
         """A query is over with a push out: that is given up, and the decisions count it no more."""
@@ -570,7 +639,7 @@
         """The query is over; how: as the lineage has it, None for one that was satisfied."""
         q = self.queries.pop(query)
         if q.seen is not None:
-            self.scores.ended(*q.seen[:2], self.now - q.seen[2], how or "satisfied")
+            self.scores.ended(*q.seen[:2], self.now - q.seen[2], OUTCOMES[how])
         if self.lineage is not None:
             if q.beside is None:
                 self.lineage.ended(self.now, query, how)
@@ -619,28 +688,25 @@
         self.counts["pushes"] += 1
         heapq.heappush(self.timers, (until, query, q.pushes))
         self.effects.append(
-            (
-                "pull",
-                (
-                    query,
-                    q.pushes,
-                    (cache, *self.dials[cache]),
-                    q.name,
-                    q.kind,
-                    q.key,
-                    q.part,
-                    until,
-                    source if source != cache else None,
-                    rank,
-                    age_s,
-                    join,
-                    held_only,
-                    renew,
-                    q.tag,
-                    q.body,
-                    False,
-                    q.mark,
-                ),
+            SendAttempt(
+                request_id=query,
+                attempt=q.pushes,
+                server=ServerInstance(cache, *self.dials[cache]),
+                client_request_id=q.name,
+                class_name=q.kind,
+                object_key=q.key,
+                part=q.part,
+                deadline=until,
+                fill_from=source if source != cache else None,
+                retention=rank,
+                max_age_s=age_s,
+                joins_fill=join,
+                cached_only=held_only,
+                renews=renew,
+                etag=q.tag,
+                body=q.body,
+                leaves_no_copy=False,
+                idempotency_key=q.mark,
             )
         )
 
@@ -675,7 +741,7 @@
         self.counts["nacked"] += 1
         self.refusals[reason] += 1
         self.trace("refused", q, reason=reason, retry_after_s=retry_after_s)
-        self.effects.append(("nack", (q.client, q.number, retry_after_s)))
+        self.effects.append(RejectRequest(q.client, q.number, retry_after_s))
         for other in self.waiting.pop(query, ()):  # the same answer, and the same time to come back
             self.nack(other, retry_after_s, reason)
         self.settle(query, "refused")
@@ -685,7 +751,7 @@
         self.counts["errored"] += 1
         self.refusals[reason] += 1
         self.trace("failed", q, reason=reason)
-        self.effects.append(("error", (q.client, q.number)))
+        self.effects.append(FailRequest(q.client, q.number))
         self.settle(query, "failed")
 
     def keep(self, query, name):
@@ -702,9 +768,9 @@
         self.counts["satisfied"] += 1
         self.counts["own"] += 1
         self.trace("served", q, of="own copy")
-        self.effects.append(("satisfy", (q.client, q.number, b"" if same else body, same)))
+        self.effects.append(Respond(q.client, q.number, b"" if same else body, same))
         self.satisfy_beside(query, b"" if same else body, same)
         self.settle(query)
 
     def say(self, text):
-        self.effects.append(("say", ("decisions", {"text": text})))
+        self.effects.append(WriteLog("decisions", {"text": text}))
--- a/brookhinge/engine/scores.py
+++ b/brookhinge/engine/scores.py
@@ -1,31 +1,55 @@
-"""What became of queries, by track, as totals since the start: for whoever compares routers. No I/O, no clock."""
+"""Outcomes of requests by class, as totals since the start, for comparing routers. No I/O, no clock."""
+
+import enum
+from collections.abc import Sequence
+
+from brookhinge.interface import Track
+
+
+class Outcome(enum.Enum):
+    """How a request ended."""
+
+    SATISFIED = enum.auto()
+    REJECTED = enum.auto()
+    FAILED = enum.auto()
+    WITHDRAWN = enum.auto()  # by its client: counts for nothing
 
 
 class Scores:
-    """tracks: of interface.py, by number; flow_kb_s: pace of one transfer to a client, 0 where it is not told.
+    """Totals by figure.
 
-    totals: {figure: (queries, sum)}; worth counts 1 for an answer in its contract time and the track's late share after it."""
+    Attributes:
+        totals: {figure: (requests, sum)}. "worth" counts 1 for a response within the latency objective and the
+            class's late share after it; the names of the figures are those of the log.
+    """
 
-    def __init__(self, tracks, flow_kb_s):
-        self.tracks, self.flow, self.totals = tracks, flow_kb_s, {}
+    def __init__(self, classes: Sequence[Track], flow_kb_s: float) -> None:
+        """Count for these request classes; `flow_kb_s` is the pace of one transfer to a client, 0: unknown."""
+        self.classes = classes
+        self.flow_kb_s = flow_kb_s
+        self.totals: dict[str, tuple[int, float]] = {}
 
-    def ended(self, track, size_kb, took, how):
-        """how: satisfied, refused or failed; a query that its client gave up counts for nothing."""
-        if how == "forgotten":
+    def ended(self, request_class: int, size_kb: float, took_s: float, outcome: Outcome) -> None:
+        """Count a request of the class with that index that ended."""
+        if outcome is Outcome.WITHDRAWN:
             return
-        t = self.tracks[track]
-        aim = t.contract_s + t.stretch * (size_kb / self.flow if self.flow else 0.0)
-        good = how == "satisfied"
-        worth = 0.0 if not good else 1.0 if took <= aim else t.late_share
-        for figure, value in (
-            ("worth", worth),
-            (f"worth {t.name}", worth),
-            ("failed", how == "failed"),
-            ("nacked", how == "refused"),
-            ("late", good and took > aim),
-        ):
-            queries, total = self.totals.get(figure, (0, 0.0))
-            self.totals[figure] = queries + 1, total + value
-        if good:
-            queries, total = self.totals.get("took", (0, 0.0))
-            self.totals["took"] = queries + 1, total + took
+        settings = self.classes[request_class]
+        sending_s = size_kb / self.flow_kb_s if self.flow_kb_s else 0.0
+        objective_s = settings.contract_s + settings.stretch * sending_s
+        satisfied = outcome is Outcome.SATISFIED
+        in_time = took_s <= objective_s
+        worth = 0.0
+        if satisfied:
+            worth = 1.0 if in_time else settings.late_share
+        self.add("worth", worth)
+        self.add(f"worth {settings.name}", worth)
+        self.add("failed", outcome is Outcome.FAILED)
+        self.add("nacked", outcome is Outcome.REJECTED)
+        self.add("late", satisfied and not in_time)
+        if satisfied:
+            self.add("took", took_s)
+
+    def add(self, figure: str, value: float) -> None:
+        """Add one request to a figure."""
+        requests, total = self.totals.get(figure, (0, 0.0))
+        self.totals[figure] = requests + 1, total + value
--- a/brookhinge/limits/limits.py
+++ b/brookhinge/limits/limits.py
@@ -2,10 +2,11 @@
 
 limits.round(now, inbox, writer)     inbox: (sender's process, method, values, rows) of datagrams `want` and `lend`
 writer.post_to(place, method, values, rows)      place: of a member in the view
-writer.event_of("parts", rows)       (kind, server, start, part) of each limit whose part has changed"""
+writer.post_event(QuotasAssigned(rows))   (kind, server, start, part) of each limit whose part has changed"""
 
 import xxhash
 
+from brookhinge.engine.events import QuotasAssigned
 from brookhinge.limits.holder import Holder
 from brookhinge.limits.keeper import Keeper
 from brookhinge.limits.terms import BEAT, FADE, HEAD, ROWS
@@ -97,7 +98,7 @@
             rows.append((*limit, None))
         self.shrinks_at = self.holder.changes_at(now)
         if rows:
-            writer.event_of("parts", rows)
+            writer.post_event(QuotasAssigned(rows))
 
     def beat(self, now, writer):
         """Looks at demand, says what is wanting, and lends."""
--- a/brookhinge/membership/memory.py
+++ b/brookhinge/membership/memory.py
@@ -4,11 +4,12 @@
 
     memory.round(now, inbox, writer)
     known()                             rows of what this router knows: (kind, text, number, text, number, number) each
-    writer.event_of("remember", rows)   what a peer knows, in pieces"""
+    writer.post_event(WarmStartReceived(rows))   what a peer knows, in pieces"""
 
 import xxhash
 
 from brookhinge.decision_records import Doc
+from brookhinge.engine.events import WarmStartReceived
 from brookhinge.membership.view import ALIVE
 
 AGAIN_S, TRIES = 0.5, 6
@@ -34,7 +35,7 @@
                     writer.post_to(place, "memory", (at, len(told)), told[at : at + ROWS])
             elif method == "memory" and self.tries and rows:
                 self.done = True
-                writer.event_of("remember", [tuple(row) for row in rows])
+                writer.post_event(WarmStartReceived([tuple(row) for row in rows]))
         if not self.done and now >= self.at:
             self.ask(now, writer)
 
--- a/brookhinge/membership/talk.py
+++ b/brookhinge/membership/talk.py
@@ -8,6 +8,7 @@
 import time
 
 from brookhinge.clock import steady
+from brookhinge.engine.events import PeerNoticeReceived, RouterCountChanged
 from brookhinge.membership.codec import CORE_METHODS, VERSION, Codec
 from brookhinge.membership.look import MEMBERS
 from brookhinge.membership.peer import Peer
@@ -22,7 +23,7 @@
 
     block    `fleet` of the operator's file: name, listen, join, site, key, zone, lease_s
     configured  how many routers the settings tell of: at this place, and in all
-    event    called with (method, values) for the reducer: `notice` and `peers`
+    event    called with each event for the router's state: PeerNoticeReceived and RouterCountChanged
     log      called as log(event, **values)
 
     What else peers talk about joins by `add`: a core with `methods`, round(now, inbox, writer), next_at(), and
@@ -132,7 +133,7 @@
         if counted != self.counted:
             self.counted = counted
             self.log("fleet", change="sharers", here=counted[0], all=counted[1])
-            self.event("peers", counted)
+            self.event(RouterCountChanged(*counted))
 
     def spread(self, kind, *values):
         self.peer.spread(time.monotonic(), kind, values, self)
@@ -210,7 +211,7 @@
             self.log("fleet", change=change, member=name, by=by, members=len(self.peer.view.living()))
 
     def notice(self, kind, values, by):
-        self.event("notice", (kind, values))
+        self.event(PeerNoticeReceived(kind, values))
 
     # the cores' writer
 
@@ -221,5 +222,5 @@
     def post_to(self, place, method, values, rows):
         self.send(self.peer.view.address[place], method, values, [], rows)
 
-    def event_of(self, method, *values):
-        self.event(method, values)
+    def post_event(self, event):
+        self.event(event)
--- a/brookhinge/net/caches.py
+++ b/brookhinge/net/caches.py
@@ -8,6 +8,7 @@
 
 from tornado.iostream import StreamClosedError
 
+from brookhinge.engine.events import AttemptEnded
 from brookhinge.net import cachewire
 from brookhinge.net.stream import Stream
 from brookhinge.net.timeouts import within
@@ -35,6 +36,30 @@
     before: tuple  # arguments of cachewire.pull before the time left, and
     after: tuple  # those after it
 
+    @classmethod
+    def of(cls, effect, now):
+        return cls(
+            effect.request_id,
+            effect.attempt,
+            effect.server,
+            effect.client_request_id,
+            effect.deadline,
+            now,
+            (effect.class_name, effect.object_key, effect.part),
+            (
+                effect.fill_from,
+                effect.retention,
+                effect.max_age_s,
+                effect.joins_fill,
+                effect.cached_only,
+                effect.renews,
+                effect.etag,
+                effect.body,
+                effect.leaves_no_copy,
+                effect.idempotency_key,
+            ),
+        )
+
     def wire(self, now):
         return cachewire.pull(self.name, *self.before, self.until - now, *self.after)
 
@@ -61,7 +86,7 @@
 
 
 class Caches:
-    """post(method, values) takes the events; say(event, ...) is the log."""
+    """post(event) takes the events; say(event, ...) is the log."""
 
     def __init__(
         self,
@@ -96,26 +121,21 @@
 
     # effects
 
-    def pull(self, query, push, server, name, kind, key, part, until, *request):
-        """Writes a push, on a connection that has not carried its id before, or opens one for it. until: when its answer is
-        wanted no more, by now()."""
-        line = self.choose(server, name)
+    def pull(self, effect):
+        """Writes a push, on a connection that has not carried its id before, or opens one for it."""
+        line = self.choose(effect.server, effect.client_request_id)
         if line is None:  # no descriptor left for one more: nothing was sent
-            return self.end(query, push, "unreachable")
-        decided = Decided(query, push, server, name, until, self.now(), (kind, key, part), request)
-        self.put(line, decided)
+            return self.end(effect.request_id, effect.attempt, "unreachable")
+        self.put(line, Decided.of(effect, self.now()))
 
-    def stale(self, effect, values):
+    def stale(self, effect):
         """A push that comes long after its decision is decided anew: what was known then may hold no more."""
-        if effect != "pull":
-            return False
-        self.end(values[0], values[1], "unsent")
+        self.end(effect.request_id, effect.attempt, "unsent")
         return True
 
-    def failed(self, effect, values):
+    def failed(self, effect):
         """A push that could not be written is over."""
-        if effect == "pull":
-            self.end(values[0], values[1], "broken")
+        self.end(effect.request_id, effect.attempt, "broken")
 
     def put(self, line, decided, most_s=None):
         """Writes a push, if nothing forbids it at this moment. Between the decision and this line the process may have
@@ -161,10 +181,10 @@
         if self.trace is not None:
             self.trace("attempt held back", decided.name.decode(), attempt=decided.push, reason=reason)
 
-    def kill(self, query, push):
+    def kill(self, effect):
         """Gives a push up. Its id is not used again on its connection: an answer may be under way and must not
         pass for that of a later push. A connection with an ECHO still to be answered then is suspect."""
-        line, name = self.where.pop((query, push), (None, None))
+        line, name = self.where.pop((effect.request_id, effect.attempt), (None, None))
         if line is None:
             return
         if line.waiting.pop(name, None) is None:
@@ -177,9 +197,9 @@
                 self.close(line, CloseReason.UNSENT)
         self.settle(line)
 
-    def retire(self, server):
+    def retire(self, effect):
         """The server is gone or another process now: its connections take nothing new."""
-        for line in self.lines.pop(server, []):
+        for line in self.lines.pop(effect.server, []):
             line.retired = True
             self.settle(line)
 
@@ -294,8 +314,7 @@
             self.spend(line, name)
         del self.where[query, push]
         self.post(
-            "ended",
-            (
+            AttemptEnded(
                 query,
                 push,
                 result,
@@ -308,7 +327,7 @@
                 None if dated is None else dated - self.start,
                 digest,
                 lot,
-            ),
+            )
         )
         self.settle(line)
 
@@ -340,7 +359,7 @@
         line.out, line.waiting = {}, {}
 
     def end(self, query, push, result):
-        self.post("ended", (query, push, result, 0, 0.0, None, b"", False, self.now()))
+        self.post(AttemptEnded(query, push, result, 0, 0.0, None, b"", False, self.now()))
 
     def sweep(self):
         """Closes what was idle for a good part of the time after which the servers would, and what is silent.
--- a/brookhinge/net/channel.py
+++ b/brookhinge/net/channel.py
@@ -8,7 +8,7 @@
 
 from tornado.iostream import StreamClosedError
 
-from brookhinge.engine.commands import NoCommands, read_commands
+from brookhinge.engine.commands import CommandFormatError, read_commands
 from brookhinge.net import http
 from brookhinge.net.stream import Stream, Unread, unread
 from brookhinge.net.timeouts import within
@@ -57,7 +57,7 @@
                 continue
             except (TimeoutError, StreamClosedError, OSError) as fault:
                 why = type(fault).__name__
-            except (http.Unreadable, NoCommands) as fault:
+            except (http.Unreadable, CommandFormatError) as fault:
                 why = str(fault)
             except Exception as fault:
                 why = f"{type(fault).__name__}: {fault}"
@@ -118,8 +118,8 @@
         return False
 
     def take(self, cursor, commands):
-        for method, values in commands:
-            self.post(method, values)
+        for command in commands:
+            self.post(command)
         self.cursor = max(self.cursor, cursor)
 
     def close(self):
--- a/brookhinge/net/front.py
+++ b/brookhinge/net/front.py
@@ -8,6 +8,7 @@
 from tornado.iostream import StreamClosedError
 
 from brookhinge import rules
+from brookhinge.engine.events import ClientConnected, ClientDisconnected, RequestCancelled, RequestReceived
 from brookhinge.engine.invariants import Invariant
 from brookhinge.net import stream, thrift
 from brookhinge.net.arrivals import Arrivals
@@ -72,7 +73,7 @@
 
 
 class Front:
-    """post(method, values) takes the events; well() tells whether the router takes queries, busy(client) whether
+    """post(event) takes the events; well() tells whether the router takes queries, busy(client) whether
     one has queries open; watch: the LoopWatch of the loop; longest: of each kind of query the patience; violated(invariant, detail): counts a rule broken;
     trace(step, **values): takes each step of each connection, or None."""
 
@@ -118,7 +119,7 @@
             self.trace("client connected", client=client.number)
         if network is not None:
             client.network = network
-            self.post("connected", (client.number, address))
+            self.post(ClientConnected(client.number, address))
         asyncio.ensure_future(self.run(client))
 
     def make_room(self):
@@ -259,7 +260,7 @@
         if number in client.owed:
             client.owed.remove(number)
             client.cancelled.append(number)
-        self.post("forgotten", (client.number, number))
+        self.post(RequestCancelled(client.number, number))
 
     def end_broken(self, client):
         if client.broken and not client.calls and not client.unread and not self.busy(client.number):
@@ -280,7 +281,9 @@
             if method == b"serve":
                 values = read_query(args.get(1) or {}, args.get(2, b""), self.longest)
                 client.owed.add(number)
-                self.post("query", (client.number, number, *values, came, args.get(1, {}).get(b"replay")))
+                self.post(
+                    RequestReceived(client.number, number, *values, came, args.get(1, {}).get(b"replay"))
+                )
             elif method == b"forget":
                 return self.cancel(client, args.get(1))
             else:
@@ -293,22 +296,28 @@
 
     # effects
 
-    def satisfy(self, client, number, body, same):
-        self.reply(
-            client, number, thrift.answer(b"serve", number, body, {b"unchanged": b"1"} if same else {}, True)
-        )
+    def satisfy(self, effect):
+        fields = {b"unchanged": b"1"} if effect.is_unchanged else {}
+        wire = thrift.answer(b"serve", effect.number, effect.body, fields, True)
+        self.reply(effect.client, effect.number, wire)
 
-    def nack(self, client, number, retry_after_s):
-        fields = {b"cooldown": b"%d" % int(retry_after_s * 1000)} if retry_after_s > 0 else {}
-        self.reply(client, number, thrift.thrown(number, 1, fields))
+    def nack(self, effect):
+        wait_s = effect.retry_after_s
+        fields = {b"cooldown": b"%d" % int(wait_s * 1000)} if wait_s > 0 else {}
+        self.reply(effect.client, effect.number, thrift.thrown(effect.number, 1, fields))
 
-    def error(self, client, number):
-        self.reply(client, number, thrift.thrown(number, 2, {}))
+    def error(self, effect):
+        self.reply(effect.client, effect.number, thrift.thrown(effect.number, 2, {}))
 
-    def reject(self, client, number, why):
-        if client in self.clients:
-            self.clients[client].owed.discard(number)
-            self.refuse(self.clients[client], thrift.exception(b"serve", number, thrift.PROTOCOL, why))
+    def reject(self, effect):
+        client = self.clients.get(effect.client)
+        if client is not None:
+            client.owed.discard(effect.number)
+            wire = thrift.exception(b"serve", effect.number, thrift.PROTOCOL, effect.reason)
+            self.refuse(client, wire)
+
+    def close_client(self, effect):
+        self.shut(effect.client, effect.reason)
 
     def refuse(self, client, wire):
         """A call that can't be taken; who goes on sending such is closed."""
@@ -385,7 +394,7 @@
         client.room.set()
         if client.network is not None:
             self.gate.left(client.network)
-        self.post("client_gone", (client.number,))
+        self.post(ClientDisconnected(client.number))
 
     def count_close(self, client, reason):
         self.closes[reason] += 1
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -8,11 +8,25 @@
 
 from brookhinge.decide import Router
 from brookhinge.engine.commands import read_commands
+from brookhinge.engine.effects import (
+    CancelAttempt,
+    CloseClient,
+    FailRequest,
+    NotifyPeers,
+    RefuseCall,
+    RejectRequest,
+    Respond,
+    RetireServer,
+    SendAttempt,
+    WriteLog,
+    WriteTrace,
+)
+from brookhinge.engine.events import EndpointsListed, ObjectsPurged, RequestReceived, ShutdownBegan
+from brookhinge.engine.lifecycle import Lifecycle, Phase
 from brookhinge.engine.log import Log
 from brookhinge.engine.loop_watch import LoopWatch
-from brookhinge.engine.phases import Phases
 from brookhinge.engine.reducer import Reducer
-from brookhinge.engine.rounds import Rounds
+from brookhinge.engine.scheduler import EventScheduler
 from brookhinge.net.caches import Caches
 from brookhinge.net.channel import Channel
 from brookhinge.net.front import LINGER_S, Front
@@ -81,7 +95,7 @@
         self.start, self.steady_start = time.time(), time.monotonic()
         self.watch = LoopWatch(self.now)
         self.watch.listeners.append(self.stalled)
-        self.phases = Phases(self.log)
+        self.lifecycle = Lifecycle(self.log)
         returns = self.gate = self.talk = self.purge_log = lineage = None
         tight = tightening(self.start) if fleet is not None else None
         if site.storm:
@@ -99,8 +113,8 @@
             scores,
             trace is not None,
         )
-        self.rounds = Rounds(self.reducer, self.watch, self.log, self.is_current)
-        self.post = self.rounds.post
+        self.scheduler = EventScheduler(self.reducer, self.watch, self.log, self.is_current)
+        self.post = self.scheduler.post
         bounds, lines = site.bounds, site.lines
         third = bounds.sockets // 3
         sockets = max(8, bounds.sockets - third - SPARE)
@@ -111,7 +125,7 @@
         self.front = Front(
             self.post,
             self.log,
-            lambda: self.phases.well,
+            lambda: self.lifecycle.is_ready,
             self.busy,
             self.watch,
             {t.name.encode(): t.patience_s for t in site.decisions["tracks"]},
@@ -138,13 +152,24 @@
         )
         cursor, commands = read_commands(site.known, self.start)
         self.channel = Channel(self.post, self.log, site.channel, cursor, self.start, watch=self.watch)
-        self.rounds.join(self.front, "satisfy", "nack", "error", "reject", "shut")
-        self.rounds.join(self.caches, "pull", "kill", "retire")
-        self.rounds.join(self, "say", "trace")
+        self.scheduler.register(
+            {
+                Respond: self.front.satisfy,
+                RejectRequest: self.front.nack,
+                FailRequest: self.front.error,
+                RefuseCall: self.front.reject,
+                CloseClient: self.front.close_client,
+                CancelAttempt: self.caches.kill,
+                RetireServer: self.caches.retire,
+                WriteLog: self.say,
+                WriteTrace: self.trace,
+            }
+        )
+        self.scheduler.register({SendAttempt: self.caches.pull}, self.caches.failed, self.caches.stale)
         if fleet is not None:
             self.join_peers(fleet, controls)
         for event in commands:
-            self.post(*event)
+            self.post(event)
         self.ended, self.stopped = None, False
 
     def join_peers(self, fleet, controls):
@@ -153,7 +178,7 @@
 
         place = self.site.decisions["place"]
         self.talk = Talk(fleet, self.site.seed, (place.routers_here, place.routers), self.post, self.log)
-        self.rounds.before.append(self.talk.before)
+        self.scheduler.before_round.append(self.talk.before)
         if fleet.share_limits:
             from brookhinge.limits.limits import Limits
 
@@ -201,8 +226,8 @@
             from brookhinge.purgelog.client import LogClient
 
             self.purge_log = self.talk.purge_log = LogClient(fleet, controls, self.post, self.log)
-            self.rounds.before.append(self.purge_log.before)
-        self.rounds.join(self, "spread")
+            self.scheduler.before_round.append(self.purge_log.before)
+        self.scheduler.register({NotifyPeers: self.spread})
 
     def now(self):
         """Seconds since the start, by a clock that nobody sets; `start` is where they begin in Unix time."""
@@ -211,7 +236,7 @@
     def busy(self, client):
         """Whether it has queries open, those included that the next round takes."""
         return client in self.reducer.clients or any(
-            method == "query" and values[0] == client for method, values in self.rounds.events
+            isinstance(event, RequestReceived) and event.client == client for event in self.scheduler.events
         )
 
     def is_current(self):
@@ -226,14 +251,16 @@
         if decided.until - self.now() < LEAST_S:
             return HeldBack.NO_TIME
         reason = self.reducer.held_back(decided.query, decided.push)
-        if reason is None and not self.rounds.knows_all():
+        if reason is None and not self.scheduler.is_caught_up():
             reason = HeldBack.STALLED
-        elif reason is None and (self.channel.has_unread() or self.rounds.has_posted("listed", "purged")):
+        elif reason is None and (
+            self.channel.has_unread() or self.scheduler.has_posted(EndpointsListed, ObjectsPurged)
+        ):
             reason = HeldBack.LIST_UNREAD
         return reason or self.front.held_back(*self.reducer.asker(decided.query))
 
-    def say(self, event, values):
-        self.log(event, **values)
+    def say(self, effect):
+        self.log(effect.event, **effect.values)
 
     def stalled(self, stall):
         """What was noticed of a time in which nothing could be read or written."""
@@ -243,18 +270,18 @@
             processor_s=round(stall.processor_s, 3),
         )
 
-    def trace(self, step, ref, values):
-        self.tracer(step, ref, **values)
+    def trace(self, effect):
+        self.tracer(effect.step, effect.client_request_id, **effect.values)
 
     def violated(self, invariant, detail):
         """A rule that was about to be broken by what connections do."""
         self.reducer.invariants.violated(invariant, detail)
         self.log("violation", invariant=invariant, detail=detail)
 
-    def spread(self, kind, *values):
+    def spread(self, effect):
         """Tells the peers something that tightens a rule; purges not, where settings say so, while the log tells them."""
-        if kind != "purge" or self.purge_log is None or not self.purge_log.replaces_notices():
-            self.talk.spread(kind, *values)
+        if effect.kind != "purge" or self.purge_log is None or not self.purge_log.replaces_notices():
+            self.talk.spread(effect.kind, *effect.values)
 
     async def join_fleet(self):
         """Begins to talk with the peers, and to read the purge log."""
@@ -270,11 +297,11 @@
         loop.set_exception_handler(self.faulted)
         self.ended = asyncio.Event()
         self.watch.begin()
-        self.rounds.open()  # what is known at the start comes before the first query
+        self.scheduler.open()  # what is known at the start comes before the first query
         address = await self.listen()
         if self.talk is not None and self.handed is None:
             await self.join_fleet()
-        self.phases.step("ready")
+        self.lifecycle.advance(Phase.READY)
         gc.collect()
         gc.freeze()
         parts = (
@@ -290,7 +317,7 @@
         for task in tasks:
             task.cancel()
         self.channel.close()
-        self.rounds.finish()
+        self.scheduler.finish()
         self.front.listener.close()
         await self.front.end(self.last_at())
         self.caches.end_all()
@@ -299,7 +326,7 @@
         if self.talk is not None:  # its share of what is limited was in use until here
             await self.talk.leave()
         self.log("totals", **self.counts(), **self.reasons())
-        self.phases.step("ended")
+        self.lifecycle.advance(Phase.ENDED)
 
     async def listen(self):
         """The address on which clients are taken. A shortage of the system is waited for: it ends no start."""
@@ -322,22 +349,22 @@
         """The word to end (SIGTERM): queries are taken for a while yet, then what is open is finished. The process
         may be killed when the longest patience and LEAVE_S are over: what is open then gets its error before."""
         self.stopped = True  # also before it is ready: run() comes back to it
-        if self.phases.now == "ready":
-            self.phases.step("leaving")
+        if self.lifecycle.is_ready:
+            self.lifecycle.advance(Phase.DRAINING)
             longest = min(LONGEST_S, max(t.patience_s for t in self.site.decisions["tracks"]))
             self.until = self.now() + LEAVE_S + longest - END_S
             asyncio.get_running_loop().call_later(LEAVE_S, self.finish)
 
     def finish(self):
         """No new connections; ends once all is answered, also if the listener fails as it closes."""
-        self.phases.step("finishing")
+        self.lifecycle.advance(Phase.FINISHING)
         asyncio.get_running_loop().call_soon(self.look_for_end)
         self.front.stop()
 
     def look_for_end(self):
-        open_ = self.rounds.events or self.reducer.queries or self.front.listener.open
+        open_ = self.scheduler.events or self.reducer.queries or self.front.listener.open
         if not open_ or self.now() >= self.until:  # what is read from here on is refused at once
-            self.post("closing", ())
+            self.post(ShutdownBegan())
         if (open_ or self.front.unread) and self.now() < self.until + END_S / 2:
             asyncio.get_running_loop().call_later(0.005, self.look_for_end)
         else:
@@ -347,7 +374,7 @@
         """Until when connections that the clients don't close are read on. After a stall the time of the end may be over: what came
         meanwhile is read and refused all the same."""
         at = self.now() + LINGER_S
-        if self.phases.now != "finishing":
+        if self.lifecycle.phase is not Phase.FINISHING:
             return at
         return max(self.now() + LAST_READ_S, min(at, self.until + END_S - 0.02))
 
@@ -359,7 +386,7 @@
             due = self.now() + SWEEP_S
             await asyncio.sleep(SWEEP_S)
             self.watch.tick()
-            if not self.rounds.is_behind():  # else what is late may lie there unread
+            if not self.scheduler.is_catching_up():  # else what is late may lie there unread
                 self.caches.sweep()
                 self.front.sweep()
             if self.gate is not None:
--- a/brookhinge/purgelog/client.py
+++ b/brookhinge/purgelog/client.py
@@ -5,6 +5,7 @@
 import secrets
 
 from brookhinge.clock import steady
+from brookhinge.engine.events import CopyRuleChanged, PurgeLogEntryRead
 from brookhinge.purgelog.control import Machine
 from brookhinge.purgelog.endpoint import Endpoint
 from brookhinge.purgelog.subscriber import CopyRule, Subscriber
@@ -21,8 +22,8 @@
 
 
 class LogClient(Endpoint):
-    """block: `fleet` of the operator's file; controls: its blocks `control` by name; event(method, values) takes `logged`
-    (kind, text, number, stamp_ms) and `copy_rule` (CopyRule, PurgeSet or None); log(event, **values)."""
+    """block: `fleet` of the operator's file; controls: its blocks `control` by name; event(event) takes
+    PurgeLogEntryRead and CopyRuleChanged; log(event, **values)."""
 
     def __init__(self, block, controls, event, log):
         super().__init__(block.site, block.key, 1 + secrets.randbits(PROCESS_BITS), log)
@@ -75,10 +76,10 @@
     # the subscriber's writer, beside send
 
     def entry(self, entry):
-        self.event("logged", (entry.kind, entry.text, entry.number, entry.stamp_ms))
+        self.event(PurgeLogEntryRead(entry.kind, entry.text, entry.number, entry.stamp_ms))
 
     def copies(self, rule, purges):
-        self.event("copy_rule", (rule, purges))
+        self.event(CopyRuleChanged(rule, purges))
         first = self.subscriber.proven_at == -math.inf
         if not (first and rule is CopyRule.RESET):
             self.log("purge log", change=rule.name.lower(), why=rule.value)
--- a/brookhinge/standin/capacity/hollow.py
+++ b/brookhinge/standin/capacity/hollow.py
@@ -6,6 +6,7 @@
 import random
 import time
 
+from brookhinge.engine.events import PeerNoticeReceived, PurgeLogEntryRead
 from brookhinge.limits.limits import Limits
 from brookhinge.membership.talk import Talk
 from brookhinge.operator.schema import FLEET as FLEET_SETTINGS
@@ -160,19 +161,19 @@
             for server in self.servers
         ]
 
-    def event(self, method, values):
+    def event(self, event):
         """What membership tells the decisions: what a peer's notice says is in force from here on."""
-        if method != "notice":
+        if not isinstance(event, PeerNoticeReceived):
             return
-        kind, notice = values
-        self.in_force(int(notice[1], 16) if kind == "purge" else notice[1])
+        told = event.values[1]
+        self.in_force(int(told, 16) if event.kind == "purge" else told)
 
-    def log_event(self, method, values):
+    def log_event(self, event):
         """What the purge log tells the decisions: an entry, or a rule for the copies that a router holds itself."""
-        if method == "logged":
-            self.in_force(int(values[1], 16))
+        if isinstance(event, PurgeLogEntryRead):
+            self.in_force(int(event.text, 16))
         else:
-            self.rules.append((time.monotonic(), values[0].name))
+            self.rules.append((time.monotonic(), event.rule.name))
 
     def in_force(self, purge):
         """A purge is in force at this router."""
--- a/brookhinge/standin/lending.py
+++ b/brookhinge/standin/lending.py
@@ -65,8 +65,8 @@
             self, self.view.names[place], (self.uid, method, values, [(*r[:3], *r[3:]) for r in rows])
         )
 
-    def event_of(self, method, rows):
-        for *limit, part in rows:
+    def post_event(self, event):
+        for *limit, part in event.quotas:
             if part is None:
                 self.used.pop(tuple(limit), None)
             else:
--- a/brookhinge/standin/model.py
+++ b/brookhinge/standin/model.py
@@ -6,6 +6,10 @@
 import itertools
 import random
 
+from brookhinge.engine.effects import CancelAttempt, FailRequest, RejectRequest, Respond, SendAttempt
+from brookhinge.engine.endpoints import ListedEndpoint
+from brookhinge.engine.events import AttemptEnded, EndpointsListed
+
 
 class Box:
     """Processor sharing among what is on it, by virtual time."""
@@ -64,23 +68,30 @@
         self.events, self.order, self.now = [], itertools.count(), 0.0
         self.boxes = {f"s-{i}": Box(f"s-{i}", cores, cold) for i in range(boxes)}
         self.out, self.routers, self.pushes, self.parent_out = {}, [], 0, 0
+        self.handlers = {
+            SendAttempt: self.pull,
+            CancelAttempt: self.kill,
+            Respond: self.satisfy,
+            RejectRequest: self.nack,
+            FailRequest: self.error,
+        }
 
     def at(self, when, work, *args):
         heapq.heappush(self.events, (when, next(self.order), work, args))
 
     def hosts(self, health):
         rows = [
-            ("s-p", ("", 1), "hub", "parent", 0, "ready", 40.0, None),
-            ("s-o", ("", 2), "hub", "origin", 0, "ready", 40.0, None),
+            ListedEndpoint("s-p", ("", 1), "hub", "parent", 0, "ready", 40.0, None),
+            ListedEndpoint("s-o", ("", 2), "hub", "origin", 0, "ready", 40.0, None),
         ]
         return rows + [
-            (name, ("", 3), "edge", "box", 0, health, float(box.cores), box.born)
+            ListedEndpoint(name, ("", 3), "edge", "box", 0, health, float(box.cores), box.born)
             for name, box in self.boxes.items()
         ]
 
     def tell(self, health, number):
         for n in range(len(self.routers)):
-            self.hear(n, ("listed", (number, True, self.hosts(health))))
+            self.hear(n, EndpointsListed(number, True, self.hosts(health)))
 
     def play(self, end):
         while self.events and self.events[0][0] < end:
@@ -89,10 +100,10 @@
 
     def hear(self, n, *events):
         reducer = self.routers[n]
-        for method, values in reducer.reduce(self.now, list(events)):
-            work = getattr(self, method, None)
+        for effect in reducer.reduce(self.now, list(events)):
+            work = self.handlers.get(type(effect))
             if work:
-                work(n, *values)
+                work(n, effect)
         at = reducer.next_at()
         if at is not None:
             self.at(max(at, self.now) + 1e-6, self.timed, n)
@@ -102,17 +113,27 @@
         if at is not None and at <= self.now:
             self.hear(n)
 
-    def pull(self, n, query, push, server, name, kind, key, part, left, source, *rest):
+    def satisfy(self, n, effect):
+        """A client has its response."""
+
+    def nack(self, n, effect):
+        """A client was turned away."""
+
+    def error(self, n, effect):
+        """A client was told of a failure."""
+
+    def pull(self, n, effect):
+        query, push, key = effect.request_id, effect.attempt, effect.object_key
         self.pushes += 1
-        box = self.boxes.get(server[0])
+        box = self.boxes.get(effect.server.server)
         if box is None or not box.up or box.fallen:
             return self.at(self.now + 0.001, self.ended, n, query, push, "unreachable", 0)
         hit = key in box.kept
-        if not hit and not source:
+        if not hit and not effect.fill_from:
             return self.at(self.now + 0.002, self.ended, n, query, push, "miss", 0)
         if box.fails and self.chance.random() < box.fails:
             return self.at(self.now + 0.002, self.ended, n, query, push, "errored", 0)
-        self.out[n, query, push] = server[0]
+        self.out[n, query, push] = effect.server.server
         if hit:
             return self.start(n, query, push, box, key, 1)
         self.parent_out += 1
@@ -161,23 +182,13 @@
     def ended(self, n, query, push, result, note):
         self.hear(
             n,
-            (
-                "ended",
-                (
-                    query,
-                    push,
-                    result,
-                    note,
-                    0.0,
-                    None,
-                    b"x" if result == "satisfied" else b"",
-                    False,
-                    self.now,
-                ),
+            AttemptEnded(
+                query, push, result, note, 0.0, None, b"x" if result == "satisfied" else b"", False, self.now
             ),
         )
 
-    def kill(self, n, query, push):
+    def kill(self, n, effect):
+        query, push = effect.request_id, effect.attempt
         server = self.out.pop((n, query, push), None)
         if server:
             box = self.boxes[server]
--- a/brookhinge/standin/rolling.py
+++ b/brookhinge/standin/rolling.py
@@ -34,7 +34,7 @@
     "self.writer.nack(query, 0) if random.random() < {part} else real(self, query, *rest)"
 )
 LEAKS = (
-    "import brookhinge.engine.rounds as r; real = r.Rounds.round; kept = []; r.Rounds.round = lambda self: "
+    "import brookhinge.engine.scheduler as s; S = s.EventScheduler; real = S.run_round; kept = []; S.run_round = lambda self: "
     "(kept.append(bytearray({kb} * 1024)), real(self))[1]"
 )
 LATE = (
--- a/brookhinge/standin/sharing.py
+++ b/brookhinge/standin/sharing.py
@@ -2,6 +2,7 @@
 decisions and cores; wires and the news of the view are stood in for."""
 
 from brookhinge.decide import Router
+from brookhinge.engine.events import ClientDisconnected, RequestReceived
 from brookhinge.engine.reducer import Reducer
 from brookhinge.interface import Allowed, ColdStart, Place, Supply, Track
 from brookhinge.limits.limits import Limits
@@ -27,8 +28,8 @@
     def post_to(self, place, method, values, rows):
         self.fleet.datagram(self.n, self.fleet.views[self.n].names[place], method, values, rows)
 
-    def event_of(self, method, rows):
-        self.fleet.told[self.n].append((method, (rows,)))
+    def post_event(self, event):
+        self.fleet.told[self.n].append(event)
 
 
 class Fleet(Model):
@@ -127,12 +128,12 @@
         before, self.told[n] = self.told[n], []
         super().hear(n, *before, *events)
 
-    def pull(self, n, query, push, server, *rest):
+    def pull(self, n, effect):
         broken = self.broken.get(n, 0.0)
         if broken and self.chance.random() < broken:
             self.pushes += 1
-            return self.at(self.now + 0.002, self.ended, n, query, push, "broken", 0)
-        super().pull(n, query, push, server, *rest)
+            return self.at(self.now + 0.002, self.ended, n, effect.request_id, effect.attempt, "broken", 0)
+        super().pull(n, effect)
 
     # clients: each asks once
 
@@ -145,39 +146,36 @@
         self.asked.append([self.now, None, "lost"])
         self.hear(
             n,
-            (
-                "query",
-                (
-                    self.serial,
-                    1,
-                    b"%x" % self.serial,
-                    b"pages",
-                    b"%016x" % object_,
-                    b"0",
-                    0,
-                    1,
-                    1000.0 * WORK,
-                    PATIENCE_S,
-                    None,
-                    b"",
-                    self.now,
-                ),
+            RequestReceived(
+                self.serial,
+                1,
+                b"%x" % self.serial,
+                b"pages",
+                b"%016x" % object_,
+                b"0",
+                0,
+                1,
+                1000.0 * WORK,
+                PATIENCE_S,
+                None,
+                b"",
+                self.now,
             ),
         )
 
     def over(self, n, client, how):
         at = self.open.pop((n, client))
         self.asked[at][1:] = self.now, how
-        self.at(self.now + 1e-6, self.hear, n, ("client_gone", (client,)))
+        self.at(self.now + 1e-6, self.hear, n, ClientDisconnected(client))
 
-    def satisfy(self, n, client, number, body, same):
-        self.over(n, client, "satisfied")
+    def satisfy(self, n, effect):
+        self.over(n, effect.client, "satisfied")
 
-    def nack(self, n, client, number, wait):
-        self.over(n, client, "nacked")
+    def nack(self, n, effect):
+        self.over(n, effect.client, "nacked")
 
-    def error(self, n, client, number):
-        self.over(n, client, "errored")
+    def error(self, n, effect):
+        self.over(n, effect.client, "errored")
 
     # the day
 
--- a/brookhinge/startup.py
+++ b/brookhinge/startup.py
@@ -6,6 +6,7 @@
 from typing import NamedTuple
 
 from brookhinge.engine.commands import read_commands
+from brookhinge.engine.events import CommandSkipped
 from brookhinge.interface import Allowed, ColdStart, Place, Supply, Track
 
 NS = 1e-9
@@ -252,9 +253,9 @@
     top = Table(Table.checked("BALANCER_CONFIG", values, *TABLE))
     settings, limits, known = top.table("settings"), top.table("limits", {}), top.table("known")
     known.take("cursor", WHOLE), known.take("cmds", ROWS)
-    for i, (method, told) in enumerate(read_commands(known.values, 0.0)[1]):
-        if method == "skipped":
-            raise StartError(f"known.cmds[{i}]: expected a command, cannot read {told[1]}")
+    for i, command in enumerate(read_commands(known.values, 0.0)[1]):
+        if isinstance(command, CommandSkipped):
+            raise StartError(f"known.cmds[{i}]: expected a command, cannot read {command.reason}")
     seed = top.take("seed", TEXT)
     try:
         seed = int(seed, 16)
--- a/brookhinge/verdicts/verdicts.py
+++ b/brookhinge/verdicts/verdicts.py
@@ -2,7 +2,8 @@
 
     verdicts.round(now, inbox, writer)   inbox: (sender's process, method, values, rows) of datagrams `evidence`, `table`
     writer.post_to(place, method, values, rows)
-    writer.event_of("verdicts", rows)    (server, start, how, seconds) each: rest, trial, ramp, alone or well, for so long
+    writer.post_event(OutlierVerdictsChanged(rows))   (server, start, how, seconds) each: rest, trial, ramp, alone or well, for so
+                                                      long
 
 Each server has a collector, chosen from the view, to whom who saw anything of it sends totals while anybody sees failures;
 he sends all totals to all, and says whose turn a trial of a resting server is: one router's, and twice as many each time
@@ -10,6 +11,7 @@
 
 import xxhash
 
+from brookhinge.engine.events import OutlierVerdictsChanged
 from brookhinge.membership.look import VERDICTS
 from brookhinge.membership.view import ALIVE
 from brookhinge.verdicts import judge
@@ -212,7 +214,7 @@
         ]
         self.told = saying
         if rows:
-            writer.event_of("verdicts", rows)
+            writer.post_event(OutlierVerdictsChanged(rows))
 
     def tell(self, now, writer):
         """Nothing that ends by itself: what is said to the decisions has its end with it."""
--- a/tests/crossings/test_rare.py
+++ b/tests/crossings/test_rare.py
@@ -11,6 +11,8 @@
 import pytest
 
 from brookhinge.engine.commands import read_commands
+from brookhinge.engine.endpoints import ListedEndpoint
+from brookhinge.engine.events import EndpointsListed, ObjectsPurged, RequestReceived
 from brookhinge.engine.reducer import Reducer
 from brookhinge.net import caches as net_caches
 from brookhinge.net import front, listener, thrift
@@ -271,7 +273,7 @@
         desk.reducer = Reducer(desk.router, tracks, list(desk.reducer.zones), Lineage())
         desk.hear(*read_commands(configuration()["known"], 0.0)[1])
         assert any("pull" in line for line in desk.ask(allow=3.0))
-        desk.hear(("purged", (4, group, desk.now, key)))
+        desk.hear(ObjectsPurged(4, group, desk.now, key))
         assert any("pull" in line for line in desk.ask(at=desk.now + 1.0)), (group, key)
 
 
@@ -338,10 +340,10 @@
     server = asked.pop()[0]
     desk.end(0, 1, "full")
     asked.clear()
-    row = (server, ("127.0.0.1", 9), "edge-1", "box", 0, "draining", 4.0, None)
-    event = {"purge": ("purged", (4, 0, desk.now, "aa")), "drain": ("listed", (4, False, [row]))}[fact]
+    row = ListedEndpoint(server, ("127.0.0.1", 9), "edge-1", "box", 0, "draining", 4.0, None)
+    event = {"purge": ObjectsPurged(4, 0, desk.now, "aa"), "drain": EndpointsListed(4, False, [row])}[fact]
     query = (1, 9, b"r9", b"page", b"aa", b"0", 0, 4, 100.0, 1.0, None, b"", desk.now)
-    desk.hear(("query", query), event)
+    desk.hear(RequestReceived(*query), event)
     ((to, oldest_s),) = asked
     assert dict(desk.reducer.invariants.violations) == {}
     assert (to != server) if fact == "drain" else 0.0 < oldest_s < 0.1
@@ -417,7 +419,7 @@
         t.service.stop()
         t.service.until = t.service.now() + 1.0
         await asyncio.wait_for(t.task, 5.0)
-        return t.service.phases.now
+        return t.service.lifecycle.phase
 
     assert played(scene, tmp_path) == "ended"
 
--- a/tests/crossings/test_sockets.py
+++ b/tests/crossings/test_sockets.py
@@ -15,6 +15,7 @@
 
 import pytest
 
+from brookhinge.engine.events import RequestReceived, ShutdownBegan
 from brookhinge.net import caches as net_caches
 from brookhinge.net import front, program
 from brookhinge.net.service import Service
@@ -151,9 +152,9 @@
     async def scene(t):
         post = t.service.front.post
 
-        def and_close(method, values):
-            post(method, values)
-            if method == "query":
+        def and_close(event):
+            post(event)
+            if isinstance(event, RequestReceived):
                 t.service.front.make_room()
 
         t.service.front.post = and_close
@@ -249,7 +250,7 @@
 def test_what_is_read_after_the_end_began_is_refused(tmp_path):
     desk = Desk(tmp_path)
     assert desk.ask()[0][:4] == "pull"
-    assert [line.split()[0] for line in desk.hear(("closing", ()))] == ["kill", "error"]
+    assert [line.split()[0] for line in desk.hear(ShutdownBegan())] == ["kill", "error"]
     assert desk.ask(key=b"bb") == ["nack 1 2 0.0"]
     assert not desk.reducer.queries and not desk.router.queries
 
@@ -259,7 +260,7 @@
         service = Service(read(configuration(), tmp_path), lambda event, **values: None)
         service.stop()
         await asyncio.wait_for(service.run(), 5)
-        return service.phases.now
+        return service.lifecycle.phase
 
     assert asyncio.run(play()) == "ended"
 
--- a/tests/engine/test_invariants.py
+++ b/tests/engine/test_invariants.py
@@ -5,6 +5,9 @@
 import pytest
 
 from brookhinge import rules
+from brookhinge.engine.effects import Respond
+from brookhinge.engine.endpoints import ListedEndpoint
+from brookhinge.engine.events import EndpointsListed, ObjectsPurged
 from brookhinge.engine.log import Log
 from brookhinge.engine.trace import Trace
 from brookhinge.interface import ColdStart
@@ -44,8 +47,8 @@
 @pytest.mark.parametrize("as_source", [False, True])
 @pytest.mark.parametrize("health", ["draining", "gone"])
 def test_a_server_told_draining_or_gone(desk, health, as_source):
-    row = ("s-22", ("127.0.0.1", 9), "edge-1", "box", 0, health, 4.0, None)
-    desk.hear(("listed", (4, False, [row])))
+    row = ListedEndpoint("s-22", ("127.0.0.1", 9), "edge-1", "box", 0, health, 4.0, None)
+    desk.hear(EndpointsListed(4, False, [row]))
     server = "s-21" if as_source else "s-22"
     lines, counted = planted(desk, lambda query: push(desk, query, server, "s-22"))
     assert counted == {"drain": 1}
@@ -63,7 +66,7 @@
 
 
 def test_a_copy_from_before_a_purge(desk):
-    desk.hear(("purged", (4, 0, desk.now, "aa")))
+    desk.hear(ObjectsPurged(4, 0, desk.now, "aa"))
     _, counted = planted(desk, lambda query: push(desk, query, oldest_s=5.0))
     assert counted == {"purge": 1}
     _, counted = planted(desk, lambda query: push(desk, query, oldest_s=0.0))
@@ -106,8 +109,8 @@
 
 def test_more_than_all_routers_may_send_to_a_cold_server(desk):
     desk.router.cold["cache"].start = ColdStart(0.1, 60.0, 1.0, 1.0)
-    row = ("s-22", ("127.0.0.1", 9), "edge-1", "box", 0, "ready", 4.0, desk.now)
-    desk.hear(("listed", (4, False, [row])))
+    row = ListedEndpoint("s-22", ("127.0.0.1", 9), "edge-1", "box", 0, "ready", 4.0, desk.now)
+    desk.hear(EndpointsListed(4, False, [row]))
     desk.router.place = lambda query, q: push(desk, query, "s-22", "s-22")
     for number in range(30):
         desk.ask(key=b"%x" % number)
@@ -155,7 +158,7 @@
         t.caller.ask(1)
         await until(t.pulled)
         client = t.service.front.clients[1]
-        t.service.front.satisfy(1, 7, b"never asked", False)
+        t.service.front.satisfy(Respond(1, 7, b"never asked", False))
         t.service.front.drop(client, CloseReason.IDLE)
         return await t.caller.hear(), dict(t.service.reducer.invariants.violations)
 
@@ -168,7 +171,7 @@
         await until(t.pulled)
         client = t.service.front.clients[1]
         t.service.front.cancel(client, 1)
-        t.service.front.satisfy(1, 1, b"late", False)
+        t.service.front.satisfy(Respond(1, 1, b"late", False))
         t.caller.ask(2)
         return await t.caller.hear(), dict(t.service.reducer.invariants.violations)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,8 +4,25 @@
 import asyncio
 import json
 
+from msgspec.structs import astuple
+
 from brookhinge.decide import Router
 from brookhinge.engine.commands import read_commands
+from brookhinge.engine.effects import (
+    CancelAttempt,
+    CloseClient,
+    FailRequest,
+    NotifyPeers,
+    RefuseCall,
+    RejectRequest,
+    Respond,
+    RetireServer,
+    SendAttempt,
+    WriteLog,
+    WriteTrace,
+)
+from brookhinge.engine.events import AttemptEnded, RequestReceived
+from brookhinge.engine.lifecycle import Phase
 from brookhinge.engine.reducer import Reducer
 from brookhinge.interface import Allowed, ColdStart, Place, Supply, Track
 from brookhinge.net import thrift
@@ -209,6 +226,22 @@
     return read_site({"BALANCER_CONFIG": str(path)})
 
 
+# The words of printed effects.
+PRINTED_AS = {
+    SendAttempt: "pull",
+    CancelAttempt: "kill",
+    RetireServer: "retire",
+    Respond: "satisfy",
+    RejectRequest: "nack",
+    FailRequest: "error",
+    RefuseCall: "reject",
+    CloseClient: "shut",
+    WriteLog: "say",
+    WriteTrace: "trace",
+    NotifyPeers: "spread",
+}
+
+
 class Desk:
     """A reducer with its router, called by events; effects come back as printed lines."""
 
@@ -221,48 +254,48 @@
 
     def hear(self, *events, at=None):
         self.now = self.now + 0.01 if at is None else at
-        return [self.printed(*effect) for effect in self.reducer.reduce(self.now, events)]
+        return [self.printed(effect) for effect in self.reducer.reduce(self.now, events)]
 
     def ask(self, key=b"aa", kind=b"page", name=None, client=1, number=None, at=None, allow=1.0, tag=None):
         self.asked += 1
         came = self.now + 0.01 if at is None else at
         return self.hear(
-            (
-                "query",
-                (
-                    client,
-                    number or self.asked,
-                    name or b"r%d" % self.asked,
-                    kind,
-                    key,
-                    b"0",
-                    0,
-                    4,
-                    100.0,
-                    allow,
-                    tag,
-                    b"",
-                    came,
-                ),
+            RequestReceived(
+                client,
+                number or self.asked,
+                name or b"r%d" % self.asked,
+                kind,
+                key,
+                b"0",
+                0,
+                4,
+                100.0,
+                allow,
+                tag,
+                b"",
+                came,
             ),
             at=at,
         )
 
     def end(self, query, push, result, body=b"", same=False, at=None, **copy):
         return self.hear(
-            ("ended", (query, push, result, 2, 0.0, None, body, same, self.now, *copy.values())), at=at
+            AttemptEnded(query, push, result, 2, 0.0, None, body, same, self.now, *copy.values()), at=at
         )
 
-    def printed(self, method, values):
-        if method == "pull":
-            query, push, server, name, kind, key, part, until, source, rank = values[:10]
-            left = until - self.now
+    def printed(self, effect):
+        word = PRINTED_AS[type(effect)]
+        if isinstance(effect, SendAttempt):
+            left = effect.deadline - self.now
             return (
-                f"pull q{query}.{push} {name.decode()} {server[0]} from {source} rank {rank} for {left:.3f}"
+                f"{word} q{effect.request_id}.{effect.attempt} {effect.client_request_id.decode()} {effect.server.server} "
+                f"from {effect.fill_from} rank {effect.retention} for {left:.3f}"
             )
-        if method in ("kill", "retire"):
-            return f"{method} q{values[0]}.{values[1]}" if method == "kill" else f"retire {values[0][0]}"
-        return " ".join([method, *(str(v) for v in values)])
+        if isinstance(effect, CancelAttempt):
+            return f"{word} q{effect.request_id}.{effect.attempt}"
+        if isinstance(effect, RetireServer):
+            return f"{word} {effect.server.server}"
+        return " ".join([word, *(str(v) for v in astuple(effect))])
 
 
 class Machine:
@@ -429,7 +462,7 @@
         self.values = configuration(ports, self.commands.port, **self.other)
         self.service = Service(read(self.values, self.folder), self.log)
         self.task = asyncio.ensure_future(self.service.run())
-        while self.service.phases.now == "starting":
+        while self.service.lifecycle.phase is Phase.STARTING:
             await asyncio.sleep(0.001)
         self.address = self.service.front.listener.socket.getsockname()
         self.caller = await Caller.connect(self.address)
--- a/tests/membership/test_memory.py
+++ b/tests/membership/test_memory.py
@@ -5,6 +5,7 @@
 from helpers import Bench
 
 from brookhinge.decide import Router
+from brookhinge.engine.events import WarmStartReceived
 from brookhinge.membership.memory import Memory, Remembering
 from brookhinge.membership.view import ALIVE, LOST, View
 from brookhinge.standin.rig import Rig
@@ -76,8 +77,8 @@
     def post_to(self, place, *what):
         self.posted.append((place, *what))
 
-    def event_of(self, *what):
-        self.events.append(what)
+    def post_event(self, event):
+        self.events.append(event)
 
 
 def core(states):
@@ -94,7 +95,7 @@
     assert {row[0] for row in writer.posted} == {1, 2} and [row[1] for row in writer.posted] == ["recall"] * 4
     memory.round(2.0, [(2, "memory", (0, 1), [("takes", "page", 0, "", 0.1, 9.0)])], writer)
     assert writer.events == [
-        ("remember", [("takes", "page", 0, "", 0.1, 9.0)])
+        WarmStartReceived([("takes", "page", 0, "", 0.1, 9.0)])
     ] and memory.next_at() == float("inf")
     memory.round(2.1, [(3, "recall", (0, 0), ())], writer)  # from now on it answers, in pieces
     assert [len(row[3]) for row in writer.posted[4:]] == [10, 10, 3]
--- a/tests/standstill/stoppable.py
+++ b/tests/standstill/stoppable.py
@@ -87,25 +87,32 @@
 @point("posted")
 def posted(reached):
     """A server's answer waits for the next round."""
-    from brookhinge.engine.rounds import Rounds
+    from brookhinge.engine.events import AttemptEnded
+    from brookhinge.engine.scheduler import EventScheduler
 
-    after(Rounds, "post", lambda _, args: args[1] == "ended", reached)
+    after(EventScheduler, "post", lambda _, args: isinstance(args[1], AttemptEnded), reached)
 
 
 @point("waiting")
 def waiting(reached):
     """A round that is late waits until what lies in the system has been read."""
-    from brookhinge.engine.rounds import Rounds
+    from brookhinge.engine.scheduler import EventScheduler
 
-    after(Rounds, "after", lambda _, args: args[1] == 1, reached)
+    after(EventScheduler, "run_round_after", lambda _, args: args[1] == 1, reached)
 
 
 @point("decided")
 def decided(reached):
     """A round has decided on an attempt that is not written yet."""
+    from brookhinge.engine.effects import SendAttempt
     from brookhinge.engine.reducer import Reducer
 
-    after(Reducer, "reduce", lambda effects, _: any(method == "pull" for method, _ in effects), reached)
+    after(
+        Reducer,
+        "reduce",
+        lambda effects, _: any(isinstance(effect, SendAttempt) for effect in effects),
+        reached,
+    )
 
 
 @point("writing")
--- a/tests/standstill/test_held_back.py
+++ b/tests/standstill/test_held_back.py
@@ -3,6 +3,8 @@
 import asyncio
 import time
 
+from brookhinge.engine.endpoints import ListedEndpoint, ServerInstance
+from brookhinge.engine.events import EndpointsListed, ObjectsPurged
 from brookhinge.net import caches as net_caches
 from brookhinge.rules import HeldBack
 from tests.crossings.test_sockets import Raw
@@ -17,7 +19,7 @@
     (query, q), now = next(iter(t.service.reducer.queries.items())), t.service.now()
     await asyncio.sleep(0.05)  # its connection was read empty longer ago than a moment
     t.service.watch.tick()
-    server = q.server, *t.service.reducer.dials[q.server]
+    server = ServerInstance(q.server, *t.service.reducer.dials[q.server])
     return raw, net_caches.Decided(query, q.pushes, server, q.name, now + 1.0, now, (), ())
 
 
@@ -26,7 +28,7 @@
 
     async def scene(t):
         raw, decided = await one_out(t)
-        await until(t.service.rounds.knows_all)
+        await until(t.service.scheduler.is_caught_up)
         before = t.service.held_back(decided)
         t.service.front.clients[2].emptied_at = t.service.channel.empty_at = float("-inf")
         return before, t.service.held_back(change(t, raw, decided) or decided)
@@ -55,7 +57,7 @@
 
 def test_an_event_of_the_command_channel_waits_for_its_round(tmp_path):
     def post(t, raw, decided):
-        t.service.post("purged", (9, 0, 0.0, "aa"))
+        t.service.post(ObjectsPurged(9, 0, 0.0, "aa"))
 
     assert reason_after(tmp_path, post) is HeldBack.LIST_UNREAD
 
@@ -77,7 +79,13 @@
         row = host(decided.server[0], health="draining")
         t.service.reducer.reduce(
             t.service.now(),
-            [("listed", (9, False, [(row["host"], ("h", 1), "edge-1", "box", 0, "draining", 4.0, None)]))],
+            [
+                EndpointsListed(
+                    9,
+                    False,
+                    [ListedEndpoint(row["host"], ("h", 1), "edge-1", "box", 0, "draining", 4.0, None)],
+                )
+            ],
         )
 
     assert reason_after(tmp_path, drain) is HeldBack.CHANGED
--- a/tests/storm/test_lineage.py
+++ b/tests/storm/test_lineage.py
@@ -6,6 +6,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
+from brookhinge.engine.events import (
+    AttemptEnded,
+    ClientConnected,
+    ClientDisconnected,
+    RequestCancelled,
+    RequestReceived,
+    ShutdownBegan,
+)
 from brookhinge.storm.lineage import MANY, Lineage
 from tests.helpers import Desk
 
@@ -17,7 +25,7 @@
     d = Desk(folder)
     d.reducer.lineage = Lineage()
     for client, place in enumerate(places, 1):
-        d.hear(("connected", (client, place)))
+        d.hear(ClientConnected(client, place))
     return d
 
 
@@ -60,7 +68,7 @@
     d.ask(client=1, number=1)
     d.ask(client=2, number=2, allow=0.5)
     d.ask(client=3, number=3)
-    lines = d.hear(("forgotten", (1, 1)))
+    lines = d.hear(RequestCancelled(1, 1))
     assert [line.split()[0] for line in lines] == ["kill", "pull"] and " q1.1 " in lines[
         1
     ]  # one of both, not two
@@ -84,7 +92,7 @@
     d.ask(client=2)
     d.reducer.effects = []
     d.reducer.nack(0, 0.25)
-    assert [d.printed(*e) for e in d.reducer.effects] == ["nack 1 1 0.25", "nack 2 2 0.25"]
+    assert [d.printed(e) for e in d.reducer.effects] == ["nack 1 1 0.25", "nack 2 2 0.25"]
 
 
 def test_a_retry_has_its_first_tries_time_and_is_forgotten_by_itself():
@@ -155,23 +163,20 @@
         self.numbers += 1
         self.owed[client, self.numbers] = self.now + 0.01 + allow
         self.step(
-            (
-                "query",
-                (
-                    client,
-                    self.numbers,
-                    b"r%d" % self.numbers,
-                    b"page",
-                    key,
-                    b"0",
-                    0,
-                    4,
-                    100.0,
-                    allow,
-                    None,
-                    b"",
-                    self.now + 0.01,
-                ),
+            RequestReceived(
+                client,
+                self.numbers,
+                b"r%d" % self.numbers,
+                b"page",
+                key,
+                b"0",
+                0,
+                4,
+                100.0,
+                allow,
+                None,
+                b"",
+                self.now + 0.01,
             )
         )
 
@@ -181,19 +186,8 @@
         if out:
             query, push = self.chance.choice(out)
             self.step(
-                (
-                    "ended",
-                    (
-                        query,
-                        push,
-                        result,
-                        2,
-                        0.0,
-                        None,
-                        b"x" if result == "satisfied" else b"",
-                        False,
-                        self.now,
-                    ),
+                AttemptEnded(
+                    query, push, result, 2, 0.0, None, b"x" if result == "satisfied" else b"", False, self.now
                 )
             )
 
@@ -203,7 +197,7 @@
             client, number = self.chance.choice(sorted(self.owed))
             self.advance()  # its own time may be over before it is withdrawn: then its answer was due
             self.owed.pop((client, number), None)
-            self.take(self.d.hear(("forgotten", (client, number)), at=self.now))
+            self.take(self.d.hear(RequestCancelled(client, number), at=self.now))
 
     @rule(by=st.sampled_from([0.005, 0.05]))
     def wait(self, by):
@@ -216,7 +210,7 @@
         self.owed = {key: at for key, at in self.owed.items() if key[0] != client}
         self.take(
             self.d.hear(
-                ("client_gone", (client,)), ("connected", (client, A if client < 3 else B)), at=self.now
+                ClientDisconnected(client), ClientConnected(client, A if client < 3 else B), at=self.now
             )
         )
 
@@ -233,7 +227,7 @@
 
     def teardown(self):
         if hasattr(self, "d"):
-            self.take(self.d.hear(("closing", ())))
+            self.take(self.d.hear(ShutdownBegan()))
             assert not self.owed and not self.d.reducer.queries
 
 
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -3,7 +3,8 @@
 import pytest
 
 from brookhinge import rules
-from tests.helpers import Bench, Desk, configuration
+from brookhinge.engine.events import AttemptEnded, ObjectsPurged, RequestReceived
+from tests.helpers import PRINTED_AS, Bench, Desk, configuration
 
 HOUR_S = 3600.0
 
@@ -29,7 +30,7 @@
 def test_a_purge_told_just_now_is_never_taken_for_one_of_long_ago(tmp_path, stamped):
     """Its sender's clock was set back or forward; a copy from before the purge must not pass."""
     desk, asked = listening_desk(tmp_path)
-    desk.hear(("purged", (4, 0, stamped, "aa")), at=10.0)
+    desk.hear(ObjectsPurged(4, 0, stamped, "aa"), at=10.0)
     desk.ask(at=10.5)
     assert len(asked) == 1 and 0.0 < asked[0] <= 0.6
 
@@ -38,7 +39,7 @@
     """The newest cannot be later than now; how long before it the others were, their stamps tell."""
     desk, asked = starting_desk(tmp_path)
     events = [
-        ("purged", (4 + n, 0, stamp, key)) for n, (stamp, key) in enumerate([(-HOUR_S, "aa"), (-2.0, "bb")])
+        ObjectsPurged(4 + n, 0, stamp, key) for n, (stamp, key) in enumerate([(-HOUR_S, "aa"), (-2.0, "bb")])
     ]
     desk.hear(*events, at=10.0)
     desk.ask(key=b"aa", at=10.5)
@@ -74,11 +75,11 @@
         tmp_path, limits={"memory_mb": 192, "sockets": 1024}, flow_bytes_per_s=1e6, link_bytes_per_s=1e7
     )
     desk.ask(at=10.0)
-    desk.hear(("ended", (0, 1, "miss", 0, 0.0, None, b"", False, 10.1)), at=10.1)
-    desk.hear(("ended", (0, 2, "satisfied", 2, 0.0, None, b"bytes", False, 10.2, 10.1, b"t", None)), at=10.2)
+    desk.hear(AttemptEnded(0, 1, "miss", 0, 0.0, None, b"", False, 10.1), at=10.1)
+    desk.hear(AttemptEnded(0, 2, "satisfied", 2, 0.0, None, b"bytes", False, 10.2, 10.1, b"t", None), at=10.2)
     query = (1, 9, b"r9", b"page", b"aa", b"0", 0, 4, 100.0, 0.2, None, b"", 10.3)
-    effects = desk.reducer.reduce(10.3, [("query", query)], knows_all)
-    assert [method for method, _ in effects] == [answer]
+    effects = desk.reducer.reduce(10.3, [RequestReceived(*query)], knows_all)
+    assert [PRINTED_AS[type(effect)] for effect in effects] == [answer]
 
 
 @pytest.mark.parametrize("dated, kept", [(10.0, True), (10.0 + HOUR_S, False), (12.0, False)])
@@ -88,8 +89,10 @@
         tmp_path, limits={"memory_mb": 192, "sockets": 1024}, flow_bytes_per_s=1e6, link_bytes_per_s=1e7
     )
     desk.ask(at=10.0)
-    desk.hear(("ended", (0, 1, "miss", 0, 0.0, None, b"", False, 10.1)), at=10.1)
-    desk.hear(("ended", (0, 2, "satisfied", 2, 0.0, None, b"bytes", False, 10.2, dated, b"t", None)), at=10.2)
+    desk.hear(AttemptEnded(0, 1, "miss", 0, 0.0, None, b"", False, 10.1), at=10.1)
+    desk.hear(
+        AttemptEnded(0, 2, "satisfied", 2, 0.0, None, b"bytes", False, 10.2, dated, b"t", None), at=10.2
+    )
     assert bool(desk.reducer.copies) is kept
 
 
@@ -103,7 +106,7 @@
 def test_a_purge_known_at_the_start_binds_also_if_the_router_started_with_its_clock_ahead(tmp_path):
     """The newest event that is known cannot be later than now; by how much earlier it was, a clock that is ahead cannot tell."""
     desk, asked = starting_desk(tmp_path)
-    desk.hear(("purged", (4, 0, desk.now - 7.5, "aa")))  # 2.5 s ago by its sender's clock
+    desk.hear(ObjectsPurged(4, 0, desk.now - 7.5, "aa"))  # 2.5 s ago by its sender's clock
     desk.ask()
     assert 0.0 < asked[0] <= 2.6
 
@@ -112,6 +115,6 @@
     """One known before it has a stamp of an hour later; by their numbers that one came first. The router's own clock was right."""
     desk, asked = starting_desk(tmp_path)
     stamps = [(-20.0, "bb"), (-HOUR_S - 2.0, "aa")]
-    desk.hear(*[("purged", (4 + n, 0, stamp, key)) for n, (stamp, key) in enumerate(stamps)])
+    desk.hear(*[ObjectsPurged(4 + n, 0, stamp, key) for n, (stamp, key) in enumerate(stamps)])
     desk.ask(key=b"aa")
     assert 0.0 < asked[0] <= 2.6
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -213,7 +213,7 @@
     "body", [b"", b"[]", b"null", b"{}", b'{"cursor":"x","cmds":[]}', b'{"cursor":1,"cmds":{}}']
 )
 def test_commands_that_cannot_be_read(body):
-    with pytest.raises(commands.NoCommands):
+    with pytest.raises(commands.CommandFormatError):
         commands.read_commands(body, 0.0)
 
 
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -3,6 +3,14 @@
 from helpers import Desk, host, listed
 
 from brookhinge.engine.commands import read_commands
+from brookhinge.engine.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    ObjectsPurged,
+    RequestCancelled,
+    RequestReceived,
+    ShutdownBegan,
+)
 
 
 def commands(*told, start=0.0):
@@ -48,9 +56,9 @@
 def test_a_client_that_forgets_or_goes_is_owed_nothing(tmp_path):
     d = Desk(tmp_path)
     d.ask(), d.ask(), d.ask(client=2)
-    assert d.hear(("forgotten", (1, 1))) == ["kill q0.1"]
-    assert d.hear(("forgotten", (1, 1))) == []
-    assert d.hear(("client_gone", (1,))) == ["kill q1.1"]
+    assert d.hear(RequestCancelled(1, 1)) == ["kill q0.1"]
+    assert d.hear(RequestCancelled(1, 1)) == []
+    assert d.hear(ClientDisconnected(1)) == ["kill q1.1"]
     assert d.end(0, 1, "satisfied") + d.end(1, 1, "satisfied") == []
     assert list(d.reducer.queries) == [2] and list(d.router.queries) == [2]
 
@@ -58,11 +66,11 @@
 def test_a_client_that_goes_in_the_pass_of_its_query_or_of_a_failed_push(tmp_path):
     """The decisions must not send for a query that is over when their round begins."""
     d = Desk(tmp_path)
-    asked = ("query", (1, 1, b"r", b"page", b"aa", b"0", 0, 4, 100.0, 1.0, None, b"", 0.0))
-    assert d.hear(asked, ("forgotten", (1, 1))) == [] and d.router.queries == {}
+    asked = RequestReceived(1, 1, b"r", b"page", b"aa", b"0", 0, 4, 100.0, 1.0, None, b"", 0.0)
+    assert d.hear(asked, RequestCancelled(1, 1)) == [] and d.router.queries == {}
     d.ask()
-    failed = ("ended", (1, 1, "full", 6, 0.0, None, b"", False, d.now))
-    assert d.hear(failed, ("client_gone", (1,))) == [] and d.router.queries == {}
+    failed = AttemptEnded(1, 1, "full", 6, 0.0, None, b"", False, d.now)
+    assert d.hear(failed, ClientDisconnected(1)) == [] and d.router.queries == {}
     assert sum(d.router.fleet.inflight) == 0
 
 
@@ -81,9 +89,8 @@
     """Two queries under one number can't be told apart in the answers: neither is satisfied. Others notice nothing."""
 
     def call(number, name=b"", client=1):
-        return (
-            "query",
-            (client, number, name or b"r%d" % number, b"page", b"aa", b"0", 0, 4, 100.0, 1.0, None, b"", 0.0),
+        return RequestReceived(
+            client, number, name or b"r%d" % number, b"page", b"aa", b"0", 0, 4, 100.0, 1.0, None, b"", 0.0
         )
 
     for bad, why in (
@@ -92,7 +99,7 @@
         ((call(1, b"r"), call(2, b"r")), "an id that is open"),
         ([call(n) for n in range(1, 40)], "over 32 queries open"),
         (
-            [e for n in range(1, 35) for e in (call(n), ("forgotten", (1, n)))],
+            [e for n in range(1, 35) for e in (call(n), RequestCancelled(1, n))],
             "33 queries withdrawn and none satisfied",
         ),
     ):
@@ -106,7 +113,7 @@
 def test_what_is_open_at_the_end_gets_its_error(tmp_path):
     d = Desk(tmp_path)
     d.ask(), d.ask()
-    assert d.hear(("closing", ())) == ["kill q0.1", "error 1 1", "kill q1.1", "error 1 2"]
+    assert d.hear(ShutdownBegan()) == ["kill q0.1", "error 1 1", "kill q1.1", "error 1 2"]
     assert d.reducer.queries == {} and sum(d.router.fleet.inflight) == 0
 
 
@@ -125,7 +132,7 @@
     assert d.end(0, 1, "satisfied", b"all of it", came=0.0, tag=b"4be0") == ["satisfy 1 1 b'all of it' False"]
     assert d.ask(allow=0.15) == ["satisfy 1 2 b'all of it' False"]
     assert d.ask(allow=0.15, tag=b"4be0") == ["satisfy 1 3 b'' True"]
-    assert d.hear(("purged", (4, 4, 0.05, "aa"))) == [] and d.reducer.copies == {}
+    assert d.hear(ObjectsPurged(4, 4, 0.05, "aa")) == [] and d.reducer.copies == {}
 
 
 def test_single_use_that_may_have_run_ends_in_error(tmp_path):
@@ -178,7 +185,8 @@
     d = Desk(tmp_path)
     place, d.router.place = d.router.place, lambda query, q: place(query, q) if query else 1 / 0
     told = [
-        ("query", (1, n, b"r%d" % n, b"page", b"aa", b"0", 0, 4, 100.0, 1.0, None, b"", 0.01)) for n in (1, 2)
+        RequestReceived(1, n, b"r%d" % n, b"page", b"aa", b"0", 0, 4, 100.0, 1.0, None, b"", 0.01)
+        for n in (1, 2)
     ]
     said, *done = d.hear(*told)
     assert said.startswith("say decisions {'text': 'ZeroDivisionError: division by zero (<lambda>, line")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -332,7 +332,7 @@
                 )
             await asyncio.sleep(0.01)
             out = [q for q in t.service.reducer.queries.values() if q.out]
-            if not t.service.rounds.events:  # what has ended and is not reduced yet
+            if not t.service.scheduler.events:  # what has ended and is not reduced yet
                 agreed.append(sum(router.fleet.inflight) == len(out) == len(t.service.caches.where))
         await until(lambda: not t.service.reducer.queries)
         return set(agreed), sum(router.fleet.inflight), router.fills, router.queries, t.service.caches.where
