--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -58,8 +58,8 @@
 
 def closed_unanswered():
     """Idle connections are closed by the time of the last call alone, whatever is open on them."""
+    from brookhinge.decisions.rules import CloseReason
     from brookhinge.net.front import Front
-    from brookhinge.rules import CloseReason
 
     real = Front.sweep
 
@@ -93,7 +93,7 @@
 
 def effect_twice():
     """An attempt that broke is taken for one that never ran."""
-    from brookhinge import rules
+    from brookhinge.decisions import rules
 
     no_checks()
     rules.NEVER_RAN = frozenset((*rules.NEVER_RAN, "broken", "errored", "timeout"))
@@ -111,7 +111,8 @@
 
 
 def sent_to_draining():
-    from brookhinge import decide, rules
+    from brookhinge import decide
+    from brookhinge.decisions import rules
 
     no_checks()
     rules.may_send_to = lambda state: state != "gone"
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -15,8 +15,8 @@
 
 from benchmarks import kept
 from brookhinge.decide import Router
+from brookhinge.decisions.settings import Allowed, ColdStart, Place, Supply, Track
 from brookhinge.engine.reducer import Reducer
-from brookhinge.interface import Allowed, ColdStart, Place, Supply, Track
 from brookhinge.standin.model import Model
 from brookhinge.storm.lineage import Lineage
 from brookhinge.storm.plan import Returns
--- a/brookhinge/box/service.py
+++ b/brookhinge/box/service.py
@@ -3,11 +3,11 @@
 import asyncio
 import time
 
-from brookhinge import rules
 from brookhinge.box import judge as j
 from brookhinge.box import wire
 from brookhinge.box.lines import LineServer
 from brookhinge.box.orders import Orders
+from brookhinge.decisions import rules
 from brookhinge.net.caches import Caches
 from brookhinge.store import Copy, DiskTier, Store
 from brookhinge.store.files import Files
--- a/brookhinge/decide.py
+++ b/brookhinge/decide.py
@@ -1,7 +1,7 @@
 """All decisions of brookhinge.
 
 A Router is called once a round, `router.round(now, inbox, writer)`: `inbox` holds the decoded calls (method,
-values) in order of arrival, decisions go straight into `writer` (see brookhinge/interface.py). Times are
+values) in order of arrival, decisions go straight into `writer` (see brookhinge/decisions/settings.py). Times are
 seconds; servers stand under a dense index, `Fleet.ids` (brookhinge/roster.py) keeps their ids.
 
 The ordinary path (`Router.place`) is the Cache Clouds design: beacon rings, load-following sub-ranges,
@@ -19,10 +19,10 @@
 import math
 import random
 
-from brookhinge import rules
 from brookhinge.decision_records import Doc, Query, digest
+from brookhinge.decisions import rules
+from brookhinge.decisions.rules import Ran, Refusal
 from brookhinge.roster import Fleet
-from brookhinge.rules import Ran, Refusal
 
 INTRA_GEN = 1000  # IrH values of a beacon ring
 CYCLE, TELLING = 10.0, 1000  # seconds and queries between settings of the sub-ranges: few move by chance
--- a/brookhinge/engine/invariants.py
+++ b/brookhinge/engine/invariants.py
@@ -2,13 +2,13 @@
 
 The record here is kept from the events themselves, beside what the decisions remember, and is asked about each act just before
 it happens. An act that would break a rule does not happen: it is counted, said in the log, and its query gets an error.
-The rules themselves are those of `brookhinge/rules.py`."""
+The rules themselves are those of `brookhinge/decisions/rules.py`."""
 
 import collections
 import enum
 from typing import NamedTuple
 
-from brookhinge import rules
+from brookhinge.decisions import rules
 
 
 class Invariant(enum.StrEnum):
--- a/brookhinge/engine/reducer.py
+++ b/brookhinge/engine/reducer.py
@@ -14,9 +14,9 @@
 import heapq
 import traceback
 
-from brookhinge import rules
+from brookhinge.decisions import rules
+from brookhinge.decisions.rules import HeldBack, Ran, Refusal, Withdrawal
 from brookhinge.engine.invariants import Attempt, Invariant, Invariants, RuleBroken
-from brookhinge.rules import HeldBack, Ran, Refusal, Withdrawal
 
 OPEN = 32  # queries on one connection, by the protocol
 WAIT_END_S = 0.02  # who waits beside a query is told that nothing came so long before its time is over
--- a/brookhinge/engine/scores.py
+++ b/brookhinge/engine/scores.py
@@ -2,7 +2,7 @@
 
 
 class Scores:
-    """tracks: of interface.py, by number; flow_kb_s: pace of one transfer to a client, 0 where it is not told.
+    """tracks: of decisions/settings.py, by number; flow_kb_s: pace of one transfer to a client, 0 where it is not told.
 
     totals: {figure: (queries, sum)}; worth counts 1 for an answer in its contract time and the track's late share after it."""
 
--- a/brookhinge/net/caches.py
+++ b/brookhinge/net/caches.py
@@ -8,10 +8,10 @@
 
 from tornado.iostream import StreamClosedError
 
+from brookhinge.decisions.rules import UNREAD, CloseReason, HeldBack
 from brookhinge.net import cachewire
 from brookhinge.net.stream import Stream
 from brookhinge.net.timeouts import within
-from brookhinge.rules import UNREAD, CloseReason, HeldBack
 
 PIECE = 64 * 1024
 BUFFER = 4 * 1024 * 1024
--- a/brookhinge/net/front.py
+++ b/brookhinge/net/front.py
@@ -7,14 +7,14 @@
 
 from tornado.iostream import StreamClosedError
 
-from brookhinge import rules
+from brookhinge.decisions import rules
+from brookhinge.decisions.rules import CloseReason, HeldBack
 from brookhinge.engine.invariants import Invariant
 from brookhinge.net import stream, thrift
 from brookhinge.net.arrivals import Arrivals
 from brookhinge.net.calls import read_query
 from brookhinge.net.listener import Listener
 from brookhinge.net.stream import Stream
-from brookhinge.rules import CloseReason, HeldBack
 
 PIECE = 64 * 1024
 WANTED = {b"serve": {1: thrift.MAP, 2: thrift.STRING}, b"forget": {1: thrift.I32}, b"isWell": {}}
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -7,6 +7,7 @@
 import time
 
 from brookhinge.decide import Router
+from brookhinge.decisions.rules import HeldBack
 from brookhinge.engine.commands import read_commands
 from brookhinge.engine.log import Log
 from brookhinge.engine.loop_watch import LoopWatch
@@ -17,7 +18,6 @@
 from brookhinge.net.channel import Channel
 from brookhinge.net.front import LINGER_S, Front
 from brookhinge.net.listener import PAUSE_S, SHORTAGES
-from brookhinge.rules import HeldBack
 
 LEAVE_S = 0.7  # after the word to end, new connections and queries are taken for so long
 LONGEST_S = (
--- a/brookhinge/roster.py
+++ b/brookhinge/roster.py
@@ -1,6 +1,6 @@
 """The table of servers as the command channel last listed them. It decides nothing; no I/O, no clock."""
 
-from brookhinge.rules import event_time, known_event_time
+from brookhinge.decisions.rules import event_time, known_event_time
 
 # Seconds after which nothing sent to a server that is gone can still be in flight: its index may be given to another.
 REUSE_AFTER_S = 30.0
--- a/brookhinge/standin/sharing.py
+++ b/brookhinge/standin/sharing.py
@@ -2,8 +2,8 @@
 decisions and cores; wires and the news of the view are stood in for."""
 
 from brookhinge.decide import Router
+from brookhinge.decisions.settings import Allowed, ColdStart, Place, Supply, Track
 from brookhinge.engine.reducer import Reducer
-from brookhinge.interface import Allowed, ColdStart, Place, Supply, Track
 from brookhinge.limits.limits import Limits
 from brookhinge.limits.shared import Sharing
 from brookhinge.membership.tight import Tight
--- a/brookhinge/startup.py
+++ b/brookhinge/startup.py
@@ -5,8 +5,8 @@
 import math
 from typing import NamedTuple
 
+from brookhinge.decisions.settings import Allowed, ColdStart, Place, Supply, Track
 from brookhinge.engine.commands import read_commands
-from brookhinge.interface import Allowed, ColdStart, Place, Supply, Track
 
 NS = 1e-9
 EFFECTS = {"retryable": "replayable", "dedup": "referenced", "fragile": "single-use"}
--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from brookhinge.client import Client, returns
-from brookhinge.rules import CloseReason
+from brookhinge.decisions.rules import CloseReason
 
 X = "ab" * 8
 
--- a/tests/crossings/test_cold_sum.py
+++ b/tests/crossings/test_cold_sum.py
@@ -5,7 +5,7 @@
 import pytest
 
 from brookhinge.decide import ColdBudget
-from brookhinge.interface import ColdStart
+from brookhinge.decisions.settings import ColdStart
 from tests.helpers import Bench
 
 START = ColdStart(0.2, 10.0, 2.5, 2.0)
--- a/tests/crossings/test_sockets.py
+++ b/tests/crossings/test_sockets.py
@@ -15,10 +15,10 @@
 
 import pytest
 
+from brookhinge.decisions.rules import CloseReason
 from brookhinge.net import caches as net_caches
 from brookhinge.net import front, program
 from brookhinge.net.service import Service
-from brookhinge.rules import CloseReason
 from tests.helpers import Caller, Commands, Desk, configuration, host, listed, read, settings
 from tests.test_service import ROOT, caches, played, until
 
--- a/tests/engine/test_invariants.py
+++ b/tests/engine/test_invariants.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from brookhinge import rules
+from brookhinge.decisions import rules
+from brookhinge.decisions.rules import CloseReason, HeldBack, Ran, Refusal
+from brookhinge.decisions.settings import ColdStart
 from brookhinge.engine.log import Log
 from brookhinge.engine.trace import Trace
-from brookhinge.interface import ColdStart
-from brookhinge.rules import CloseReason, HeldBack, Ran, Refusal
 from tests.helpers import Desk, track
 from tests.test_service import caches, played, until
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,9 +5,9 @@
 import json
 
 from brookhinge.decide import Router
+from brookhinge.decisions.settings import Allowed, ColdStart, Place, Supply, Track
 from brookhinge.engine.commands import read_commands
 from brookhinge.engine.reducer import Reducer
-from brookhinge.interface import Allowed, ColdStart, Place, Supply, Track
 from brookhinge.net import thrift
 from brookhinge.net.service import Service
 from brookhinge.startup import read_site
--- a/tests/limits/test_shared.py
+++ b/tests/limits/test_shared.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brookhinge.interface import ColdStart
+from brookhinge.decisions.settings import ColdStart
 from brookhinge.limits.holder import Holder
 from brookhinge.limits.keeper import Keeper, filled
 from brookhinge.limits.shared import SharedBudget, SharedCrowding
--- a/tests/standstill/test_held_back.py
+++ b/tests/standstill/test_held_back.py
@@ -3,8 +3,8 @@
 import asyncio
 import time
 
+from brookhinge.decisions.rules import HeldBack
 from brookhinge.net import caches as net_caches
-from brookhinge.rules import HeldBack
 from tests.crossings.test_sockets import Raw
 from tests.helpers import host
 from tests.test_service import caches, played, until
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from brookhinge import rules
+from brookhinge.decisions import rules
 from tests.helpers import Bench, Desk, configuration
 
 HOUR_S = 3600.0
--- a/tests/test_policy_imports.py
+++ b/tests/test_policy_imports.py
@@ -11,12 +11,13 @@
 ROOT = Path(__file__).parents[1]
 STANDARD = {"enum", "hashlib", "math", "random", "typing"}
 DECISIONS = {
-    "brookhinge.decide": {"brookhinge.decision_records", "brookhinge.roster", "brookhinge.rules"},
-    "brookhinge.rules": set(),
-    "brookhinge.roster": {"brookhinge.rules"},
+    "brookhinge.decide": {"brookhinge.decision_records", "brookhinge.roster", "brookhinge.decisions.rules"},
+    "brookhinge.decisions.rules": set(),
+    "brookhinge.roster": {"brookhinge.decisions.rules"},
     "brookhinge.decision_records": set(),
-    "brookhinge.interface": set(),
+    "brookhinge.decisions.settings": set(),
 }
+PACKAGES = {"brookhinge", "brookhinge.decisions"}  # a name imported from one of these is a module of it
 REACHING_OUT = {"open", "print", "input", "exec", "eval", "compile", "__import__", "globals"}
 
 
@@ -31,8 +32,8 @@
             yield from (alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
             assert not node.level, "a relative import"
-            if node.module == "brookhinge":
-                yield from (f"brookhinge.{alias.name}" for alias in node.names)
+            if node.module in PACKAGES:
+                yield from (f"{node.module}.{alias.name}" for alias in node.names)
             else:
                 yield node.module
 
