--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -68,7 +68,7 @@
     return {
         "service": fleet.worth(CALM, CALM + SPAN),
         "used": used(fleet, CALM, CALM + SPAN),
-        "peak": max(box.peak for box in fleet.boxes.values()) / COLD.multiple,
+        "peak": max(box.peak for box in fleet.boxes.values()) / COLD.overload_multiple,
         "fallen": sum(box.fallen for box in fleet.boxes.values()),
         "datagrams_s": fleet.datagrams / len(fleet.routers) / fleet.now,
     }
--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -133,7 +133,7 @@
     from brookhinge.decide import Router
 
     no_checks()
-    Router.purged = lambda self, group, age, key: None
+    Router.on_purge = lambda self, purge: None
 
 
 def aged_copy():
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -15,18 +15,56 @@
 
 from benchmarks import kept
 from brookhinge.decide import Router
-from brookhinge.decisions.settings import Allowed, ColdStart, Place, Supply, Track
+from brookhinge.decisions.settings import (
+    DeduplicationScope,
+    FillPolicy,
+    Idempotency,
+    Location,
+    NoteDetail,
+    RequestClass,
+    RouterLimits,
+    SiblingFills,
+    SlowStart,
+)
 from brookhinge.engine.reducer import Reducer
 from brookhinge.standin.model import Model
 from brookhinge.storm.lineage import Lineage
 from brookhinge.storm.plan import Returns
 
 ROUTERS, BOXES, CORES, WORK, OBJECTS = 3, 6, 4, 0.1, 400
-COLD = ColdStart(0.3, 6.0, 3.0, 1.0)
+COLD = SlowStart(0.3, 6.0, 3.0, 1.0)
 CONTRACT_S, PATIENCE_S, LONGEST_HINT_S = 0.5, 3.0, 2.0
 TRACKS = (
-    Track("docs", "replayable", "all", 0.0, CONTRACT_S, 0.0, PATIENCE_S, 2.0, 0.2, 0.0, 0.0, 0.0, False),
-    Track("pages", "replayable", "all", 0.0, CONTRACT_S, 0.0, PATIENCE_S, 1.0, 0.2, 0.0, 0.0, 0.0, False),
+    RequestClass(
+        "docs",
+        Idempotency.REPEATABLE,
+        DeduplicationScope.ALL,
+        0.0,
+        CONTRACT_S,
+        0.0,
+        PATIENCE_S,
+        2.0,
+        0.2,
+        0.0,
+        0.0,
+        0.0,
+        False,
+    ),
+    RequestClass(
+        "pages",
+        Idempotency.REPEATABLE,
+        DeduplicationScope.ALL,
+        0.0,
+        CONTRACT_S,
+        0.0,
+        PATIENCE_S,
+        1.0,
+        0.2,
+        0.0,
+        0.0,
+        0.0,
+        False,
+    ),
 )
 
 
@@ -77,14 +115,14 @@
         returns = Returns(LONGEST_HINT_S) if self.storm else None
         router = Router(
             seed + number,
-            tracks=TRACKS,
-            place=Place(1, ROUTERS, ROUTERS, number, True),
-            allowed=Allowed(4, False, True, LONGEST_HINT_S),
-            supply=Supply("any", False, True, "all", 1000.0, 0.0),
-            cold_cache=COLD,
-            cold_parent=ColdStart(1.0, 0.0, 0.0, 1.0),
-            purge_gone_s=6.0,
-            kinds=("parent", "origin"),
+            request_classes=TRACKS,
+            location=Location(1, ROUTERS, ROUTERS, number, True),
+            limits=RouterLimits(4, False, True, LONGEST_HINT_S),
+            fill_policy=FillPolicy(SiblingFills.ANY, False, True, NoteDetail.ALL, 1000.0, 0.0),
+            cache_slow_start=COLD,
+            parent_slow_start=SlowStart(1.0, 0.0, 0.0, 1.0),
+            purge_settled_s=6.0,
+            server_kinds=("parent", "origin"),
             reports=[],
             returns=returns,
         )
--- a/brookhinge/decide.py
+++ b/brookhinge/decide.py
@@ -1,7 +1,7 @@
 """All decisions of brookhinge.
 
-A Router is called once a round, `router.round(now, inbox, writer)`: `inbox` holds the decoded calls (method,
-values) in order of arrival, decisions go straight into `writer` (see brookhinge/decisions/settings.py). Times are
+A Router is called once a round, `router.process(now, messages, sink)`: `messages` (brookhinge/decisions/messages.py) in order
+of arrival, decisions go straight into `sink` (brookhinge/decisions/sink.py). Times are
 seconds; servers stand under a dense index, `Fleet.ids` (brookhinge/roster.py) keeps their ids.
 
 The ordinary path (`Router.place`) is the Cache Clouds design: beacon rings, load-following sub-ranges,
@@ -21,7 +21,17 @@
 
 from brookhinge.decision_records import Doc, Query, digest
 from brookhinge.decisions import rules
-from brookhinge.decisions.rules import Ran, Refusal
+from brookhinge.decisions.messages import (
+    AttemptEnded,
+    EndpointsListed,
+    ObjectsPurged,
+    RequestArrived,
+    RequestWithdrawn,
+    RouterCountChanged,
+)
+from brookhinge.decisions.rules import AttemptResult, Ran, Refusal
+from brookhinge.decisions.settings import Idempotency, NoteDetail, SiblingFills
+from brookhinge.decisions.sink import Attempt, Retention
 from brookhinge.roster import Fleet
 
 INTRA_GEN = 1000  # IrH values of a beacon ring
@@ -87,7 +97,7 @@
         self.risked = {}  # of each server: work times chance of going, by piece of a window
 
     def cold(self, now, born):
-        return born is not None and now - born < self.start.warm_s
+        return born is not None and now - born < self.start.warm_up_s
 
     def part(self, c, born):
         return 1.0 / self.routers
@@ -95,11 +105,13 @@
     def can(self, now, born, power, behind=0.0):
         """Transfers at once that a cold server does, as it was so many seconds ago."""
         age = max(0.0, now - born - behind)
-        return (self.start.share + (1.0 - self.start.share) * min(1.0, age / self.start.warm_s)) * power
+        return (
+            self.start.initial_share + (1.0 - self.start.initial_share) * min(1.0, age / self.start.warm_up_s)
+        ) * power
 
     def room(self, can):
         """Seconds of sending in a window at which a cold server that does so much falls, before what chance adds."""
-        return self.start.multiple * can * self.start.window_s
+        return self.start.overload_multiple * can * self.start.window_s
 
     def bears(self, now, born, power, lump):
         """Seconds of sending that all routers together may send to a cold server, in a second and in a window."""
@@ -114,7 +126,7 @@
     def take(self, c, now, born, power, work, lump, chance, spare=0.0):
         """Whether work may go to c now; spends it if so. power: transfers at once that c does when warm;
         spare: the part of what may be saved left to others; under 0: who was told to come may borrow."""
-        if self.start.multiple <= 0 or not self.cold(now, born):
+        if self.start.overload_multiple <= 0 or not self.cold(now, born):
             return True
         rate, window = (self.part(c, born) * whole for whole in self.bears(now, born, power, lump))
         most, owed = 4.0 * rate * self.start.window_s, self.owed.get(c, 0.0)
@@ -264,18 +276,18 @@
         memory_mb, _, self.flow, self.link = machine or (0.0, 0, 0.0, 0.0)  # no link, no copies
         self.room, self.held, self.size, self.free_at = memory_mb * OWN * 1e6, {}, 0, 0.0
 
-    def keep(self, name, doc, made, size, query, writer):
+    def keep(self, name, doc, made, size, query, sink):
         """Those used last stay."""
-        self.drop([name], writer)
+        self.drop([name], sink)
         self.held[name], self.size = (doc, made, size), self.size + size
-        writer.keep(query, name)
+        sink.keep_copy(query, name)
         while self.size > self.room:
-            self.drop([next(iter(self.held))], writer)
+            self.drop([next(iter(self.held))], sink)
 
-    def drop(self, names, writer):
+    def drop(self, names, sink):
         for name in self.held.keys() & names:
             self.size -= self.held.pop(name)[2]
-            writer.drop(name)
+            sink.drop_copy(name)
 
     def sends(self, name, now, age, left):
         """Whether a copy not older than that is sent in the time left; its place on the link is taken."""
@@ -293,47 +305,74 @@
     def __init__(
         self,
         seed,
-        tracks,
-        place,
-        allowed,
-        supply,
-        cold_cache,
-        cold_parent,
-        purge_gone_s,
-        kinds,
+        request_classes,
+        location,
+        limits,
+        fill_policy,
+        cache_slow_start,
+        parent_slow_start,
+        purge_settled_s,
+        server_kinds,
         reports,
         machine=None,
         returns=None,
     ):
         self.chance, self.returns, self.way = random.Random(seed), returns, Way()
-        self.tracks, self.allowed, self.supply, self.purge_gone_s = tracks, allowed, supply, purge_gone_s
-        self.fleet, self.rings = Fleet(kinds, place.zone), Rings()
+        self.request_classes, self.limits, self.fill_policy = request_classes, limits, fill_policy
+        self.purge_settled_s = purge_settled_s
+        self.fleet, self.rings = Fleet(server_kinds, location.zone), Rings()
         self.cold = {
-            "cache": ColdBudget(cold_cache, place.routers_here),
-            "parent": ColdBudget(cold_parent, place.routers),
+            "cache": ColdBudget(cache_slow_start, location.routers_here),
+            "parent": ColdBudget(parent_slow_start, location.routers),
         }
-        self.health, self.sources, self.crowding = Health(), Health(), Crowding(place.routers_here)
+        self.health, self.sources, self.crowding = Health(), Health(), Crowding(location.routers_here)
         self.docs, self.queries, self.groups, self.copies = {}, {}, {}, Copies(machine)
         self.most = min(MOST_DOCS, int(DOCS_IN_MB * machine.memory_mb)) if machine else MOST_DOCS
-        self.sending, self.known = [t.contract_s or 0.1 for t in tracks], [GUESS] * len(tracks)  # mean times
-        self.takes, self.fill_worth = [0.0] * len(tracks), [1.0] * len(tracks)  # of answers now; of fills
+        self.sending, self.known = (
+            [t.latency_objective_s or 0.1 for t in request_classes],
+            [GUESS] * len(request_classes),
+        )  # mean times
+        self.takes, self.fill_worth = (
+            [0.0] * len(request_classes),
+            [1.0] * len(request_classes),
+        )  # of answers now; of fills
         self.mean, self.mean_at, self.fills, self.heard_at, self.load = 0.0, 0.0, 0, {}, {}
         parts = (self.health, self.sources, self.crowding, *self.cold.values())
         self.figures = [d for p in parts for d in vars(p).values() if isinstance(d, dict)] + [self.heard_at]
-        self.told, self.among = place.weights_told, place.routers_here
+        self.told, self.among = location.weights_known, location.routers_here
         self.retries, self.asked_at, self.next_cycle, self.counted = 1.0, 0.0, CYCLE, 0
         self.knows_all = True  # False: a purge may have been told that is not known here yet
 
-    def round(self, now, inbox, writer):
-        self.now, self.writer = now, writer
-        for method, values in inbox:
-            getattr(self, method)(*values)
+    def process(self, now, messages, sink):
+        """One round: handles the messages in order."""
+        self.now = now
+        self.sink = sink
+        for message in messages:
+            self.handle(message)
         if now >= self.next_cycle and self.counted >= TELLING:
             self.cycle()
 
-    def roster(self, kind, rows):
+    def handle(self, message):
+        """Handles one message."""
+        match message:
+            case RequestArrived():
+                self.on_request(message)
+            case AttemptEnded():
+                self.on_attempt_ended(message)
+            case RequestWithdrawn():
+                self.on_withdrawn(message)
+            case EndpointsListed():
+                self.on_endpoints(message)
+            case ObjectsPurged():
+                self.on_purge(message)
+            case RouterCountChanged():
+                self.on_router_count(message)
+            case _:
+                raise TypeError(f"message: expected one that this router takes, got {type(message).__name__}")
+
+    def on_endpoints(self, listed):
         own = self.fleet.own
-        self.fleet.update(self.now, kind, rows)
+        self.fleet.update(self.now, listed.is_complete, listed.endpoints)
         for c, at in enumerate(self.fleet.forgot_at):
             if at == self.now and self.fleet.role[c] in self.cold:
                 self.cold[self.fleet.role[c]].at[c], self.cold[self.fleet.role[c]].credit[c] = at, 0.0
@@ -343,8 +382,8 @@
         if self.fleet.own != own or not self.rings.rings:
             self.rings.seat(self.fleet.own)
 
-    def query(self, query, track, key, part, group, size_kb, retry, write, left, since=0.0, who=None):
-        """since: seconds since the first try, of which this is a retry; who: whom a place may be told."""
+    def on_request(self, request):
+        query, track, key, part, group, size_kb, write, left, since, who = request
         doc = self.docs.get((key, part))
         if doc is None:
             if len(self.docs) >= self.most:
@@ -354,25 +393,30 @@
         doc.count, doc.asked, self.counted = doc.count + fresh, doc.asked + fresh, self.counted + fresh
         if self.rings.rings:
             self.rings.rings[doc.code % len(self.rings.rings)][2][doc.code % INTRA_GEN] += fresh
-        q = self.queries[query] = Query(track, doc, self.now, left, write or self.tracks[track].through)
-        q.expect = size_kb / self.supply.flow_kb_s if size_kb and self.supply.flow_kb_s else 0.0
+        q = self.queries[query] = Query(
+            track, doc, self.now, left, write or self.request_classes[track].uncacheable
+        )
+        q.expect = (
+            size_kb / self.fill_policy.transfer_kb_s if size_kb and self.fill_policy.transfer_kb_s else 0.0
+        )
         self.average(track, q.expect)
-        q.who, t = who, self.tracks[track]
-        need = self.takes[track] - t.stretch * (q.expect or self.sending[track])
-        q.worth = t.late_share if since > max(0.0, t.contract_s - need) else 1.0
+        q.who, t = who, self.request_classes[track]
+        need = self.takes[track] - t.objective_stretch * (q.expect or self.sending[track])
+        q.worth = t.late_share if since > max(0.0, t.latency_objective_s - need) else 1.0
         self.retries = min(20.0, 0.05 * fresh + self.retries * math.exp((self.asked_at - self.now) / LOOK))
         self.asked_at = self.now
         if self.returns is not None and who is not None:
             wait, q.invited = self.returns.arrives(self.now, who, (track, key, part))
             if wait:  # early: the same place again
                 del self.queries[query]
-                return self.writer.nack(query, wait, Refusal.EARLY)
+                return self.sink.reject(query, wait, Refusal.EARLY)
             q.worth = 1.0 if q.invited else q.worth  # what was promised holds
             if fresh:
                 self.returns.newcomer(self.now, self.sending[track])
         self.place(query, q)
 
-    def ended(self, query, push, server, result, took, over, note, waited, load, copy=None):
+    def on_attempt_ended(self, end):
+        query, server, result, took, over, note, waited, copy = end
         q, c = self.queries.get(query), self.fleet.index.get(server)
         due = self.way.due.pop(query, None)
         if c is not None:
@@ -380,41 +424,42 @@
         if q is None or c is None:
             return
         self.fills -= q.filling
-        late = result in ("timeout", "cancelled") and due is not None and due < self.now  # not the hurried
-        if due is not None and (late or note in (3, 6, 10) or note == 7 and result != "full"):
-            self.way.count(self.now, result == "satisfied" and due >= self.now)
-        if result != "unsent":
+        late = (
+            result in (AttemptResult.TIMEOUT, AttemptResult.CANCELLED) and due is not None and due < self.now
+        )  # not the hurried
+        if due is not None and (late or note in (3, 6, 10) or note == 7 and result != AttemptResult.FULL):
+            self.way.count(self.now, result == AttemptResult.SATISFIED and due >= self.now)
+        if result != AttemptResult.UNSENT:
             self.learn(q, c, result, took, note, waited)
-        if q.invited and result == "satisfied":
+        if q.invited and result == AttemptResult.SATISFIED:
             self.returns.counts["served"] += 1
-        if copy and self.tracks[q.track].effect == "replayable" and not q.through:
-            oldest = self.oldest(q.doc, self.tracks[q.track], True) or math.inf
+        if copy and self.request_classes[q.track].idempotency is Idempotency.REPEATABLE and not q.through:
+            oldest = self.oldest(q.doc, self.request_classes[q.track], True) or math.inf
             if (
-                self.now - copy[0] < oldest and copy[0] > q.doc.purged_at
+                self.now - copy.made_at < oldest and copy.made_at > q.doc.purged_at
             ):  # it may come after a purge is heeded
-                self.copies.keep((q.track, q.doc.code), q.doc, *copy, query, self.writer)
+                self.copies.keep((q.track, q.doc.code), q.doc, *copy, query, self.sink)
         if over or q.ended:
             del self.queries[query]
             return
         # Its connection came up late: drains, purges, cold budgets and windows may have changed meanwhile;
         # nothing ran, so all is decided anew.
-        if result == "unsent":
+        if result == AttemptResult.UNSENT:
             q.shots -= 1
             return self.place(query, q)
         if result not in rules.NEVER_RAN and q.ran is None:
             q.ran = Ran(self.fleet.zone[c], self.fleet.cell[c], q.sent_at)
         self.again(query, q, result)
 
-    def left(self, query):
-        if query in self.queries:
-            self.queries[query].ended = True
+    def on_withdrawn(self, withdrawn):
+        if withdrawn.request_id in self.queries:
+            self.queries[withdrawn.request_id].ended = True
 
-    started = rang = probed = lambda self, *values: None  # never asked for: changes nothing
-
-    def purged(self, group, age, key):
+    def on_purge(self, purge):
         """Keeps the moment of the purge and forgets what held the objects."""
+        group, age, key = purge
         moment, name = self.now - age, key or group
-        self.groups = {g: at for g, at in self.groups.items() if self.now - at <= self.purge_gone_s + 2.0}
+        self.groups = {g: at for g, at in self.groups.items() if self.now - at <= self.purge_settled_s + 2.0}
         self.groups[name] = max(moment, self.groups.get(name, -1e9))
         for doc in {*self.docs.values(), *(q.doc for q in self.queries.values())}:
             if doc.is_hit_by(key, group):
@@ -422,15 +467,15 @@
                 doc.purges += 1
                 doc.holders.clear()
         hit = [name for name, (doc, _, _) in self.copies.held.items() if doc.is_hit_by(key, group)]
-        self.copies.drop(hit, self.writer)
+        self.copies.drop(hit, self.sink)
 
     def place(self, query, q):
         """One push for a query, or its final answer."""
-        now, fleet, doc, track = self.now, self.fleet, q.doc, self.tracks[q.track]
+        now, fleet, doc, track = self.now, self.fleet, q.doc, self.request_classes[q.track]
         left = q.until - now
         if left <= 0.002:
             return self.refuse(query, q, Refusal.NO_TIME)
-        if q.shots >= self.allowed.pushes:
+        if q.shots >= self.limits.max_attempts:
             return self.refuse(query, q, Refusal.ATTEMPTS_USED)
         if left < q.expect + HURRY and self.own(query, q):
             return
@@ -463,7 +508,7 @@
             extra = next((c for c in own[at + 1 :] + own[:at] if c not in holders), None)
             if (
                 extra is not None
-                and self.supply.siblings != "none"
+                and self.fill_policy.siblings is not SiblingFills.NONE
                 and self.open_to(extra, q)
                 and not self.cold["cache"].cold(now, fleet.cold_from[target])
                 and self.room_at(extra, part)
@@ -502,7 +547,7 @@
                 if track.stale_s <= 0 or q.look:
                     return self.refuse(query, q, Refusal.ORIGIN_FAILING)
                 source, q.look = None, True
-        rank = 0 if q.through else 2 if doc.count >= 2 else 1
+        rank = Retention.NONE if q.through else Retention.IN_DEMAND if doc.count >= 2 else Retention.NORMAL
         ageing = self.fill_worth[q.track] < track.stale_share  # an old copy earns more than a fill now
         age = self.oldest(doc, track, ageing or q.look)
         self.send(query, q, target, target if source is None else source, rank, age, track.fresh_s > 0, left)
@@ -511,39 +556,47 @@
         """Times the push out so that another still fits, and writes it."""
         q.shots, q.server, q.source, q.sent_at, q.rank = q.shots + 1, target, source, self.now, rank
         need = 6.0 * max(q.doc.best, q.expect)  # what the object takes, with room; 0: not known
-        more = q.shots < self.allowed.pushes and q.shots < 3 and 0.0 < need + 0.3 < 0.6 * left
+        more = q.shots < self.limits.max_attempts and q.shots < 3 and 0.0 < need + 0.3 < 0.6 * left
         until = self.now + (left * 0.6 if more and need else left - 0.001)
         self.fleet.inflight[target] += 1
         q.filling = source != target and not q.sibling and not q.held
         self.fills += q.filling
-        if q.filling and not q.local and self.supply.tells == "all":
+        if q.filling and not q.local and self.fill_policy.notes == "all":
             self.way.due[query] = self.now + self.wanted(q)
         for tier, c in ((self.health, target), (self.sources, source)):
             if c in tier.rest_until:
                 tier.trial_at[c] = self.now
-        ids, joins = self.fleet.ids, self.supply.joins
-        self.writer.push(
-            query, ids[target], until, ids[source], rank, age, joins, q.sibling or q.local, renew
-        )
+        ids = self.fleet.ids
+        joins = self.fill_policy.joins_fills
+        attempt = Attempt(ids[target], until, ids[source], rank, age, joins, q.sibling or q.local, renew)
+        self.sink.forward(query, attempt)
 
     def again(self, query, q, result):
         """After a push that did not answer: another, or the final answer. No effect twice."""
-        if q.sibling and result in ("full", "miss"):  # a failed sibling fill retries home
+        if q.sibling and result in (
+            AttemptResult.FULL,
+            AttemptResult.MISS,
+        ):  # a failed sibling fill retries home
             q.doc.holders.pop(q.source, None)
             return self.place(query, q)
-        if result == "miss" and q.local:
+        if result == AttemptResult.MISS and q.local:
             q.lacks = True
             return self.place(query, q)
-        if result == "miss" and q.source == q.server:  # looked for
+        if result == AttemptResult.MISS and q.source == q.server:  # looked for
             q.missed = True
             return self.refuse(query, q, Refusal.NOT_HELD) if q.look else self.place(query, q)
-        if result in ("full", "miss") or result == "errored" and q.filling and not q.bad_sources:
+        if (
+            result in (AttemptResult.FULL, AttemptResult.MISS)
+            or result == AttemptResult.ERRORED
+            and q.filling
+            and not q.bad_sources
+        ):
             q.bad_sources.add(q.source)
         if q.source not in q.bad_sources or q.source == q.server or q.held:
             q.bad.add(q.server)
-        once = q.ran is not None and self.tracks[q.track].effect == "single-use"
+        once = q.ran is not None and self.request_classes[q.track].idempotency is Idempotency.ONCE
         if once or not self.pays():  # no budget to fill it from elsewhere: an ageing copy is looked for
-            if once or q.look or q.source == q.server or self.tracks[q.track].stale_s <= 0:
+            if once or q.look or q.source == q.server or self.request_classes[q.track].stale_s <= 0:
                 return self.refuse(query, q, Refusal.MAY_HAVE_RUN if once else Refusal.RETRY_BUDGET)
             q.look = True
         self.place(query, q)
@@ -557,18 +610,20 @@
         """The final answer, at once; a nack only where a repeat can do no harm."""
         if self.own(query, q):
             return
-        if rules.may_invite_repeat(self.tracks[q.track], q.ran):
-            self.writer.nack(query, self.return_in(q), reason)
+        if rules.may_invite_repeat(self.request_classes[q.track], q.ran):
+            self.sink.reject(query, self.return_in(q), reason)
         else:
-            self.writer.error(query, reason)
+            self.sink.fail(query, reason)
         del self.queries[query]
 
     def return_in(self, q):
         """Seconds after which to come back: a place in the plan of returns, where one can be told."""
         if self.returns is None or q.who is None:
-            return min(self.allowed.max_retry_after_s, 0.1 + 0.15 * self.chance.random())
+            return min(self.limits.max_retry_after_s, 0.1 + 0.15 * self.chance.random())
         name, work = (q.track, q.doc.key, q.doc.part), self.sending[q.track]
-        worth = 0.5 + 0.5 * self.tracks[q.track].utility / max(t.utility for t in self.tracks)
+        worth = 0.5 + 0.5 * self.request_classes[q.track].utility / max(
+            t.utility for t in self.request_classes
+        )
         return self.returns.place(self.now, q.who, name, work, worth, self.can_take)
 
     def can_take(self, at):
@@ -576,32 +631,41 @@
         cold, total, lump = self.cold["cache"], 0.0, max(self.sending)
         for c in self.fleet.own:
             born, limit = self.fleet.cold_from[c], self.crowding.limit.get(c, Crowding.FIRST / 4)
-            if cold.start.multiple > 0 and cold.cold(at, born):
+            if cold.start.overload_multiple > 0 and cold.cold(at, born):
                 limit = min(limit, cold.whole(at, born, self.power(c), lump) * cold.part(c, born))
             total += limit
         return total
 
     def own(self, query, q):
         """Answers from memory, if a copy there will do and comes in time."""
-        track, name = self.tracks[q.track], (q.track, q.doc.code)
-        left = min(q.until - self.now, track.contract_s + q.expect) - 0.02
+        track, name = self.request_classes[q.track], (q.track, q.doc.code)
+        left = min(q.until - self.now, track.latency_objective_s + q.expect) - 0.02
         if not self.knows_all:
             return False
         if not self.copies.sends(name, self.now, self.oldest(q.doc, track, True), left):
             return False
-        self.writer.own(query, name)
+        self.sink.respond_from_copy(query, name)
         del self.queries[query]
         return True
 
     def pass_by(self, query, q, track):
         """No cache here can take it: straight to a parent or the origin where allowed, else a nack."""
-        if not self.supply.direct or self.fleet.own and not self.pays():
+        if not self.fill_policy.allows_direct or self.fleet.own and not self.pays():
             return self.refuse(query, q, Refusal.NO_SERVER)
         source = self.parent(q, self.sending[q.track])
         if source is None or self.fleet.inflight[source] > 16 or not self.may_repeat(q, source):
             return self.refuse(query, q, Refusal.NO_SERVER)
         q.sibling = q.held = q.local = False
-        self.send(query, q, source, source, 0, self.oldest(q.doc, track, False), False, q.until - self.now)
+        self.send(
+            query,
+            q,
+            source,
+            source,
+            Retention.NONE,
+            self.oldest(q.doc, track, False),
+            False,
+            q.until - self.now,
+        )
 
     def holders(self, doc):
         """Caches remembered serving a kept copy; forgotten on a restart, a drain, a miss or a purge."""
@@ -641,13 +705,19 @@
         )
 
     def may_repeat(self, q, c):
-        return rules.may_repeat(self.tracks[q.track], q.ran, self.fleet.zone[c], self.fleet.cell[c], self.now)
+        return rules.may_repeat(
+            self.request_classes[q.track], q.ran, self.fleet.zone[c], self.fleet.cell[c], self.now
+        )
 
     def slow_start_bound(self, server, now):
         """(work in seconds of sending that all routers may send a cold server in a window, the window), or None."""
         c = self.fleet.index.get(server)
         budget = self.cold.get(self.fleet.role[c]) if c is not None else None
-        if budget is None or budget.start.multiple <= 0 or not budget.cold(now, self.fleet.cold_from[c]):
+        if (
+            budget is None
+            or budget.start.overload_multiple <= 0
+            or not budget.cold(now, self.fleet.cold_from[c])
+        ):
             return None
         mean = sum(self.sending) / len(self.sending)
         calls = budget.room(budget.can(now, self.fleet.cold_from[c], self.power(c))) / mean
@@ -694,23 +764,23 @@
     def fair_part(self, q):
         """The part of a limit open to a query: the less utility for its sending time, the smaller. Above its
         track's mean size counts for less: the largest objects must not starve while small ones are served."""
-        usual, mean = sum(t.utility for t in self.tracks) / sum(self.sending), self.sending[q.track]
+        usual, mean = sum(t.utility for t in self.request_classes) / sum(self.sending), self.sending[q.track]
         size = (q.expect or q.doc.best or mean) / mean
-        density = q.worth * self.tracks[q.track].utility / mean / min(size, size**self.BY_SIZE)
+        density = q.worth * self.request_classes[q.track].utility / mean / min(size, size**self.BY_SIZE)
         return 1.0 if q.invited else max(0.2, 0.85 * (density / usual) ** 0.5)
 
     def oldest(self, doc, track, ageing):
         """Oldest copy that will do; shuts out those from before a known purge until they are gone."""
         age = track.fresh_s + (track.stale_s if ageing else 0.0) if track.fresh_s > 0 else 0.0
         purged = max(doc.purged_at, self.groups.get(doc.group, -1e9), self.groups.get(doc.key, -1e9))
-        if self.now - purged < self.purge_gone_s + 1.0:
+        if self.now - purged < self.purge_settled_s + 1.0:
             age = min(age or math.inf, max(1e-6, self.now - purged - 0.001))
         return age
 
     def learn(self, q, c, result, took, note, waited):
         fleet, doc, now, lags = self.fleet, q.doc, self.now, False
-        track, tells = self.tracks[q.track], self.supply.tells
-        if result == "satisfied":
+        track, tells = self.request_classes[q.track], self.fill_policy.notes
+        if result == AttemptResult.SATISFIED:
             if q.rank and fleet.forgot_at[c] < q.sent_at >= max(doc.purged_at, self.groups.get(doc.group, 0)):
                 doc.holders.pop(c, None)
                 doc.holders[c] = now
@@ -719,22 +789,28 @@
             self.carried(c, self.sending[q.track])  # not what was sent: in a jam the last warm get it all
             if q.filling and note != 1:  # where nothing is told most are hits
                 self.carried(
-                    q.source, self.sending[q.track] * (0.25 if tells == "none" and not q.missed else 1.0)
+                    q.source,
+                    self.sending[q.track] * (0.25 if tells == NoteDetail.NONE and not q.missed else 1.0),
                 )
             if not q.expect:
                 self.average(q.track, min(took, 3.0))
-            if note == 1 or tells == "none" or doc.best == 0.0:
+            if note == 1 or tells == NoteDetail.NONE or doc.best == 0.0:
                 doc.best = min(doc.best or took, took)
-        if result in ("satisfied", "timeout"):
-            shortest = q.expect or doc.best or (self.sending[q.track] if result == "timeout" else 0.0)
-            if shortest and (doc.count >= 2 or q.expect or result == "timeout"):
+        if result in (AttemptResult.SATISFIED, AttemptResult.TIMEOUT):
+            shortest = (
+                q.expect or doc.best or (self.sending[q.track] if result == AttemptResult.TIMEOUT else 0.0)
+            )
+            if shortest and (doc.count >= 2 or q.expect or result == AttemptResult.TIMEOUT):
                 ratio = min(1.0, max(shortest, doc.best) / max(took, 1e-6))
-                if note < 2 and (tells == "none" or not q.filling or note == 1):
+                if note < 2 and (tells == NoteDetail.NONE or not q.filling or note == 1):
                     self.crowding.timed(c, now, shortest, took - shortest)
                 if q.filling and (
-                    note > 1 or tells == "none" or result == "timeout" and (tells == "hit" or q.local)
+                    note > 1
+                    or tells == NoteDetail.NONE
+                    or result == AttemptResult.TIMEOUT
+                    and (tells == NoteDetail.HIT or q.local)
                 ):
-                    slack = track.contract_s + (track.stretch - 1.0) * shortest
+                    slack = track.latency_objective_s + (track.objective_stretch - 1.0) * shortest
                     self.crowding.timed(INLET, now, slack, took - waited - shortest)
                     self.crowding.timed(q.source, now, slack, took - shortest)
                 if q.filling:
@@ -742,40 +818,61 @@
                 elif q.held and note < 2:
                     self.crowding.answered(c, now, ratio, fleet.inflight[c])
                     lags = ratio < 0.5 and self.crowding.lags(c, now, fleet.own, 1.0)
-        elif result == "miss":
+        elif result == AttemptResult.MISS:
             doc.holders.pop(c, None)
-        if q.filling and result == "full":  # turned away on the way in: as crowded as it gets
+        if q.filling and result == AttemptResult.FULL:  # turned away on the way in: as crowded as it gets
             self.crowding.answered(INLET, now, 0.0, self.fills)
-        if q.filling and note != 1 and result in ("satisfied", "timeout", "full", "errored"):
-            worth = 0.0 if result != "satisfied" else 1.0 if took <= self.wanted(q) else track.late_share
+        if (
+            q.filling
+            and note != 1
+            and result
+            in (AttemptResult.SATISFIED, AttemptResult.TIMEOUT, AttemptResult.FULL, AttemptResult.ERRORED)
+        ):
+            worth = (
+                0.0
+                if result != AttemptResult.SATISFIED
+                else 1.0
+                if took <= self.wanted(q)
+                else track.late_share
+            )
             self.fill_worth[q.track] += 0.05 * (worth - self.fill_worth[q.track])
         # A failed fill speaks against cache and source alike unless notes tell which: the one at fault soon
         # stands out among its peers. A time-out counts only while nothing is answered: no crowd.
-        good, source = result == "satisfied" and not lags, c if fleet.role[c] == "parent" else q.source
+        good, source = (
+            result == AttemptResult.SATISFIED and not lags,
+            c if fleet.role[c] == "parent" else q.source,
+        )
         filled = q.filling and note != 1
-        if result == "satisfied":
+        if result == AttemptResult.SATISFIED:
             self.heard_at[c] = self.heard_at[source if filled else c] = now
-        silent = result == "timeout" and now - self.heard_at.get(c, -1e9) > 1.0
-        dumb = result == "timeout" and filled and now - self.heard_at.get(source, -1e9) > 1.0
+        silent = result == AttemptResult.TIMEOUT and now - self.heard_at.get(c, -1e9) > 1.0
+        dumb = result == AttemptResult.TIMEOUT and filled and now - self.heard_at.get(source, -1e9) > 1.0
         failed = (
             lags
             or silent
             or dumb
-            or result == "full"
+            or result == AttemptResult.FULL
             and filled
-            or result in ("errored", "unreachable", "broken")
+            or result in (AttemptResult.ERRORED, AttemptResult.UNREACHABLE, AttemptResult.BROKEN)
         )
         slow = (
             filled
-            and result != "miss"
+            and result != AttemptResult.MISS
             and fleet.role[source] == "parent"
             and self.crowding.lags(source, now, fleet.parents, least=2.0)
         )
-        told, shared = tells == "all", filled and result in ("errored", "full")
+        told, shared = (
+            tells == NoteDetail.ALL,
+            filled and result in (AttemptResult.ERRORED, AttemptResult.FULL),
+        )
         own = (
             fleet.role[c] == "cache"
             and (good or failed)
-            and not (failed and not silent and (dumb or result == "full" or told and note in (6, 7, 10)))
+            and not (
+                failed
+                and not silent
+                and (dumb or result == AttemptResult.FULL or told and note in (6, 7, 10))
+            )
         )
         far = (
             fleet.role[source] == "parent"
@@ -785,9 +882,9 @@
         )
         share = 0.5 if shared and not told else 1.0
         if own and self.health.judge(c, now, failed, share, fleet.own):
-            self.writer.say(f"resting cache {fleet.ids[c]}: {result}")
+            self.sink.log(f"resting cache {fleet.ids[c]}: {result}")
         if far and self.sources.judge(source, now, failed or slow, share, fleet.parents):
-            self.writer.say(f"resting parent {fleet.ids[source]}: {result}")
+            self.sink.log(f"resting parent {fleet.ids[source]}: {result}")
 
     def average(self, track, took):
         self.known[track] += took > 0.0
@@ -795,12 +892,16 @@
 
     def wanted(self, q):
         """Seconds from a push within which its answer earns all."""
-        track = self.tracks[q.track]
-        return track.contract_s + track.stretch * (q.expect or q.doc.best or self.sending[q.track])
+        track = self.request_classes[q.track]
+        return track.latency_objective_s + track.objective_stretch * (
+            q.expect or q.doc.best or self.sending[q.track]
+        )
 
-    def peers(self, here, everywhere):  # so many share the limits from here on, where they tell it
-        self.cold["cache"].routers, self.cold["parent"].routers = here, everywhere
-        self.crowding.routers = self.among = here
+    def on_router_count(self, count):
+        """So many share the limits from here on."""
+        self.cold["cache"].routers = count.here
+        self.cold["parent"].routers = count.everywhere
+        self.crowding.routers = self.among = count.here
 
     def cycle(self):
         """The sub-ranges follow the load; object counts are bounded and halved."""
--- a/brookhinge/decisions/rules.py
+++ b/brookhinge/decisions/rules.py
@@ -7,6 +7,8 @@
 import enum
 from typing import NamedTuple
 
+from brookhinge.decisions.settings import DeduplicationScope, Idempotency
+
 SEND_STATE = "ready"  # the only state of a server that takes new work, as server or as source of a fill
 CONNECT_MARGIN_S = 0.1  # a push may wait so long for its connection: a window of repeats ends earlier by that
 DEADLINE_SLACK_S = 0.15  # by how much the deadline passed to a server may exceed what the client has left
@@ -89,6 +91,21 @@
 )
 
 
+class AttemptResult(enum.StrEnum):
+    """How an attempt ended."""
+
+    SATISFIED = "satisfied"
+    ERRORED = "errored"  # the server answered with an error of its own
+    FULL = "full"  # the server, or the source of its fill, shed it
+    TIMEOUT = "timeout"
+    UNREACHABLE = "unreachable"  # no connection
+    BROKEN = "broken"  # the connection ended before the answer
+    CANCELLED = "cancelled"
+    MOOT = "moot"  # its deadline was over when the server read it
+    MISS = "miss"  # not held, and not to be filled
+    UNSENT = "unsent"  # it was taken back before it was written
+
+
 class Ran(NamedTuple):
     """The first attempt of a query that may have run: where, and when it was sent."""
 
@@ -98,7 +115,15 @@
 
 
 # Ends of an attempt that prove that nothing ran.
-NEVER_RAN = frozenset(("full", "unreachable", "moot", "miss", "unsent"))
+NEVER_RAN = frozenset(
+    (
+        AttemptResult.FULL,
+        AttemptResult.UNREACHABLE,
+        AttemptResult.MOOT,
+        AttemptResult.MISS,
+        AttemptResult.UNSENT,
+    )
+)
 
 
 def may_send_to(state):
@@ -106,22 +131,24 @@
     return state == SEND_STATE
 
 
-def may_repeat(track, ran, zone, cell, now):
+def may_repeat(request_class, ran, zone, cell, now):
     """Whether a query may be sent to a server at (zone, cell). ran: its first attempt that may have run, or None."""
-    if ran is None or track.effect == "replayable":
+    if ran is None or request_class.idempotency is Idempotency.REPEATABLE:
         return True
-    if track.effect != "referenced":
+    if request_class.idempotency is not Idempotency.KEYED:
         return False
-    same = zone == ran.zone and (track.group == "zone" or cell == ran.cell)
-    remembered = now - ran.at < track.window_s - CONNECT_MARGIN_S
-    return (same or track.group == "all") and remembered
+    scope = request_class.deduplication_scope
+    is_same_group = zone == ran.zone and (scope is DeduplicationScope.ZONE or cell == ran.cell)
+    is_remembered = now - ran.at < request_class.deduplication_window_s - CONNECT_MARGIN_S
+    return (is_same_group or scope is DeduplicationScope.ALL) and is_remembered
 
 
-def may_invite_repeat(track, ran):
+def may_invite_repeat(request_class, ran):
     """Whether the final answer may say that asking again is harmless (a refusal), or must be a failure."""
-    return (
-        ran is None or track.effect == "replayable" or (track.effect == "referenced" and track.group == "all")
-    )
+    if ran is None or request_class.idempotency is Idempotency.REPEATABLE:
+        return True
+    is_keyed = request_class.idempotency is Idempotency.KEYED
+    return is_keyed and request_class.deduplication_scope is DeduplicationScope.ALL
 
 
 def may_close(reason, has_open_query, has_unread_call):
--- a/brookhinge/decisions/settings.py
+++ b/brookhinge/decisions/settings.py
@@ -1,75 +1,93 @@
-"""What the decisions are handed at start, and the writer they write into. No decisions here."""
+"""Settings of the decisions, as `brookhinge/startup.py` reads them. Times are seconds."""
 
-from typing import NamedTuple, Protocol
+import enum
+from typing import NamedTuple
 
 
-class Track(NamedTuple):
-    """One kind of query. Times are seconds."""
+class Idempotency(enum.StrEnum):
+    """Whether a request may be sent again that may already have run."""
+
+    REPEATABLE = "repeatable"  # always
+    KEYED = "keyed"  # where servers remember its idempotency key
+    ONCE = "once"  # never
+
+
+class DeduplicationScope(enum.StrEnum):
+    """Which caches share the memory of idempotency keys."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
+
+
+class SiblingFills(enum.StrEnum):
+    """Which other caches a cache may fill from."""
+
+    NONE = "none"
+    LOCATION = "location"
+    ANY = "any"
+
+
+class NoteDetail(enum.StrEnum):
+    """What caches tell of how they answered."""
+
+    NONE = "none"
+    HIT = "hit"  # whether it was a hit
+    ALL = "all"  # also which part of a fill failed
+
+
+class RequestClass(NamedTuple):
+    """One kind of request."""
 
     name: str
-    effect: str  # 'replayable', 'referenced' or 'single-use'
-    group: str  # referenced: caches that drop repeats: 'all', 'zone' or 'cell'
-    window_s: float  # referenced: how long they remember
-    contract_s: float
-    stretch: float  # the contract time grows by this multiple of the query's sending time
-    patience_s: float
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope  # of keyed requests
+    deduplication_window_s: float  # how long caches remember a key
+    latency_objective_s: float
+    objective_stretch: float  # the objective grows by this multiple of the request's transfer time
+    timeout_s: float
     utility: float
-    late_share: float  # of the utility, for an answer after the contract time
+    late_share: float  # of the utility, for a response after the objective
     fresh_s: float  # 0: until purged
     stale_s: float  # how much older than fresh a copy may be when asked for
     stale_share: float  # of the utility, for such a copy
-    through: bool  # runs at the origin and leaves no copy
+    uncacheable: bool  # runs at the origin and leaves no copy
 
 
-class Place(NamedTuple):
+class Location(NamedTuple):
     """Where this router stands and who else stands there."""
 
     zone: int
     routers_here: int
     routers: int
     number: int
-    weights_told: bool  # False: a weight in the list says nothing
+    weights_known: bool  # False: a weight in the endpoint list says nothing
 
 
-class Allowed(NamedTuple):
+class RouterLimits(NamedTuple):
     """What a router may do here."""
 
-    pushes: int
+    max_attempts: int
     probes: bool
     cancel: bool
     max_retry_after_s: float  # 0: no advice to clients
 
 
-class Supply(NamedTuple):
+class FillPolicy(NamedTuple):
     """Where caches may fill from, and what is told of it."""
 
-    siblings: str  # 'none', 'location' or 'any'
-    direct: bool
-    joins: bool
-    tells: str  # 'all', 'hit' or 'none'
-    flow_kb_s: float  # pace of one transfer to a client; 0: not told
-    link_kb_s: float  # the location's link in; 0: not told
+    siblings: SiblingFills
+    allows_direct: bool  # requests may go straight to a parent or the origin
+    joins_fills: bool
+    notes: NoteDetail
+    transfer_kb_s: float  # pace of one transfer to a client; 0: not told
+    uplink_kb_s: float  # 0: not told
 
 
-class ColdStart(NamedTuple):
-    """How a kind of server starts and what pushes it over."""
+class SlowStart(NamedTuple):
+    """How a kind of server warms up and what overloads it meanwhile."""
 
-    share: float  # of its capacity, at the start
-    warm_s: float
-    multiple: float
+    initial_share: float  # of its capacity, at the start
+    warm_up_s: float
+    overload_multiple: float  # of what it can do now, sent in a window; 0: nothing overloads it
     window_s: float
-
-
-class Writer(Protocol):
-    """Takes the decisions of a round, in the order in which they take effect."""
-
-    def push(self, query, cache, until, source, rank, age_s, join, held_only, renew): ...
-    def nack(self, query, retry_after_s, reason=None): ...  # reason: a Refusal of rules.py
-    def error(self, query, reason=None): ...
-    def cancel(self, query, push): ...
-    def probe(self, cache): ...
-    def wake(self, token, at): ...
-    def keep(self, query, name): ...
-    def drop(self, name): ...
-    def own(self, query, name): ...
-    def say(self, text): ...
--- a/brookhinge/engine/invariants.py
+++ b/brookhinge/engine/invariants.py
@@ -126,7 +126,9 @@
             if not self.may_send_to(server):
                 return self.violated(Invariant.DRAIN, f"{server} is {self.facts(server).state}")
         if not rules.may_repeat(track, query.ran, facts.zone, facts.cell, now):
-            return self.violated(Invariant.EFFECT_TWICE, f"{track.effect}, it may have run at {query.ran}")
+            return self.violated(
+                Invariant.EFFECT_TWICE, f"{track.idempotency}, it may have run at {query.ran}"
+            )
         if attempt.left_s <= 0.0 or not rules.deadline_is_honest(attempt.patience_s, attempt.left_s):
             return self.violated(Invariant.DEADLINE, f"{attempt.patience_s:.3f} of {attempt.left_s:.3f} s")
         return self.of_copy(now, query, attempt) or self.of_slow_start(now, attempt)
--- a/brookhinge/engine/reducer.py
+++ b/brookhinge/engine/reducer.py
@@ -15,7 +15,22 @@
 import traceback
 
 from brookhinge.decisions import rules
-from brookhinge.decisions.rules import HeldBack, Ran, Refusal, Withdrawal
+from brookhinge.decisions.messages import (
+    AttemptEnded,
+    CopyRuleChanged,
+    Endpoint,
+    EndpointsListed,
+    ObjectsPurged,
+    OutlierVerdictsChanged,
+    QuotasAssigned,
+    RequestArrived,
+    RequestWithdrawn,
+    RouterCountChanged,
+    StoredCopy,
+    WarmStartReceived,
+)
+from brookhinge.decisions.rules import AttemptResult, HeldBack, Ran, Refusal, Withdrawal
+from brookhinge.decisions.settings import Idempotency
 from brookhinge.engine.invariants import Attempt, Invariant, Invariants, RuleBroken
 
 OPEN = 32  # queries on one connection, by the protocol
@@ -84,7 +99,7 @@
     def __init__(self, router, tracks, zones, lineage=None, tight=None, scores=None, traced=False):
         """traced: each step of each query comes out as an effect `trace`."""
         self.scores, self.traced = scores, traced
-        self.invariants = Invariants(router.purge_gone_s + PURGES_KEPT_S, router.slow_start_bound)
+        self.invariants = Invariants(router.purge_settled_s + PURGES_KEPT_S, router.slow_start_bound)
         self.refusals, self.retries = collections.Counter(), collections.Counter()  # by reason
         self.withdrawals = collections.Counter()
         self.router, self.lineage, self.tight = router, lineage, tight
@@ -143,7 +158,7 @@
         inbox = iter(self.facts + self.inbox)
         while True:  # a fault of the decisions costs the query that it came up with, not the router
             try:
-                self.router.round(now, self.handed(inbox), self)
+                self.router.process(now, self.handed(inbox), self)
                 break
             except Exception as fault:
                 self.faulted(fault)
@@ -158,17 +173,27 @@
         self.current = None
 
     def faulted(self, fault):
-        method, values = self.current or ("round", ())
-        query = values[0] if method in ("query", "ended", "left") else None
+        method, query = self.current_step()
         if isinstance(fault, RuleBroken):
             self.say_violation(query, fault.violation)
         else:
             where = traceback.extract_tb(fault.__traceback__)[-1]
-            self.say(f"{type(fault).__name__}: {fault} ({where.name}, line {where.lineno}) in {method}")
+            self.log(f"{type(fault).__name__}: {fault} ({where.name}, line {where.lineno}) in {method}")
         if query in self.queries:
             if not self.end_out(query):  # else the decisions still have to count what was out
                 self.router.queries.pop(query, None)
-            self.error(query, Refusal.FAULT)
+            self.fail(query, Refusal.FAULT)
+
+    def current_step(self):
+        """What is being handled, and the query that it is of, or None."""
+        if self.current is None:
+            return "round", None
+        if isinstance(self.current, (RequestArrived, AttemptEnded, RequestWithdrawn)):
+            return type(self.current).__name__, self.current.request_id
+        if type(self.current) is tuple:  # an event; all messages to the decisions have a type of their own
+            method, values = self.current
+            return method, values[0] if method in ("query", "ended") else None
+        return type(self.current).__name__, None
 
     def say_violation(self, query, violation):
         q = self.queries.get(query)
@@ -248,11 +273,14 @@
         if self.scores is not None:
             q.seen = track, size_kb, came
         self.trace("taken", q, client=client, number=number, kind=kind.decode(), left_s=until - self.now)
-        call = track, q.text_key, part_number, group, size_kb, False, False
+        call = RequestArrived(
+            query, track, q.text_key, part_number, group, size_kb, is_write=False, timeout_s=until - self.now
+        )
         if (
-            self.lineage is None or self.router.tracks[track].effect != "replayable"
+            self.lineage is None
+            or self.router.request_classes[track].idempotency is not Idempotency.REPEATABLE
         ):  # an effect is asked for anew
-            self.inbox.append(("query", (query, *call, until - self.now)))
+            self.inbox.append(call)
         else:
             self.known_again(query, call)
 
@@ -262,7 +290,9 @@
         q = self.queries[query]
         q.call = call
         address = self.addresses.get(q.client, q.client)
-        seen = self.lineage.asked(self.now, query, address, q.client, call[:3])
+        seen = self.lineage.asked(
+            self.now, query, address, q.client, (call.request_class, call.key, call.part)
+        )
         first = self.queries.get(seen.beside)
         if first is not None and self.would_do(first, q):
             q.beside = seen.beside
@@ -273,9 +303,10 @@
             self.counts["again"] += seen.kind == "again"
             who = self.lineage.who(address, q.client)  # a place is told to who can be known when they come
             self.inbox.append(
-                (
-                    "query",
-                    (query, *call, q.until - self.now, seen.since, who if who[0] == "address" else None),
+                call._replace(
+                    timeout_s=q.until - self.now,
+                    retry_age_s=seen.since,
+                    retry_client=who if who[0] == "address" else None,
                 )
             )
 
@@ -291,7 +322,7 @@
         q = self.queries[query]
         q.beside = None
         if q.until - self.now <= WAIT_END_S:
-            self.error(query, Refusal.NO_TIME)
+            self.fail(query, Refusal.NO_TIME)
         else:
             self.known_again(query, q.call)
 
@@ -329,7 +360,7 @@
         self.waiting.clear()  # each has its own error
         for query in list(self.queries):
             self.end_out(query)
-            self.error(query, Refusal.STOPPING)
+            self.fail(query, Refusal.STOPPING)
 
     def ended(
         self, query, push, result, note, waited, load, body, same, came, dated=None, tag=None, lot=None
@@ -344,10 +375,9 @@
         self.note_end(q, result)
         copy = None
         if over and not same and dated is not None and rules.stamp_is_plausible(came, dated):
-            copy = dated, len(body)
-        self.inbox.append(
-            ("ended", (query, push, q.server, result, came - q.sent_at, over, note, waited, load, copy))
-        )
+            copy = StoredCopy(dated, len(body))
+        took_s = came - q.sent_at
+        self.inbox.append(AttemptEnded(query, q.server, result, took_s, over, note, waited, copy))
         if over:
             self.served[query] = body, tag
             self.counts["satisfied"] += 1
@@ -381,7 +411,7 @@
         self.cursor, rows, seen = number, [], set()
         for server, address, zone, kind, cell, health, weight, born in hosts:
             seen.add(server)
-            row = server, health, weight, born, cell, kind, self.zones.get(zone, -1)
+            row = Endpoint(server, health, weight, born, cell, kind, self.zones.get(zone, -1))
             if self.tight is not None:
                 row, notice = self.tight.receive_row(row)
                 if notice is not None:
@@ -395,7 +425,7 @@
             self.invariants.absent(seen)
             if self.tight is not None:
                 self.effects += [("spread", notice) for notice in self.tight.absent(seen)]
-        self.facts.append(("roster", ("full" if complete else "changes", rows)))
+        self.facts.append(EndpointsListed(complete, rows))
 
     def redial(self, server, dial):
         """Connections belong to a server's id and start: those to an earlier start are used no more."""
@@ -420,7 +450,7 @@
     def take_purge(self, group, age, key):
         """A purge of so many seconds ago is known from now on."""
         self.invariants.purges.add(self.now, group, key, self.now - age)
-        self.facts.append(("purged", (group, age, key)))
+        self.facts.append(ObjectsPurged(group, age, key))
 
     def purge_age(self, stamped, newest):
         """Seconds since a purge, by its stamp. Of those known at the start nothing but their stamps and order is known.
@@ -442,7 +472,7 @@
             self.invariants.listed(row[0], row[1], row[6], row[4])
             if row[1] == "gone":
                 self.redial(row[0], None)
-            self.facts.append(("roster", ("changes", [row])))
+            self.facts.append(EndpointsListed(False, [row]))
             self.effects.append(("say", ("notice", {"server": row[0], "health": row[1]})))
 
     def logged(self, kind, text, number, stamp):
@@ -454,11 +484,11 @@
 
     def copy_rule(self, rule, purges):
         """What this router may do with copies that it holds itself, as far as it knows all purges."""
-        self.facts.append(("copy_rule", (rule, purges)))
+        self.facts.append(CopyRuleChanged(rule, purges))
 
     def peers(self, here, all_):
         """By how many routers this place's limits and the whole fleet's are divided from here on."""
-        self.facts.append(("peers", (here, all_)))
+        self.facts.append(RouterCountChanged(here, all_))
 
     def parts(self, rows):
         """What this router may use of limits that the fleet shares: (kind, server, start in ms, part or None) each."""
@@ -467,7 +497,7 @@
             row = self.tight.rows.get(server)
             if kind == "own" or row is not None and self.tight.stamp(row[3]) == start:
                 told.append((kind, server, row and row[3], part))
-        self.facts.append(("parts", (told,)))
+        self.facts.append(QuotasAssigned(told))
 
     def demand(self):
         """What was asked of limits that the fleet shares, starts in ms; it begins anew."""
@@ -483,11 +513,11 @@
             row = self.tight.rows.get(server)
             if row is not None and self.tight.stamp(row[3]) == start:
                 told.append((server, how, seconds))
-        self.facts.append(("verdicts", (told,)))
+        self.facts.append(OutlierVerdictsChanged(told))
 
     def remember(self, rows):
         """What a peer knows that has run for longer."""
-        self.inbox.append(("remember", (rows,)))
+        self.inbox.append(WarmStartReceived(rows))
         self.effects.append(("say", ("remembered", {"rows": len(rows)})))
 
     def seen(self):
@@ -514,16 +544,15 @@
             self.give_up(query)
             self.note_end(q, "timeout")
             self.counts["timeouts"] += 1
-            self.inbox.append(
-                ("ended", (query, push, q.server, "timeout", self.now - q.sent_at, False, 0, 0.0, None))
-            )
+            took_s = self.now - q.sent_at
+            self.inbox.append(AttemptEnded(query, q.server, AttemptResult.TIMEOUT, took_s, False, 0, 0.0))
 
     def expire_waiting(self):
         """Who waits beside a query has its own time all the same."""
         while self.ends and self.ends[0][0] <= self.now:
             _, query = heapq.heappop(self.ends)
             if query in self.queries and self.queries[query].beside is not None:
-                self.error(query, Refusal.NO_TIME)
+                self.fail(query, Refusal.NO_TIME)
 
     def give_up(self, query):
         q = self.queries[query]
@@ -539,8 +568,8 @@
         self.give_up(query)
         self.note_end(q, "cancelled")
         self.inbox += [
-            ("left", (query,)),
-            ("ended", (query, q.pushes, q.server, "cancelled", self.now - q.sent_at, True, 0, 0.0, None)),
+            RequestWithdrawn(query),
+            AttemptEnded(query, q.server, AttemptResult.CANCELLED, self.now - q.sent_at, True, 0, 0.0),
         ]
         return True
 
@@ -550,15 +579,15 @@
         at = next(
             (
                 i
-                for i, (method, values) in enumerate(self.inbox)
-                if method in ("query", "ended") and values[0] == query
+                for i, message in enumerate(self.inbox)
+                if isinstance(message, (RequestArrived, AttemptEnded)) and message.request_id == query
             ),
             None,
         )
         if at is not None:
-            method, values = self.inbox.pop(at)
-            if method == "ended":
-                self.inbox.append((method, (*values[:5], True, *values[6:])))
+            message = self.inbox.pop(at)
+            if isinstance(message, AttemptEnded):
+                self.inbox.append(message._replace(is_final=True))
         else:
             self.end_out(query)
         self.counts["left"] += 1
@@ -590,13 +619,14 @@
         if not numbers:
             del self.clients[q.client]
 
-    # the writer
+    # the sink of the decisions
 
-    def push(self, query, cache, until, source, rank, age_s, join, held_only, renew):
+    def forward(self, query, decided):
+        cache, until, source, rank, age_s, join, held_only, renew = decided
         q = self.queries.get(query)
         if q is None or self.closed:
             raise RuleBroken(self.invariants.violated(Invariant.AFTER_END, f"a push of query {query}"))
-        track, work = self.router.tracks[q.track], self.router.sending[q.track]
+        track, work = self.router.request_classes[q.track], self.router.sending[q.track]
         attempt = Attempt(cache, source, q.until - self.now, until - self.now, age_s, work)
         violation = self.invariants.of_attempt(self.now, q, track, attempt)
         if violation is not None:
@@ -666,21 +696,21 @@
             raise RuleBroken(self.invariants.violated(Invariant.ONE_ANSWER, f"a second one to query {query}"))
         return q
 
-    def nack(self, query, retry_after_s, reason=None):
+    def reject(self, query, retry_after_s, reason=None):
         q = self.owed(query)
-        if not rules.may_invite_repeat(self.router.tracks[q.track], q.ran):
-            detail = f"a repeat of {self.router.tracks[q.track].effect} is invited"
+        if not rules.may_invite_repeat(self.router.request_classes[q.track], q.ran):
+            detail = f"a repeat of {self.router.request_classes[q.track].idempotency} is invited"
             self.say_violation(query, self.invariants.violated(Invariant.EFFECT_TWICE, detail))
-            return self.error(query, reason)
+            return self.fail(query, reason)
         self.counts["nacked"] += 1
         self.refusals[reason] += 1
         self.trace("refused", q, reason=reason, retry_after_s=retry_after_s)
         self.effects.append(("nack", (q.client, q.number, retry_after_s)))
         for other in self.waiting.pop(query, ()):  # the same answer, and the same time to come back
-            self.nack(other, retry_after_s, reason)
+            self.reject(other, retry_after_s, reason)
         self.settle(query, "refused")
 
-    def error(self, query, reason=None):
+    def fail(self, query, reason=None):
         q = self.owed(query)
         self.counts["errored"] += 1
         self.refusals[reason] += 1
@@ -688,14 +718,14 @@
         self.effects.append(("error", (q.client, q.number)))
         self.settle(query, "failed")
 
-    def keep(self, query, name):
+    def keep_copy(self, query, name):
         """The answer that this query has just had stays in memory under that name."""
         self.copies[name] = self.served[query]
 
-    def drop(self, name):
+    def drop_copy(self, name):
         del self.copies[name]
 
-    def own(self, query, name):
+    def respond_from_copy(self, query, name):
         """The final answer is a copy kept; where the client holds the same one, it is told so."""
         q, (body, tag) = self.owed(query), self.copies[name]
         same = tag is not None and tag == q.tag
@@ -706,5 +736,5 @@
         self.satisfy_beside(query, b"" if same else body, same)
         self.settle(query)
 
-    def say(self, text):
+    def log(self, text):
         self.effects.append(("say", ("decisions", {"text": text})))
--- a/brookhinge/engine/scores.py
+++ b/brookhinge/engine/scores.py
@@ -14,7 +14,7 @@
         if how == "forgotten":
             return
         t = self.tracks[track]
-        aim = t.contract_s + t.stretch * (size_kb / self.flow if self.flow else 0.0)
+        aim = t.latency_objective_s + t.objective_stretch * (size_kb / self.flow if self.flow else 0.0)
         good = how == "satisfied"
         worth = 0.0 if not good else 1.0 if took <= aim else t.late_share
         for figure, value in (
--- a/brookhinge/limits/shared.py
+++ b/brookhinge/limits/shared.py
@@ -3,6 +3,7 @@
 of, a router has its own part, one of N."""
 
 from brookhinge.decide import ColdBudget, Crowding
+from brookhinge.decisions.messages import QuotasAssigned
 
 
 class SharedBudget(ColdBudget):
@@ -45,13 +46,13 @@
 
 
 class Sharing:
-    """Goes before Router: beside its calls it takes `parts`, and `demand(now)` tells what was asked since the last call."""
+    """Goes before Router: beside its messages it takes `QuotasAssigned`, and `demand(now)` tells what was asked since the last call."""
 
-    def __init__(self, seed, tracks, place, *rest, **named):
-        super().__init__(seed, tracks, place, *rest, **named)
+    def __init__(self, *args, **named):
+        super().__init__(*args, **named)
         cold = self.cold
         self.cold = {role: SharedBudget(old.start, old.routers) for role, old in cold.items()}
-        self.crowding, self.counted_at = SharedCrowding(place.routers_here), 0.0
+        self.crowding, self.counted_at = SharedCrowding(self.crowding.routers), 0.0
         self.figures += [
             figures
             for limit in (self.crowding, *self.cold.values())
@@ -59,6 +60,12 @@
             if isinstance(figures, dict)
         ]
 
+    def handle(self, message):
+        if isinstance(message, QuotasAssigned):
+            self.parts(message.quotas)
+        else:
+            super().handle(message)
+
     def parts(self, rows):
         """(kind, server, born, part) each; part None: its own again. Kind "own": the part that it has by itself of all
         that nothing is told of, 0 to 1 times one of N."""
@@ -84,7 +91,7 @@
             for c, work in budget.asked.items():
                 whole = (
                     budget.whole(now, fleet.cold_from[c], self.power(c), max(self.sending))
-                    if budget.cold(now, fleet.cold_from[c]) and budget.start.multiple > 0
+                    if budget.cold(now, fleet.cold_from[c]) and budget.start.overload_multiple > 0
                     else 0.0
                 )
                 rows.append((role, fleet.ids[c], fleet.born[c], work / elapsed, whole))
@@ -99,7 +106,7 @@
                 for c in (fleet.own if role == "cache" else fleet.parents)
                 if c not in budget.asked
                 and budget.cold(now, fleet.cold_from[c])
-                and budget.start.multiple > 0
+                and budget.start.overload_multiple > 0
             ]
             budget.asked.clear()
         for c, peak in self.crowding.peaks.items():
--- a/brookhinge/membership/memory.py
+++ b/brookhinge/membership/memory.py
@@ -9,6 +9,7 @@
 import xxhash
 
 from brookhinge.decision_records import Doc
+from brookhinge.decisions.messages import WarmStartReceived
 from brookhinge.membership.view import ALIVE
 
 AGAIN_S, TRIES = 0.5, 6
@@ -62,7 +63,7 @@
 
 
 class Remembering:
-    """Goes before Router: beside its calls it takes `remember`, and `memory()` tells what a peer may want."""
+    """Goes before Router: beside its messages it takes `WarmStartReceived`, and `memory()` tells what a peer may want."""
 
     def memory(self):
         rows = [
@@ -72,7 +73,7 @@
         ]
         rows += [
             ("takes", track.name, 0, "", mean, count)
-            for track, mean, count in zip(self.tracks, self.sending, self.known)
+            for track, mean, count in zip(self.request_classes, self.sending, self.known)
         ]
         hot = sorted(
             (doc for doc in self.docs.values() if self.holders(doc) and len(doc.key) <= 64),
@@ -84,6 +85,12 @@
             for c in doc.holders
         ]
 
+    def handle(self, message):
+        if isinstance(message, WarmStartReceived):
+            self.remember(message.rows)
+        else:
+            super().handle(message)
+
     def remember(self, rows):
         """What it has learnt itself by now goes before what it is told."""
         for kind, name, number, other, one, two in rows:
@@ -96,7 +103,7 @@
                     ):
                         ends[:-1] = [one, two][: number - 1]
             elif kind == "takes":
-                for t, track in enumerate(self.tracks):
+                for t, track in enumerate(self.request_classes):
                     if track.name == name and two > self.known[t] and one > 0.0:
                         self.sending[t], self.known[t] = one, two
             elif kind == "holder":
--- a/brookhinge/membership/tight.py
+++ b/brookhinge/membership/tight.py
@@ -3,7 +3,7 @@
 
 A notice is ("draining" or "gone", server, start) or ("purge", group, object, moment); start and moment are milliseconds
 of the Unix clock as the command channel tells them, start 0 for a server that was there from the first, group -1 with
-an object. Rows are those of the reducer: (server, health, weight, born, cell, kind, zone), born in seconds since this
+an object. Rows are `Endpoint` of the decisions, their start in seconds since this
 router's own start, or None."""
 
 WORSE = {"ready": 0, "draining": 1, "gone": 2}
@@ -35,7 +35,7 @@
             self.passed[server] = born
         self.own[server] = born, health
         news = health != "ready" and (before is None or before[1] != health or self.stamp(before[3]) != born)
-        used = self.rows[server] = (server, received[1], *row[2:]) if received else row
+        used = self.rows[server] = row._replace(state=received[1]) if received else row
         if health == "gone":
             for kept in (self.rows, self.own, self.passed):
                 kept.pop(server, None)
@@ -67,7 +67,7 @@
         row = self.rows.get(server)
         if row is None or self.stamp(row[3]) != born or WORSE[row[1]] >= WORSE[kind]:
             return None
-        row = self.rows[server] = (server, kind, *row[2:])
+        row = self.rows[server] = row._replace(state=kind)
         return row
 
     def purge_is_new(self, group, object_, moment):
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -76,7 +76,7 @@
         if scores_s:
             from brookhinge.engine.scores import Scores
 
-            scores = Scores(site.decisions["tracks"], site.decisions["supply"].flow_kb_s)
+            scores = Scores(site.decisions["request_classes"], site.decisions["fill_policy"].transfer_kb_s)
         self.site, self.log = site, log or Log(site.name)
         self.start, self.steady_start = time.time(), time.monotonic()
         self.watch = LoopWatch(self.now)
@@ -88,11 +88,11 @@
             from brookhinge.storm.lineage import Lineage
             from brookhinge.storm.plan import Returns
 
-            lineage, returns = Lineage(), Returns(site.decisions["allowed"].max_retry_after_s)
+            lineage, returns = Lineage(), Returns(site.decisions["limits"].max_retry_after_s)
         router = router_class(fleet)
         self.reducer = Reducer(
             router(site.seed, machine=site.bounds, returns=returns, **site.decisions),
-            [t.name.encode() for t in site.decisions["tracks"]],
+            [t.name.encode() for t in site.decisions["request_classes"]],
             site.zones,
             lineage,
             tight,
@@ -114,7 +114,7 @@
             lambda: self.phases.well,
             self.busy,
             self.watch,
-            {t.name.encode(): t.patience_s for t in site.decisions["tracks"]},
+            {t.name.encode(): t.timeout_s for t in site.decisions["request_classes"]},
             sockets,
             bounds.memory_mb * 1024 * 1024 // 4,
             self.gate,
@@ -151,7 +151,7 @@
         """What a router of a fleet talks about with its peers, as its block `fleet` has it."""
         from brookhinge.membership.talk import Talk
 
-        place = self.site.decisions["place"]
+        place = self.site.decisions["location"]
         self.talk = Talk(fleet, self.site.seed, (place.routers_here, place.routers), self.post, self.log)
         self.rounds.before.append(self.talk.before)
         if fleet.share_limits:
@@ -324,7 +324,7 @@
         self.stopped = True  # also before it is ready: run() comes back to it
         if self.phases.now == "ready":
             self.phases.step("leaving")
-            longest = min(LONGEST_S, max(t.patience_s for t in self.site.decisions["tracks"]))
+            longest = min(LONGEST_S, max(t.timeout_s for t in self.site.decisions["request_classes"]))
             self.until = self.now() + LEAVE_S + longest - END_S
             asyncio.get_running_loop().call_later(LEAVE_S, self.finish)
 
--- a/brookhinge/purgelog/copies.py
+++ b/brookhinge/purgelog/copies.py
@@ -3,16 +3,23 @@
 
 import math
 
+from brookhinge.decisions.messages import CopyRuleChanged
 from brookhinge.purgelog.subscriber import CopyRule
 
 
 class ProvenCopies:
-    """Goes before Router: beside its calls it takes `copy_rule`. Times are the Router's."""
+    """Goes before Router: beside its messages it takes `CopyRuleChanged`. Times are the Router's."""
 
     def __init__(self, *rest, **named):
         super().__init__(*rest, **named)
         self.proven, self.aside_until, self.readmitted = False, -math.inf, {}
 
+    def handle(self, message):
+        if isinstance(message, CopyRuleChanged):
+            self.copy_rule(message.rule, message.missed_purges)
+        else:
+            super().handle(message)
+
     def copy_rule(self, rule, purges):
         """rule: a CopyRule; purges: with READMIT the PurgeSet of what was missed, else None."""
         if rule is CopyRule.STALE:
@@ -37,7 +44,7 @@
             for name, (doc, made, _) in self.copies.held.items()
             if made <= self.aside_until and purged(doc)
         ]
-        self.copies.drop(dropped, self.writer)
+        self.copies.drop(dropped, self.sink)
 
     def own(self, query, q):
         """Answers from memory, if a copy there may be used, will do and comes in time."""
--- a/brookhinge/roster.py
+++ b/brookhinge/roster.py
@@ -65,15 +65,14 @@
         ):
             array[c : c + 1] = [first]
 
-    def update(self, now, kind, rows):
-        """Takes a list of (id, health, weight, born, cell, kind of server, zone). A server that a complete list (kind
-        'full' or 'saved') leaves out is gone."""
+    def update(self, now, is_complete, rows):
+        """Takes a list of `Endpoint`. A server that a complete one leaves out is gone."""
         self.fresh = []
         self.first_at = now if self.first_at is None else self.first_at
         if now == self.first_at:
             self.newest_born = max([self.newest_born, *(row[3] for row in rows if row[3] is not None)])
         listed = {self.take_row(now, *row) for row in rows}
-        if kind in ("full", "saved"):
+        if is_complete:
             for c in range(len(self.ids)):
                 if c not in listed and self.state[c] != "gone":
                     self.state[c], self.forgot_at[c] = "gone", now
--- a/brookhinge/standin/model.py
+++ b/brookhinge/standin/model.py
@@ -19,7 +19,9 @@
         if self.born is None:
             return self.cores
         cold = self.cold
-        return self.cores * (cold.share + (1.0 - cold.share) * min(1.0, (now - self.born) / cold.warm_s))
+        return self.cores * (
+            cold.initial_share + (1.0 - cold.initial_share) * min(1.0, (now - self.born) / cold.warm_up_s)
+        )
 
     def advance(self, now):
         if self.jobs:
@@ -32,9 +34,9 @@
         heapq.heappush(self.done, (self.v + work, key))
         self.sent = [(at, w) for at, w in self.sent if now - at <= self.cold.window_s] + [(now, work)]
         load = sum(w for _, w in self.sent) / (self.able(now) * self.cold.window_s)
-        if self.born is not None and now - self.born < self.cold.warm_s:
+        if self.born is not None and now - self.born < self.cold.warm_up_s:
             self.peak = max(self.peak, load)
-            self.fallen = self.fallen or load > self.cold.multiple
+            self.fallen = self.fallen or load > self.cold.overload_multiple
         return not self.fallen
 
     def next_at(self, now):
--- a/brookhinge/standin/rolling.py
+++ b/brookhinge/standin/rolling.py
@@ -30,8 +30,8 @@
 """
 # what a version may do before it runs as usual
 FAILS = (
-    "import brookhinge.decide as d, random; real = d.Router.query; d.Router.query = lambda self, query, *rest: "
-    "self.writer.nack(query, 0) if random.random() < {part} else real(self, query, *rest)"
+    "import brookhinge.decide as d, random; real = d.Router.on_request; d.Router.on_request = lambda self, request: "
+    "self.sink.reject(request.request_id, 0) if random.random() < {part} else real(self, request)"
 )
 LEAKS = (
     "import brookhinge.engine.rounds as r; real = r.Rounds.round; kept = []; r.Rounds.round = lambda self: "
--- a/brookhinge/standin/sharing.py
+++ b/brookhinge/standin/sharing.py
@@ -2,7 +2,17 @@
 decisions and cores; wires and the news of the view are stood in for."""
 
 from brookhinge.decide import Router
-from brookhinge.decisions.settings import Allowed, ColdStart, Place, Supply, Track
+from brookhinge.decisions.settings import (
+    DeduplicationScope,
+    FillPolicy,
+    Idempotency,
+    Location,
+    NoteDetail,
+    RequestClass,
+    RouterLimits,
+    SiblingFills,
+    SlowStart,
+)
 from brookhinge.engine.reducer import Reducer
 from brookhinge.limits.limits import Limits
 from brookhinge.limits.shared import Sharing
@@ -13,8 +23,22 @@
 from brookhinge.verdicts.verdicts import Verdicts
 
 WORK, CONTRACT_S, PATIENCE_S = 0.1, 0.5, 3.0
-COLD = ColdStart(0.3, 12.0, 3.0, 1.0)
-PAGES = Track("pages", "replayable", "all", 0.0, CONTRACT_S, 0.0, PATIENCE_S, 1.0, 0.2, 0.0, 0.0, 0.0, False)
+COLD = SlowStart(0.3, 12.0, 3.0, 1.0)
+PAGES = RequestClass(
+    "pages",
+    Idempotency.REPEATABLE,
+    DeduplicationScope.ALL,
+    0.0,
+    CONTRACT_S,
+    0.0,
+    PATIENCE_S,
+    1.0,
+    0.2,
+    0.0,
+    0.0,
+    0.0,
+    False,
+)
 WIRE_S = 0.002
 
 
@@ -50,14 +74,14 @@
             Reducer(
                 kind(
                     seed + n,
-                    tracks=(PAGES,),
-                    place=Place(1, routers, routers, n, True),
-                    allowed=Allowed(4, False, True, 0.0),
-                    supply=Supply("any", False, True, "all", 1000.0, 0.0),
-                    cold_cache=COLD,
-                    cold_parent=ColdStart(1.0, 0.0, 0.0, 1.0),
-                    purge_gone_s=6.0,
-                    kinds=("parent", "origin"),
+                    request_classes=(PAGES,),
+                    location=Location(1, routers, routers, n, True),
+                    limits=RouterLimits(4, False, True, 0.0),
+                    fill_policy=FillPolicy(SiblingFills.ANY, False, True, NoteDetail.ALL, 1000.0, 0.0),
+                    cache_slow_start=COLD,
+                    parent_slow_start=SlowStart(1.0, 0.0, 0.0, 1.0),
+                    purge_settled_s=6.0,
+                    server_kinds=("parent", "origin"),
                     reports=[],
                 ),
                 [b"pages"],
--- a/brookhinge/startup.py
+++ b/brookhinge/startup.py
@@ -5,15 +5,29 @@
 import math
 from typing import NamedTuple
 
-from brookhinge.decisions.settings import Allowed, ColdStart, Place, Supply, Track
+from brookhinge.decisions.settings import (
+    DeduplicationScope,
+    FillPolicy,
+    Idempotency,
+    Location,
+    NoteDetail,
+    RequestClass,
+    RouterLimits,
+    SiblingFills,
+    SlowStart,
+)
 from brookhinge.engine.commands import read_commands
 
 NS = 1e-9
-EFFECTS = {"retryable": "replayable", "dedup": "referenced", "fragile": "single-use"}
+EFFECTS = {
+    "retryable": Idempotency.REPEATABLE,
+    "dedup": Idempotency.KEYED,
+    "fragile": Idempotency.ONCE,
+}
 REPORT_FIELDS = {"cpu": "util", "active": "inflight", "waiting": "queue"}
-GROUPS = {group: group for group in ("all", "zone", "cell")}
-SIBLINGS = {"silent": "none", "none": "none", "": "none", "location": "location", "any": "any"}
-TELLS = {"silent": "none", "none": "none", "": "none", "hit": "hit", "all": "all"}
+GROUPS = {scope.value: scope for scope in DeduplicationScope}
+SIBLINGS = {"silent": SiblingFills.NONE, "": SiblingFills.NONE, **{word.value: word for word in SiblingFills}}
+TELLS = {"silent": NoteDetail.NONE, "": NoteDetail.NONE, **{word.value: word for word in NoteDetail}}
 
 TEXT, NUMBER, WHOLE, FLAG, TABLE, ROWS = (
     ((str,), "a text"),
@@ -115,63 +129,66 @@
         place = fam.between(key, -1, len(kinds) - 1, -1, form=WHOLE)
         return kinds[place] if place >= 0 else ""
 
-    tracks = [
-        Track(
+    request_classes = [
+        RequestClass(
             name=c.take("Name", TEXT),
-            effect=c.word("Effect", EFFECTS, "fragile"),
-            group=c.word("Group", GROUPS, "all"),
-            window_s=c.span("WindowNs", 0),
-            contract_s=c.span("AimNs"),
-            stretch=c.between("AimStretch", 0, math.inf, 0.0),
-            patience_s=more_than(0, c, "DeadlineNs", NUMBER) * NS,
+            idempotency=c.word("Effect", EFFECTS, "fragile"),
+            deduplication_scope=c.word("Group", GROUPS, "all"),
+            deduplication_window_s=c.span("WindowNs", 0),
+            latency_objective_s=c.span("AimNs"),
+            objective_stretch=c.between("AimStretch", 0, math.inf, 0.0),
+            timeout_s=more_than(0, c, "DeadlineNs", NUMBER) * NS,
             utility=c.between("Value", 0, math.inf, 1.0),
             late_share=c.between("LateWorth", 0, 1, 0.0),
             fresh_s=fam.each("GoodForNs", i, NUMBER, 0) * NS,
             stale_s=fam.each("OlderByNs", i, NUMBER, 0) * NS,
             stale_share=fam.each("WorthWhenOld", i, NUMBER, 0.0),
-            through=bool(fam.each("GoesThrough", i, FLAG, False)),
+            uncacheable=bool(fam.each("GoesThrough", i, FLAG, False)),
         )
         for i, c in enumerate(settings.tables("Classes"))
     ]
-    for i, t in enumerate(tracks):
-        if t.name in [other.name for other in tracks[:i]]:
+    for i, t in enumerate(request_classes):
+        if t.name in [other.name for other in request_classes[:i]]:
             raise StartError(
                 f"{settings.name('Classes')}[{i}].Name: expected another name, {t.name!r:.60} stands there twice"
             )
     routers = settings.between("Instances", 1, math.inf, 1, form=WHOLE)
     advice = limits.span("MaxRetryAfterNs", 0) if limits.take("RetryAfter", FLAG, False) else 0.0
-    cold_cache = ColdStart(
+    cache_slow_start = SlowStart(
         rules.between("ColdFrom", 0, 1, 1.0),
         rules.span("WarmUpNs", 0),
         rules.between("FallMultiple", 0, math.inf, 0.0),
         rules.span("FallNs", 0),
     )
-    cold_parent = ColdStart(
+    parent_slow_start = SlowStart(
         fam.between("ParentColdFrom", 0, 1, 1.0),
         fam.span("UpperColdNs", 0),
         fam.between("ParentBreaksAt", 0, math.inf, 0.0),
         rules.span("FallNs", 0),
     )
-    if max(cold_cache.multiple, cold_parent.multiple) > 0 and not cold_cache.window_s:
+    if (
+        max(cache_slow_start.overload_multiple, parent_slow_start.overload_multiple) > 0
+        and not cache_slow_start.window_s
+    ):
         raise StartError(
             f"{rules.name('FallNs')}: expected more than 0 where cold servers fall at a multiple, got 0"
         )
     return {
-        "tracks": tracks,
-        "place": Place(
+        "request_classes": request_classes,
+        "location": Location(
             zone,
             max(1, fam.each("ZoneBalancers", zone, WHOLE, routers)),
             routers,
             settings.take("MyNumber", WHOLE, 0),
             settings.take("WeightSource", TEXT, "silent") in ("nominal", "rough", "live"),
         ),
-        "allowed": Allowed(
+        "limits": RouterLimits(
             limits.between("MaxAttempts", 1, math.inf, 1, form=WHOLE),
             bool(limits.take("Probes", FLAG, False)),
             bool(limits.take("Cancel", FLAG, False)),
             advice,
         ),
-        "supply": Supply(
+        "fill_policy": FillPolicy(
             fam.word("PeersFill", SIBLINGS, "none"),
             bool(fam.take("Straight", FLAG, False)),
             bool(fam.take("SharesFills", FLAG, False)),
@@ -179,10 +196,10 @@
             fam.take("OneFlowKbPerS", NUMBER, 0.0),
             fam.each("InletKbPerS", zone, NUMBER, 0.0),
         ),
-        "cold_cache": cold_cache,
-        "cold_parent": cold_parent,
-        "purge_gone_s": fam.span("GoneEverywhereNs", 0),
-        "kinds": (kind("UpperKind"), kind("MasterKind")),
+        "cache_slow_start": cache_slow_start,
+        "parent_slow_start": parent_slow_start,
+        "purge_settled_s": fam.span("GoneEverywhereNs", 0),
+        "server_kinds": (kind("UpperKind"), kind("MasterKind")),
         "reports": [REPORT_FIELDS.get(c, c) for c in report.names("Columns")],
     }
 
@@ -261,7 +278,7 @@
     except ValueError:
         raise StartError(f"seed: expected hex digits, got {seed!r:.60}") from None
     decisions, calls = read_start(settings), settings.table("Limits", {})
-    if not decisions["tracks"]:
+    if not decisions["request_classes"]:
         raise StartError("settings.Classes: missing, expected one class at least")
     return Site(
         top.take("name", TEXT),
--- a/brookhinge/verdicts/shared.py
+++ b/brookhinge/verdicts/shared.py
@@ -2,6 +2,8 @@
 in beside own experience. No I/O, no clock."""
 
 from brookhinge.decide import Health
+from brookhinge.decisions.messages import OutlierVerdictsChanged
+from brookhinge.decisions.rules import AttemptResult
 from brookhinge.verdicts.verdicts import RAMP
 
 FIRST = (
@@ -47,7 +49,7 @@
 
 
 class Judging:
-    """Goes before Router: beside its calls it takes `verdicts`, and `seen()` tells totals of this process."""
+    """Goes before Router: beside its messages it takes `OutlierVerdictsChanged`, and `seen()` tells totals of this process."""
 
     def __init__(self, *args, **named):
         super().__init__(*args, **named)
@@ -55,9 +57,15 @@
         self.figures += [figures for figures in vars(self.health).values() if isinstance(figures, dict)]
 
     def learn(self, q, c, result, *rest):
-        self.health.slow = result == "satisfied"
+        self.health.slow = result == AttemptResult.SATISFIED
         super().learn(q, c, result, *rest)
 
+    def handle(self, message):
+        if isinstance(message, OutlierVerdictsChanged):
+            self.verdicts(message.verdicts)
+        else:
+            super().handle(message)
+
     def verdicts(self, rows):
         """(server, how, seconds) each; how: rest, trial, ramp, alone, well."""
         for server, how, seconds in rows:
--- a/brookhinge/wire/codec.py
+++ b/brookhinge/wire/codec.py
@@ -3,21 +3,31 @@
 Clock times become seconds since the instance's start, query ids small serials; both are turned back here.
 """
 
+from brookhinge.decisions.messages import (
+    AttemptEnded,
+    Endpoint,
+    EndpointsListed,
+    ObjectsPurged,
+    RequestArrived,
+    RequestWithdrawn,
+)
+from brookhinge.decisions.rules import AttemptResult
 from brookhinge.startup import NS
 
 RESULTS = {
-    "OK": "satisfied",
-    "INTERNAL": "errored",
-    "RESOURCE_EXHAUSTED": "full",
-    "DEADLINE_EXCEEDED": "timeout",
-    "UNAVAILABLE": "unreachable",
-    "ABORTED": "broken",
-    "CANCELLED": "cancelled",
-    "TOO_LATE": "moot",
-    "NOT_FOUND": "miss",
+    "OK": AttemptResult.SATISFIED,
+    "INTERNAL": AttemptResult.ERRORED,
+    "RESOURCE_EXHAUSTED": AttemptResult.FULL,
+    "DEADLINE_EXCEEDED": AttemptResult.TIMEOUT,
+    "UNAVAILABLE": AttemptResult.UNREACHABLE,
+    "ABORTED": AttemptResult.BROKEN,
+    "CANCELLED": AttemptResult.CANCELLED,
+    "TOO_LATE": AttemptResult.MOOT,
+    "NOT_FOUND": AttemptResult.MISS,
 }
 HEALTH = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
-LISTS = {"INCREMENTAL": "changes", "FULL": "full", "SAVED": "saved", "FAILED": "failed"}
+LISTS = {"INCREMENTAL", "FULL", "SAVED", "FAILED"}
+COMPLETE_LISTS = {"FULL", "SAVED"}
 
 
 class WireError(Exception):
@@ -79,7 +89,8 @@
             self.out[serial] = (pending, True)
 
     # the writer
-    def push(self, query, cache, until, source, rank, age_s, join, held_only, renew):
+    def forward(self, query, attempt):
+        cache, until, source, rank, age_s, join, held_only, renew = attempt
         pending, over = self.out[query]
         self.out[query] = (pending + 1, over)
         bits = join + 2 * held_only + 8 * renew
@@ -88,31 +99,23 @@
             f"FETCH_THROUGH {self.tid[query]} {cache} {self.clock(until)} {source} {rank} {age} {bits}"
         )
 
-    def nack(self, query, retry_after_s, reason=None):
+    def reject(self, query, retry_after_s, reason=None):
         self.lines.append(f"DENY {self.tid[query]} {int(retry_after_s / NS)}")
         self.settle(query, self.out[query][0])
 
-    def error(self, query, reason=None):
+    def fail(self, query, reason=None):
         self.lines.append(f"GIVE_UP {self.tid[query]}")
         self.settle(query, self.out[query][0])
 
-    def cancel(self, query, push):
-        self.lines.append(f"UNDO_SEND {self.tid[query]} {push}")
-
-    def probe(self, cache):
-        self.lines.append(f"TOUCH {cache}")
-
-    def wake(self, token, at):
-        self.lines.append(f"SCHEDULE {token} {self.clock(at)}")
-
-    def say(self, text):
+    def log(self, text):
         self.lines.append("DEBUG " + text.replace("\n", " "))
 
     # decoding
-    def load(self, text, line):
-        if text in ("-", ""):
-            return None
-        return [number(v, line, "load figures", float) for v in text.split(",")]
+    def check_load(self, text, line):
+        """Load figures: the decisions use none, but they must be numbers."""
+        if text not in ("-", ""):
+            for figure in text.split(","):
+                number(figure, line, "load figures", float)
 
     def decode(self, word, line, lists):
         add = self.inbox.append
@@ -123,19 +126,15 @@
             serial, self.next = self.next, self.next + 1
             self.tid[serial], self.serial[v[0]], self.out[serial] = v[0], serial, (0, False)
             add(
-                (
-                    "query",
-                    (
-                        serial,
-                        self.tracks[v[2]],
-                        v[7],
-                        optional(v[1], line, "a part"),
-                        optional(v[6], line, "a group"),
-                        optional(v[8], line, "a size", float),
-                        v[4] == "1",
-                        v[5] == "1",
-                        optional(v[9], line, "a time budget") * NS,
-                    ),
+                RequestArrived(
+                    request_id=serial,
+                    request_class=self.tracks[v[2]],
+                    key=v[7],
+                    part=optional(v[1], line, "a part"),
+                    group=optional(v[6], line, "a group"),
+                    size_kb=optional(v[8], line, "a size", float),
+                    is_write=v[5] == "1",
+                    timeout_s=optional(v[9], line, "a time budget") * NS,
                 )
             )
         elif word == "OUTCOME":
@@ -146,28 +145,25 @@
             if serial is None:
                 return
             ended = flag(v[5], line)
+            number(v[1], line, "a push")
             add(
-                (
-                    "ended",
-                    (
-                        serial,
-                        number(v[1], line, "a push"),
-                        number(v[2], line, "a cache server"),
-                        RESULTS[v[3]],
-                        number(v[4], line, "a duration") * NS,
-                        ended,
-                        optional(v[6], line, "a note"),
-                        optional(v[7], line, "a duration") * NS,
-                        self.load(v[8], line),
-                    ),
+                AttemptEnded(
+                    request_id=serial,
+                    server=number(v[2], line, "a cache server"),
+                    result=RESULTS[v[3]],
+                    took_s=number(v[4], line, "a duration") * NS,
+                    is_final=ended,
+                    note=optional(v[6], line, "a note"),
+                    waited_s=optional(v[7], line, "a duration") * NS,
                 )
             )
+            self.check_load(v[8], line)
             pending, over = self.out[serial]
             self.out[serial] = (pending - 1, over or ended)
         elif word == "CLIENT_LEFT":
             serial = self.known(parts(line, 1, "CLIENT_LEFT with a request id")[0], line)
             if serial is not None:
-                add(("left", (serial,)))
+                add(RequestWithdrawn(serial))
                 self.out[serial] = (self.out[serial][0], True)
         elif word == "TARGETS":
             v = parts(line, 3, "TARGETS with three values")
@@ -177,46 +173,31 @@
                 rows = lists.get(v[2])
                 if rows is None:
                     raise WireError(f"line {line!r}: expected a list given by REGISTER, got {v[2]!r}")
-                add(("roster", (LISTS[v[0]], [self.member(r) for r in rows])))
+                add(EndpointsListed(v[0] in COMPLETE_LISTS, [self.endpoint(r) for r in rows]))
         elif word == "PURGED":
             v = parts(line, 2, "PURGED with two values")
             add(
-                (
-                    "purged",
-                    (
-                        optional(v[0], line, "a group"),
-                        optional(v[1], line, "an age") * NS,
-                        "" if v[2] == "-" else v[2],
-                    ),
+                ObjectsPurged(
+                    group=optional(v[0], line, "a group"),
+                    age_s=optional(v[1], line, "an age") * NS,
+                    key="" if v[2] == "-" else v[2],
                 )
             )
-        elif word == "RING":
-            add(("rang", (line[5:],)))
-        elif word == "HEALTH_RESULT":
+        elif word == "HEALTH_RESULT":  # no health check is ever asked for
             v = parts(line, 3, "HEALTH_RESULT with three values")
-            add(
-                (
-                    "probed",
-                    (
-                        number(v[2], line, "a cache server"),
-                        RESULTS.get(v[0], "errored"),
-                        number(v[1], line, "a duration") * NS,
-                        self.load(v[3], line),
-                    ),
-                )
-            )
+            number(v[2], line, "a cache server")
+            number(v[1], line, "a duration")
+            self.check_load(v[3], line)
         elif word == "FIRST":
             v = parts(line, 4, "FIRST with four values")
-            serial = self.known(v[0], line)
-            if serial is not None:
-                add(("started", (serial,)))
-        elif word != "PEER":
+            self.known(v[0], line)
+        elif word not in ("PEER", "RING"):
             raise WireError(f"line {line!r}: expected an event, got {word!r}")
 
-    def member(self, row):
-        """(id, health, weight, started or None, cell, kind, zone or -1)"""
+    def endpoint(self, row):
+        """One row of a list."""
         weight, born, cell, health, server, kind, zone = row
-        return (
+        return Endpoint(
             server,
             health,
             weight,
--- a/brookhinge/wirehost.py
+++ b/brookhinge/wirehost.py
@@ -4,6 +4,7 @@
 import sys
 
 from brookhinge.decide import Router
+from brookhinge.decisions.messages import AttemptEnded, RequestWithdrawn
 from brookhinge.startup import TABLE, StartError, Table, read_start
 from brookhinge.wire.codec import Instance, WireError, number, parts, read_row
 
@@ -41,7 +42,7 @@
                         f"line {line[:60]!r}...: expected settings, cannot read {fault!r}"
                     ) from None
                 instance.router = Router(number(seed, line[:60], "a seed"), **start)
-                instance.tracks = {t.name: i for i, t in enumerate(start["tracks"])}
+                instance.tracks = {t.name: i for i, t in enumerate(start["request_classes"])}
                 instance.zones = {z: i for i, z in enumerate(options.get("Zones", []))}
                 self.instances[current] = touched[current] = instance
             elif word == "DESTROY":
@@ -56,7 +57,7 @@
         for key, instance in touched.items():
             inbox, instance.inbox, instance.lines = instance.inbox, [], []
             try:
-                instance.router.round(instance.seconds(now), inbox, instance)
+                instance.router.process(instance.seconds(now), inbox, instance)
             except Exception as fault:  # the bench reports a fault of the decisions by this line
                 where = fault.__traceback__
                 while where.tb_next:
@@ -66,11 +67,14 @@
                         "\n", " "
                     )
                 ]
-            for method, values in inbox:
-                if method in ("ended", "left") and values[0] in instance.out:
-                    pending, over = instance.out[values[0]]
+            for message in inbox:
+                if (
+                    isinstance(message, (AttemptEnded, RequestWithdrawn))
+                    and message.request_id in instance.out
+                ):
+                    pending, over = instance.out[message.request_id]
                     if over:
-                        instance.settle(values[0], pending)
+                        instance.settle(message.request_id, pending)
             if instance.lines:
                 reply.append(f"CONTEXT {key}")
                 reply.extend(instance.lines)
--- a/tests/crossings/test_cold_sum.py
+++ b/tests/crossings/test_cold_sum.py
@@ -5,10 +5,11 @@
 import pytest
 
 from brookhinge.decide import ColdBudget
-from brookhinge.decisions.settings import ColdStart
+from brookhinge.decisions.messages import EndpointsListed
+from brookhinge.decisions.settings import SlowStart
 from tests.helpers import Bench
 
-START = ColdStart(0.2, 10.0, 2.5, 2.0)
+START = SlowStart(0.2, 10.0, 2.5, 2.0)
 
 
 def over(routers, seed, works, power=6.0, unequal=False, idle_s=0.0, restart_at=None, made=ColdBudget):
@@ -21,10 +22,10 @@
     usual, asked = sum(works) / len(works), []
     for i, share in enumerate(shares):
         now, rate = idle_s, 6.0 * power / usual * share / sum(shares)
-        while (now := now + chance.expovariate(rate)) < START.warm_s:
+        while (now := now + chance.expovariate(rate)) < START.warm_up_s:
             asked.append((now, i, chance.choice(works)))
     for budget in budgets:
-        budget.at[0], budget.credit[0] = 0.0, 0.0  # as Router.roster does at the telling
+        budget.at[0], budget.credit[0] = 0.0, 0.0  # as Router.on_endpoints does at the telling
     sent, worst, done = [], -1e9, 0.0
     for now, i, work in sorted(asked):
         if restart_at is not None and now >= restart_at:
@@ -36,8 +37,10 @@
             done += work
             while sent[0][0] <= now - START.window_s:
                 done -= sent.pop(0)[1]
-            can = (START.share + (1.0 - START.share) * min(1.0, now / START.warm_s)) * power
-            calls = START.multiple * can * START.window_s / usual
+            can = (
+                START.initial_share + (1.0 - START.initial_share) * min(1.0, now / START.warm_up_s)
+            ) * power
+            calls = START.overload_multiple * can * START.window_s / usual
             worst = max(worst, done / usual - calls - 2.0 * calls**0.5 - 2.0)
     assert worst > -1e9
     return worst
@@ -99,7 +102,7 @@
         rows = [b.row(c, "gone") for c in range(21, 21 + gone)] + [
             b.row(50 + n, born=b.now) for n in range(gone)
         ]
-        b.call("roster", "changes", rows)
+        b.call(EndpointsListed(False, rows))
         return b.router.power(b.router.fleet.index[30])
 
     assert 3.0 < power(0) <= power(6) < 4.1  # 0.05 s in 0.1 s at each, by each of 8 routers: 4.0
--- a/tests/crossings/test_rare.py
+++ b/tests/crossings/test_rare.py
@@ -10,6 +10,7 @@
 
 import pytest
 
+from brookhinge.decisions.settings import Idempotency
 from brookhinge.engine.commands import read_commands
 from brookhinge.engine.reducer import Reducer
 from brookhinge.net import caches as net_caches
@@ -17,7 +18,7 @@
 from brookhinge.net.calls import LONGEST_BODY
 from brookhinge.storm.lineage import Lineage
 from tests.crossings.test_sockets import Raw, warm
-from tests.helpers import Bench, Desk, Machine, configuration, settings, track
+from tests.helpers import Bench, Desk, Machine, configuration, request_class, settings
 from tests.test_service import caches, played, until
 
 HOUR_S = 3600.0
@@ -267,7 +268,7 @@
     """With storms on a retry waits for its first try's answer; what that was asked with knew nothing of the purge."""
     for group, key in ((0, "aa"), (4, "")):
         desk = Desk(tmp_path)
-        tracks = [track.name.encode() for track in desk.router.tracks]
+        tracks = [track.name.encode() for track in desk.router.request_classes]
         desk.reducer = Reducer(desk.router, tracks, list(desk.reducer.zones), Lineage())
         desk.hear(*read_commands(configuration()["known"], 0.0)[1])
         assert any("pull" in line for line in desk.ask(allow=3.0))
@@ -332,8 +333,11 @@
     """The query was read first; a copy from before the purge, or the server that drains, must not be asked for. Nor may it
     cost the query its answer."""
     desk, asked = Desk(tmp_path), []
-    real = desk.reducer.push
-    desk.reducer.push = lambda *values: (asked.append((values[1], values[5])), real(*values))
+    real = desk.reducer.forward
+    desk.reducer.forward = lambda query, attempt: (
+        asked.append((attempt.server, attempt.max_age_s)),
+        real(query, attempt),
+    )
     desk.ask()
     server = asked.pop()[0]
     desk.end(0, 1, "full")
@@ -350,13 +354,15 @@
 def test_a_query_that_runs_at_the_origin_is_not_looked_for_where_a_copy_is():
     """Another class reads the same object, which is in demand: a cache more, filled from a holder and from nowhere else, is
     no place for an effect. It would end as 'not held'."""
-    bench = Bench(tracks=[track(), track("order", "single-use", through=True)])
+    bench = Bench(
+        request_classes=[request_class(), request_class("order", Idempotency.ONCE, uncacheable=True)]
+    )
     for key in "abcdefgh":
         bench.serve(key, note=1)
     for _ in range(2):  # the third would be sent to a cache more
         bench.serve("k", note=1)
         bench.now += 0.5
-    (line,) = bench.ask("k", track=1)
+    (line,) = bench.ask("k", request_class=1)
     assert line.split()[4] in ("11", "12") and "held" not in line
 
 
--- a/tests/crossings/test_sizes.py
+++ b/tests/crossings/test_sizes.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.helpers import CACHES, Bench, track
+from tests.helpers import CACHES, Bench, request_class
 
 STEP, SECONDS, MEAN, LINK = 0.01, 40.0, 0.3, 4.0
 
@@ -15,7 +15,7 @@
 
     def __init__(self, load, seed):
         self.chance, self.load, self.now = random.Random(seed), load, 0.0
-        self.b = Bench(tracks=[track(patience_s=4.0)], weight=LINK, tells="all")
+        self.b = Bench(request_classes=[request_class(timeout_s=4.0)], weight=LINK, tells="all")
         self.left, self.sizes, self.since, self.done = {c: {} for c in CACHES}, {}, {}, {}
 
     def heed(self, lines):
--- a/tests/crossings/test_sockets.py
+++ b/tests/crossings/test_sockets.py
@@ -327,7 +327,7 @@
 
     async def scene(t, server):
         drop = {"cursor": 4, "drop": {"id": "ab" * 8, "when": int(time.time() * 1000)}}
-        t.service.reducer.router.purge_gone_s = 6.0
+        t.service.reducer.router.purge_settled_s = 6.0
         t.commands.answers.append(Commands.reply(4, drop))
         await until(lambda: t.service.reducer.cursor == 4)
         await asyncio.sleep(0.1)
--- a/tests/crossings/test_windows.py
+++ b/tests/crossings/test_windows.py
@@ -4,17 +4,27 @@
 
 import pytest
 
+from brookhinge.decisions.messages import ObjectsPurged
+from brookhinge.decisions.settings import DeduplicationScope, Idempotency
 from brookhinge.startup import Bounds
-from tests.helpers import Bench, track
+from tests.helpers import Bench, request_class
 
 MAY_RUN, NEVER_RAN = ("timeout", "broken", "errored"), ("full", "unreachable", "miss", "moot", "unsent")
 
 
-def history(seed, effect, group="all", window_s=0.9):
+def history(seed, idempotency):
     """The times of one query's pushes and which of them may have run, with random outcomes after random times."""
     chance, b, pushes, ran = (
         random.Random(seed),
-        Bench(tracks=[track(effect=effect, group=group, window_s=window_s)]),
+        Bench(
+            request_classes=[
+                request_class(
+                    idempotency=idempotency,
+                    deduplication_scope=DeduplicationScope.ALL,
+                    deduplication_window_s=0.9,
+                )
+            ]
+        ),
         [],
         [],
     )
@@ -37,7 +47,7 @@
 def test_a_further_push_stays_in_its_window(seed):
     further = 0
     for n in range(seed, seed + 100):
-        pushes, ran, lines = history(n, "referenced")
+        pushes, ran, lines = history(n, Idempotency.KEYED)
         later = [at for at in pushes if ran and at > ran[0]]
         further += len(later)
         assert all(at - ran[0] <= 0.9 - 0.1 for at in later), (n, pushes, ran)
@@ -47,19 +57,19 @@
 @pytest.mark.parametrize("seed", range(0, 200, 100))
 def test_a_single_use_query_has_no_push_after_one_that_may_have_run(seed):
     for n in range(seed, seed + 100):
-        pushes, ran, lines = history(n, "single-use")
+        pushes, ran, lines = history(n, Idempotency.ONCE)
         assert not ran or pushes[-1] == ran[0], (n, pushes, ran)
         assert not ran or lines == ["q1 error"], (n, lines)
 
 
 def test_an_answer_that_began_before_a_purge_and_ends_long_after_it_is_not_kept():
     """river-booking, calm+mass: patience of 8.1 s, a purge is heeded for 7 s; the copy kept was served 52 s too old."""
-    b = Bench(tracks=[track(patience_s=8.1)], machine=Bounds(192, 256, 1e6, 1e7))
+    b = Bench(request_classes=[request_class(timeout_s=8.1)], machine=Bounds(192, 256, 1e6, 1e7))
     b.ask("k", left=8.1, at=1.0)
     b.end(1, "miss", at=1.01)
-    b.call("purged", 0, 0.0, "", at=1.1)
+    b.call(ObjectsPurged(0, 0.0, ""), at=1.1)
     b.end(1, "satisfied", took=7.9, at=8.9, copy=(-50.0, 10_000))
-    b.call("purged", 5, 0.0, "", at=9.0)  # another group's: what is known of the first stays
+    b.call(ObjectsPurged(5, 0.0, ""), at=9.0)  # another group's: what is known of the first stays
     assert b.trace.kept == set()
     b.ask("k", left=8.1, at=9.1)
     b.end(2, "miss", at=9.11)
@@ -69,11 +79,11 @@
 
 def test_a_purge_told_while_its_object_is_forgotten_outlasts_the_answer():
     """The object is forgotten in between for want of memory: the open query's own is told all the same."""
-    b = Bench(tracks=[track(patience_s=8.1)], machine=Bounds(192, 256, 1e6, 1e7))
+    b = Bench(request_classes=[request_class(timeout_s=8.1)], machine=Bounds(192, 256, 1e6, 1e7))
     b.ask("k", left=8.1, at=1.0)
     b.end(1, "miss", at=1.01)
     b.router.docs.clear()
-    b.call("purged", 0, 0.0, "", at=1.1)
-    b.call("purged", 5, 0.0, "", at=8.8)
+    b.call(ObjectsPurged(0, 0.0, ""), at=1.1)
+    b.call(ObjectsPurged(5, 0.0, ""), at=8.8)
     b.end(1, "satisfied", took=7.9, at=8.9, copy=(-50.0, 10_000))
     assert b.trace.kept == set()
--- a/tests/engine/test_invariants.py
+++ b/tests/engine/test_invariants.py
@@ -6,10 +6,11 @@
 
 from brookhinge.decisions import rules
 from brookhinge.decisions.rules import CloseReason, HeldBack, Ran, Refusal
-from brookhinge.decisions.settings import ColdStart
+from brookhinge.decisions.settings import DeduplicationScope, Idempotency, SlowStart
+from brookhinge.decisions.sink import Attempt, Retention
 from brookhinge.engine.log import Log
 from brookhinge.engine.trace import Trace
-from tests.helpers import Desk, track
+from tests.helpers import Desk, request_class
 from tests.test_service import caches, played, until
 
 
@@ -20,7 +21,7 @@
 def push(desk, query, server="s-21", source="s-21", until=None, oldest_s=0.0):
     """Makes the decisions send this, whatever they would have sent."""
     until = desk.now + 0.5 if until is None else until
-    desk.reducer.push(query, server, until, source, 0, oldest_s, False, False, False)
+    desk.reducer.forward(query, Attempt(server, until, source, Retention.NONE, oldest_s, False, False, False))
 
 
 @pytest.fixture
@@ -81,15 +82,15 @@
 
 def test_a_refusal_that_invites_a_second_effect(desk):
     desk.ask(kind=b"order")
-    desk.router.again = lambda query, q, result: desk.reducer.nack(query, 0.0, Refusal.CROWDED)
+    desk.router.again = lambda query, q, result: desk.reducer.reject(query, 0.0, Refusal.CROWDED)
     lines = desk.end(0, 1, "broken")
     assert violations(desk) == {"effect_twice": 1} and [line.split()[0] for line in lines] == ["say", "error"]
 
 
 def test_a_second_answer(desk):
     def act(query):
-        desk.reducer.nack(query, 0.0, Refusal.CROWDED)
-        desk.reducer.nack(query, 0.0, Refusal.CROWDED)
+        desk.reducer.reject(query, 0.0, Refusal.CROWDED)
+        desk.reducer.reject(query, 0.0, Refusal.CROWDED)
 
     lines, counted = planted(desk, act)
     assert counted == {"one_answer": 1} and [line.split()[0] for line in lines] == ["nack", "say"]
@@ -97,7 +98,7 @@
 
 def test_an_attempt_after_the_answer(desk):
     def act(query):
-        desk.reducer.nack(query, 0.0, Refusal.CROWDED)
+        desk.reducer.reject(query, 0.0, Refusal.CROWDED)
         push(desk, query)
 
     lines, counted = planted(desk, act)
@@ -105,7 +106,7 @@
 
 
 def test_more_than_all_routers_may_send_to_a_cold_server(desk):
-    desk.router.cold["cache"].start = ColdStart(0.1, 60.0, 1.0, 1.0)
+    desk.router.cold["cache"].start = SlowStart(0.1, 60.0, 1.0, 1.0)
     row = ("s-22", ("127.0.0.1", 9), "edge-1", "box", 0, "ready", 4.0, desk.now)
     desk.hear(("listed", (4, False, [row])))
     desk.router.place = lambda query, q: push(desk, query, "s-22", "s-22")
@@ -135,7 +136,11 @@
 
 @pytest.mark.parametrize("group, window_s", [("all", 0.2), ("zone", 9.0), ("cell", 9.0)])
 def test_where_a_referenced_query_may_be_repeated(group, window_s):
-    kind = track(effect="referenced", group=group, window_s=window_s)
+    kind = request_class(
+        idempotency=Idempotency.KEYED,
+        deduplication_scope=DeduplicationScope(group),
+        deduplication_window_s=window_s,
+    )
     ran = Ran(zone=1, cell=2, at=10.0)
     assert rules.may_repeat(kind, ran, 1, 2, 10.05)
     assert rules.may_repeat(kind, ran, 3, 4, 10.05) is (group == "all")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,7 +5,24 @@
 import json
 
 from brookhinge.decide import Router
-from brookhinge.decisions.settings import Allowed, ColdStart, Place, Supply, Track
+from brookhinge.decisions.messages import (
+    AttemptEnded,
+    Endpoint,
+    EndpointsListed,
+    RequestArrived,
+    StoredCopy,
+)
+from brookhinge.decisions.settings import (
+    DeduplicationScope,
+    FillPolicy,
+    Idempotency,
+    Location,
+    NoteDetail,
+    RequestClass,
+    RouterLimits,
+    SiblingFills,
+    SlowStart,
+)
 from brookhinge.engine.commands import read_commands
 from brookhinge.engine.reducer import Reducer
 from brookhinge.net import thrift
@@ -15,58 +32,53 @@
 ORIGIN, PARENTS, CACHES = 1, (11, 12), (21, 22, 23, 24)
 
 
-def track(name="page", effect="replayable", **other):
+def request_class(name="page", idempotency=Idempotency.REPEATABLE, **other):
     base = dict(
         name=name,
-        effect=effect,
-        group="zone",
-        window_s=5.0,
-        contract_s=0.3,
-        stretch=2.0,
-        patience_s=3.0,
+        idempotency=idempotency,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_window_s=5.0,
+        latency_objective_s=0.3,
+        objective_stretch=2.0,
+        timeout_s=3.0,
         utility=1.0,
         late_share=0.2,
         fresh_s=0.0,
         stale_s=0.0,
         stale_share=0.5,
-        through=False,
+        uncacheable=False,
     )
-    return Track(**{**base, **other})
+    return RequestClass(**{**base, **other})
 
 
 class Trace:
-    """The writer: keeps what was decided as printed lines."""
+    """The sink: keeps what was decided as printed lines."""
 
     def __init__(self):
         self.lines, self.kept = [], set()
 
-    def push(self, query, cache, until, source, rank, age_s, join, held_only, renew):
+    def forward(self, query, attempt):
+        cache, _, source, rank, age_s, _, held_only, renew = attempt
         marks = "".join(" " + n for n, on in (("held", held_only), ("renew", renew)) if on)
         age = f" age<{age_s:.3f}" if age_s else ""
         self.lines.append(f"q{query} push {cache} from {source} rank {rank}{age}{marks}")
 
-    def nack(self, query, retry_after_s, reason=None):
+    def reject(self, query, retry_after_s, reason=None):
         self.lines.append(f"q{query} nack")
 
-    def error(self, query, reason=None):
+    def fail(self, query, reason=None):
         self.lines.append(f"q{query} error")
 
-    def cancel(self, query, push):
-        self.lines.append(f"q{query} cancel {push}")
-
-    def own(self, query, name):
+    def respond_from_copy(self, query, name):
         self.lines.append(f"q{query} own")
 
-    def keep(self, query, name):
+    def keep_copy(self, query, name):
         self.kept.add(name)
 
-    def drop(self, name):
+    def drop_copy(self, name):
         self.kept.remove(name)
 
-    def probe(self, cache):
-        self.lines.append(f"probe {cache}")
-
-    def say(self, text):
+    def log(self, text):
         self.lines.append(f"say {text}")
 
 
@@ -75,7 +87,7 @@
 
     def __init__(
         self,
-        tracks=None,
+        request_classes=None,
         siblings="location",
         caches=CACHES,
         parents=PARENTS,
@@ -89,14 +101,14 @@
         self.trace, self.now, self.next = Trace(), 0.0, 0
         self.router = Router(
             seed,
-            tracks=tracks or [track()],
-            place=Place(1, routers, routers, 0, weight > 0),
-            allowed=Allowed(6, False, True, 1.0),
-            supply=Supply(siblings, direct, True, tells, 1000.0, 0.0),
-            cold_cache=ColdStart(0.2, 10.0, 2.0, 1.0),
-            cold_parent=ColdStart(0.1, 10.0, 2.0, 1.0),
-            purge_gone_s=6.0,
-            kinds=("parent", "origin"),
+            request_classes=request_classes or [request_class()],
+            location=Location(1, routers, routers, 0, weight > 0),
+            limits=RouterLimits(6, False, True, 1.0),
+            fill_policy=FillPolicy(SiblingFills(siblings), direct, True, NoteDetail(tells), 1000.0, 0.0),
+            cache_slow_start=SlowStart(0.2, 10.0, 2.0, 1.0),
+            parent_slow_start=SlowStart(0.1, 10.0, 2.0, 1.0),
+            purge_settled_s=6.0,
+            server_kinds=("parent", "origin"),
             reports=[],
             **other,
         )
@@ -104,30 +116,30 @@
         rows = [self.row(ORIGIN, kind="origin", zone=0)] + [
             self.row(p, kind="parent", zone=0) for p in parents
         ]
-        self.call("roster", "full", rows + [self.row(c, weight=weight) for c in caches])
+        self.call(EndpointsListed(True, rows + [self.row(c, weight=weight) for c in caches]))
 
     def row(self, server, health="ready", weight=4.0, born=None, kind="box", zone=1):
-        return (server, health, weight, born, 0, kind, zone)
+        return Endpoint(server, health, weight, born, 0, kind, zone)
 
-    def call(self, method, *values, at=None):
-        """One round with one call; the lines it printed."""
+    def call(self, message, at=None):
+        """One round with one message; the lines it printed."""
         self.now = self.now + 0.01 if at is None else at
         before = len(self.trace.lines)
-        self.router.round(self.now, [(method, values)], self.trace)
+        self.router.process(self.now, [message], self.trace)
         return self.trace.lines[before:]
 
-    def ask(self, key, part=0, group=0, track=0, left=3.0, size=100.0, at=None):
+    def ask(self, key, part=0, group=0, request_class=0, left=3.0, size=100.0, at=None):
         self.next += 1
-        return self.call("query", self.next, track, key, part, group, size, False, False, left, at=at)
+        request = RequestArrived(self.next, request_class, key, part, group, size, False, left)
+        return self.call(request, at=at)
 
     def end(self, query, result, took=0.1, note=0, over=None, at=None, copy=None):
         """Ends the push that is out for a query."""
         q = self.router.queries[query]
         server = self.router.fleet.ids[q.server]
         over = result == "satisfied" if over is None else over
-        return self.call(
-            "ended", query, q.shots - 1, server, result, took, over, note, 0.0, None, copy, at=at
-        )
+        copy = copy and StoredCopy(*copy)
+        return self.call(AttemptEnded(query, server, result, took, over, note, 0.0, copy), at=at)
 
     def serve(self, key, note=2, **ask):
         """A query that is satisfied at once, after a miss if it was looked for first; what it printed."""
@@ -215,7 +227,9 @@
     def __init__(self, folder, **other):
         site = read(configuration(**other), folder)
         self.router = Router(site.seed, machine=site.bounds, **site.decisions)
-        self.reducer = Reducer(self.router, [t.name.encode() for t in site.decisions["tracks"]], site.zones)
+        self.reducer = Reducer(
+            self.router, [t.name.encode() for t in site.decisions["request_classes"]], site.zones
+        )
         self.now, self.asked = 0.0, 0
         self.hear(*read_commands(site.known, 0.0)[1])
 
--- a/tests/limits/test_shared.py
+++ b/tests/limits/test_shared.py
@@ -3,14 +3,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brookhinge.decisions.settings import ColdStart
+from brookhinge.decisions.settings import SlowStart
 from brookhinge.limits.holder import Holder
 from brookhinge.limits.keeper import Keeper, filled
 from brookhinge.limits.shared import SharedBudget, SharedCrowding
 from brookhinge.limits.terms import BEAT, LEAST, LEND, SILENT, START, TERM
 
 LIMIT = ("cache", "s-1", 5)
-START_OF = ColdStart(0.3, 20.0, 3.0, 1.0)
+START_OF = SlowStart(0.3, 20.0, 3.0, 1.0)
 
 
 @settings(max_examples=300, deadline=None)
--- a/tests/membership/test_memory.py
+++ b/tests/membership/test_memory.py
@@ -5,6 +5,7 @@
 from helpers import Bench
 
 from brookhinge.decide import Router
+from brookhinge.decisions.messages import ObjectsPurged, WarmStartReceived
 from brookhinge.membership.memory import Memory, Remembering
 from brookhinge.membership.view import ALIVE, LOST, View
 from brookhinge.standin.rig import Rig
@@ -19,7 +20,7 @@
 
 
 def told(old, new):
-    new.router.round(new.now, [("remember", (old.router.memory(),))], new.trace)
+    new.router.process(new.now, [WarmStartReceived(old.router.memory())], new.trace)
 
 
 def test_sub_ranges_sending_times_and_holders_are_taken_over():
@@ -47,8 +48,8 @@
     for _ in range(60):
         new.serve("c")
     mean = new.router.sending[0]
-    new.call("purged", 5, 0.0, "")
-    new.call("purged", -1, 0.0, "a")
+    new.call(ObjectsPurged(5, 0.0, ""))
+    new.call(ObjectsPurged(-1, 0.0, "a"))
     told(old, new)
     assert (
         new.router.sending[0] == mean and ("a", 0) not in new.router.docs and ("b", 0) not in new.router.docs
@@ -65,7 +66,7 @@
         ("holder", "x", 0, 99, 0, 9.0),
         ("song", "x", 0, "", 0, 0),
     ]
-    new.router.round(new.now, [("remember", (rows,))], new.trace)
+    new.router.process(new.now, [WarmStartReceived(rows)], new.trace)
     assert [ends for _, ends, _ in new.router.rings.rings] == before and not new.router.docs
 
 
--- a/tests/membership/test_tight.py
+++ b/tests/membership/test_tight.py
@@ -4,11 +4,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from brookhinge.decisions.messages import Endpoint, RouterCountChanged
 from brookhinge.membership.tight import WORSE, Tight
 
 
 def row(server="s", health="ready", born=None):
-    return (server, health, 4.0, born, 0, "box", 1)
+    return Endpoint(server, health, 4.0, born, 0, "box", 1)
 
 
 def test_a_drain_received_binds_until_the_own_channel_has_caught_up():
@@ -92,7 +93,7 @@
 def test_more_sharers_make_a_cold_budget_smaller_at_once():
     b = Bench(routers=4)
     rate = [cold.whole(0.5, 0.0, 4.0, 0.1) * cold.part(0, 0.0) for cold in b.router.cold.values()]
-    b.call("peers", 8, 16)
+    b.call(RouterCountChanged(8, 16))
     assert [cold.whole(0.5, 0.0, 4.0, 0.1) * cold.part(0, 0.0) for cold in b.router.cold.values()] == [
         rate[0] / 2,
         rate[1] / 4,
--- a/tests/purgelog/test_copies.py
+++ b/tests/purgelog/test_copies.py
@@ -29,7 +29,7 @@
     def __init__(self):
         self.held = {}
 
-    def drop(self, names, writer):
+    def drop(self, names, sink):
         for name in names:
             del self.held[name]
 
@@ -38,7 +38,7 @@
     """Answers from memory whatever it holds."""
 
     def __init__(self):
-        self.copies, self.writer, self.now = Held(), None, 0.0
+        self.copies, self.sink, self.now = Held(), None, 0.0
 
     def own(self, query, q):
         return (q.track, q.doc.code) in self.copies.held
--- a/tests/storm/test_decisions.py
+++ b/tests/storm/test_decisions.py
@@ -3,6 +3,7 @@
 
 from helpers import CACHES, Bench
 
+from brookhinge.decisions.messages import EndpointsListed, RequestArrived
 from brookhinge.storm.plan import Returns
 
 
@@ -14,7 +15,7 @@
 
 def ask(b, key="a", part=0, since=0.0, who=None, at=None):
     b.next += 1
-    return b.call("query", b.next, 0, key, part, 0, 100.0, False, False, 3.0, since, who, at=at)
+    return b.call(RequestArrived(b.next, 0, key, part, 0, 100.0, False, 3.0, since, who), at=at)
 
 
 def test_a_retry_counts_under_its_first_try():
@@ -40,7 +41,7 @@
 def sent(kinds, seconds=2.0, rate=100):
     """How many of each kind, (since, whether told to come), were sent to a fleet that started cold, turn about."""
     b, counts = bench(), [0] * len(kinds)
-    b.call("roster", "changes", [b.row(c, born=0.0) for c in CACHES], at=0.0)
+    b.call(EndpointsListed(False, [b.row(c, born=0.0) for c in CACHES]), at=0.0)
     for n in range(int(seconds * rate)):
         now, kind = 0.1 + n / rate, n % len(kinds)
         since, told = kinds[kind]
--- a/tests/storm/test_lineage.py
+++ b/tests/storm/test_lineage.py
@@ -83,7 +83,7 @@
     d.ask(client=1)
     d.ask(client=2)
     d.reducer.effects = []
-    d.reducer.nack(0, 0.25)
+    d.reducer.reject(0, 0.25)
     assert [d.printed(*e) for e in d.reducer.effects] == ["nack 1 1 0.25", "nack 2 2 0.25"]
 
 
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -3,6 +3,7 @@
 import pytest
 
 from brookhinge.decisions import rules
+from brookhinge.decisions.messages import EndpointsListed
 from tests.helpers import Bench, Desk, configuration
 
 HOUR_S = 3600.0
@@ -11,8 +12,8 @@
 def listening_desk(folder, **other):
     """A reducer, and the oldest copies that it asks for, as they are asked for."""
     desk, asked = Desk(folder, **other), []
-    real = desk.reducer.push
-    desk.reducer.push = lambda *values: (asked.append(values[5]), real(*values))
+    real = desk.reducer.forward
+    desk.reducer.forward = lambda query, attempt: (asked.append(attempt.max_age_s), real(query, attempt))
     return desk, asked
 
 
@@ -51,10 +52,10 @@
 )
 def test_a_server_listed_just_now_is_in_slow_start_whatever_clock_it_was_told_by(born, cold_from):
     bench = Bench()
-    bench.call("roster", "changes", [bench.row(31, born=born)], at=10.0)
+    bench.call(EndpointsListed(False, [bench.row(31, born=born)]), at=10.0)
     fleet = bench.router.fleet
     assert fleet.cold_from[fleet.index[31]] == cold_from
-    bench.call("roster", "changes", [bench.row(31, born=born)], at=90.0)  # told again: the same start
+    bench.call(EndpointsListed(False, [bench.row(31, born=born)]), at=90.0)  # told again: the same start
     assert fleet.cold_from[fleet.index[31]] == cold_from
 
 
@@ -63,7 +64,9 @@
     bench = Bench(caches=())
     fleet = bench.router.fleet
     fleet.first_at = None
-    bench.call("roster", "full", [bench.row(31, born=-HOUR_S), bench.row(32, born=-HOUR_S - 5.0)], at=10.0)
+    bench.call(
+        EndpointsListed(True, [bench.row(31, born=-HOUR_S), bench.row(32, born=-HOUR_S - 5.0)]), at=10.0
+    )
     assert [fleet.cold_from[fleet.index[server]] for server in (31, 32)] == [10.0, 5.0]
 
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,9 +1,11 @@
 """Guards: each failure found, as the decisions that answer it."""
 
-from helpers import CACHES, Bench, track
+from helpers import CACHES, Bench, request_class
 
 from brookhinge.decide import Way
 from brookhinge.decision_records import Doc
+from brookhinge.decisions.messages import EndpointsListed, ObjectsPurged
+from brookhinge.decisions.settings import Idempotency
 from brookhinge.startup import Bounds
 
 
@@ -45,7 +47,7 @@
     b = Bench(tells="all")
     fills_of_a_slow_parent(b, 40, 0.0)
     b.ask("a", part=99)
-    b.call("roster", "changes", [b.row(p, "gone", kind="parent", zone=0) for p in (11, 12)])
+    b.call(EndpointsListed(False, [b.row(p, "gone", kind="parent", zone=0) for p in (11, 12)]))
     b.end(b.next, "satisfied", note=2, took=1.5)
     assert says(b) == ["say resting parent 11: satisfied"]
 
@@ -146,14 +148,14 @@
 
 def test_ageing_copies_serve_while_fills_fail():
     """tender-portal big-2: the origin ran slow while old copies stood by."""
-    b = Bench(tracks=[track(fresh_s=5.0, stale_s=10.0, stale_share=0.7)])
+    b = Bench(request_classes=[request_class(fresh_s=5.0, stale_s=10.0, stale_share=0.7)])
     ask_failing(b, 12, "timeout")
     assert b.ask("a") == [f"q{b.next} push 21 from 12 rank 1 age<15.000 renew"]
 
 
 def test_failed_fill_without_budget_looks_for_an_ageing_copy():
     """tender-portal-later rough-2: fills failed behind the parents while old copies stood by."""
-    b = Bench(tracks=[track(fresh_s=5.0, stale_s=10.0, stale_share=0.7)])
+    b = Bench(request_classes=[request_class(fresh_s=5.0, stale_s=10.0, stale_share=0.7)])
     b.router.retries = 0.0
     assert b.ask("a") + b.end(1, "full", note=10) + b.end(1, "miss") == [
         "q1 push 21 from 12 rank 1 age<5.000 renew",
@@ -176,7 +178,7 @@
 
 def test_holder_whose_copy_has_aged_counts_as_a_fill():
     """andino-slots overload: aged copies are fetched anew, and those fetches met neither budget nor limit."""
-    b = Bench(tracks=[track(fresh_s=5.0)])
+    b = Bench(request_classes=[request_class(fresh_s=5.0)])
     b.serve("a")
     b.ask("a", at=2.0)
     b.ask("a", at=6.0)
@@ -267,12 +269,12 @@
     b = Bench()
     for n in range(100, 140):
         rows = [b.row(c) for c in CACHES[:3]] + [b.row(n)]
-        b.call("roster", "changes", rows[3:] + [b.row(n - 1, "gone")], at=n * 20.0)
+        b.call(EndpointsListed(False, rows[3:] + [b.row(n - 1, "gone")]), at=n * 20.0)
         b.serve(f"k{n}", at=n * 20.0 + 1.0)
         b.router.health.fault[b.router.fleet.index[n]] = 0.9
     fleet = b.router.fleet
     assert len(fleet.ids) <= 12 and len(fleet.index) == len(fleet.ids) == len(fleet.forgot_at)
-    b.call("roster", "changes", [b.row(999)], at=5000.0)
+    b.call(EndpointsListed(False, [b.row(999)]), at=5000.0)
     assert fleet.ids[fleet.index[999]] == 999 and fleet.index[999] not in b.router.health.fault
 
 
@@ -280,7 +282,7 @@
     b = Bench(machine=Bounds(1, 256, 0, 0))
     for n in range(500):
         b.serve(f"k{n}", at=n * 0.01)
-        b.call("purged", f"g{n}", 0.0, "", at=n * 1.0 + 0.005)
+        b.call(ObjectsPurged(f"g{n}", 0.0, ""), at=n * 1.0 + 0.005)
     assert (
         len(b.router.docs) <= 200
         and "k499" in {key for key, _ in b.router.docs}
@@ -311,7 +313,10 @@
 def test_no_copy_in_memory_outlives_its_age_a_purge_or_its_room():
     b = Bench(
         machine=Bounds(1, 256, 100_000, 400_000),
-        tracks=[track(fresh_s=5.0, stale_s=3.0), track(effect="referenced")],
+        request_classes=[
+            request_class(fresh_s=5.0, stale_s=3.0),
+            request_class(idempotency=Idempotency.KEYED),
+        ],
     )
 
     def kept(key, made, size=100, **ask):
@@ -325,10 +330,10 @@
 
     kept("k", 0.0)
     assert own(b, "k", 1, at=7.8) == ["own"] and own(b, "k", 1, at=7.95) == ["nack"]
-    kept("m", 8.0, at=8.0), b.call("purged", "", 0.0, "m", at=8.5)
+    kept("m", 8.0, at=8.0), b.call(ObjectsPurged("", 0.0, "m"), at=8.5)
     assert own(b, "m", 1, at=8.6) == ["nack"] and len(b.trace.kept) == 1
     kept("m", 8.4, at=9.0)  # what a cache answers from before the purge is not kept either
-    kept("n", 9.0, track=1)  # nor what has an effect
+    kept("n", 9.0, request_class=1)  # nor what has an effect
     assert len(b.trace.kept) == 1
     for n in range(9):
         kept(f"b{n}", 9.0, 30_000)
@@ -440,7 +445,7 @@
     budget, power = b.router.cold["cache"], 4.0
 
     def told(now, born):
-        b.router.round(now, [("roster", ("changes", [b.row(1, "ready", born=born)]))], b)
+        b.router.process(now, [EndpointsListed(False, [b.row(1, "ready", born=born)])], b)
         c = b.router.fleet.index[1]
         return c, budget.whole(now, born, power, 0.1) * budget.part(c, born)
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,6 +1,6 @@
 """The ordinary path: home, holders, sibling fills, parents, sub-ranges."""
 
-from helpers import Bench, track
+from helpers import Bench, request_class
 
 from brookhinge.decide import Rings
 
@@ -99,5 +99,5 @@
 
 
 def test_ageing_copies_are_renewed():
-    b = Bench(tracks=[track(fresh_s=5.0, stale_s=10.0)])
+    b = Bench(request_classes=[request_class(fresh_s=5.0, stale_s=10.0)])
     assert b.ask("a") == ["q1 push 21 from 12 rank 1 age<5.000 renew"]
--- a/tests/test_policy_imports.py
+++ b/tests/test_policy_imports.py
@@ -11,8 +11,17 @@
 ROOT = Path(__file__).parents[1]
 STANDARD = {"enum", "hashlib", "math", "random", "typing"}
 DECISIONS = {
-    "brookhinge.decide": {"brookhinge.decision_records", "brookhinge.roster", "brookhinge.decisions.rules"},
-    "brookhinge.decisions.rules": set(),
+    "brookhinge.decide": {
+        "brookhinge.decision_records",
+        "brookhinge.roster",
+        "brookhinge.decisions.messages",
+        "brookhinge.decisions.rules",
+        "brookhinge.decisions.settings",
+        "brookhinge.decisions.sink",
+    },
+    "brookhinge.decisions.messages": {"brookhinge.decisions.rules"},
+    "brookhinge.decisions.rules": {"brookhinge.decisions.settings"},
+    "brookhinge.decisions.sink": {"brookhinge.decisions.rules"},
     "brookhinge.roster": {"brookhinge.decisions.rules"},
     "brookhinge.decision_records": set(),
     "brookhinge.decisions.settings": set(),
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,15 +1,18 @@
 """The five rules, each as the decisions it shows in."""
 
-from helpers import Bench, track
+from helpers import Bench, request_class
+
+from brookhinge.decisions.messages import AttemptEnded, EndpointsListed, ObjectsPurged, RequestWithdrawn
+from brookhinge.decisions.settings import DeduplicationScope, Idempotency
 
 
 def test_one_final_answer():
     """After its answer or its client's leaving nothing more is sent for a query."""
     b = Bench()
     b.ask("a")
-    b.call("left", 1)
+    b.call(RequestWithdrawn(1))
     assert b.end(1, "errored", over=True) == []
-    assert b.call("ended", 1, 0, 21, "errored", 0.1, True, 0, 0.0, None) == []
+    assert b.call(AttemptEnded(1, 21, "errored", 0.1, True, 0, 0.0)) == []
     assert b.ask("b", left=0.0) == ["q2 nack"]
 
 
@@ -20,7 +23,7 @@
 
 
 def test_single_use_that_may_have_run_is_neither_repeated_nor_nacked():
-    b = Bench(tracks=[track(effect="single-use")])
+    b = Bench(request_classes=[request_class(idempotency=Idempotency.ONCE)])
     assert b.ask("a") + b.end(1, "unreachable") + b.end(1, "errored") == [
         "q1 push 21 from 12 rank 1",
         "q1 push 23 from 12 rank 1",
@@ -29,10 +32,26 @@
 
 
 def test_referenced_that_may_have_run_stays_in_its_group_and_window():
-    b = Bench(tracks=[track(effect="referenced", group="zone", window_s=1.0)])
+    b = Bench(
+        request_classes=[
+            request_class(
+                idempotency=Idempotency.KEYED,
+                deduplication_scope=DeduplicationScope.ZONE,
+                deduplication_window_s=1.0,
+            )
+        ]
+    )
     assert b.ask("a") + b.end(1, "broken") == ["q1 push 21 from 12 rank 1", "q1 push 23 from 12 rank 1"]
     assert b.end(1, "broken", at=1.2) == ["q1 error"]
-    b = Bench(tracks=[track(effect="referenced", group="all", window_s=1.0)])
+    b = Bench(
+        request_classes=[
+            request_class(
+                idempotency=Idempotency.KEYED,
+                deduplication_scope=DeduplicationScope.ALL,
+                deduplication_window_s=1.0,
+            )
+        ]
+    )
     b.ask("a")
     assert b.end(1, "broken", at=1.2) == ["q1 nack"]
 
@@ -40,13 +59,13 @@
 def test_drained_as_cache_and_as_source():
     b = Bench()
     b.serve("a")
-    b.call("roster", "changes", [b.row(21, "draining"), b.row(12, "draining", kind="parent", zone=0)])
+    b.call(EndpointsListed(False, [b.row(21, "draining"), b.row(12, "draining", kind="parent", zone=0)]))
     assert b.ask("a") == ["q2 push 22 from 11 rank 2"]
 
 
 def test_left_out_of_a_full_list_is_gone():
     b = Bench()
-    b.call("roster", "full", [b.row(1, kind="origin", zone=0), b.row(23)])
+    b.call(EndpointsListed(True, [b.row(1, kind="origin", zone=0), b.row(23)]))
     assert b.ask("a") == ["q1 push 23 from 1 rank 1"]
 
 
@@ -54,7 +73,7 @@
     b = Bench()
     b.serve("a")
     assert b.router.docs["a", 0].holders
-    b.call("roster", "changes", [b.row(21, born=0.01, weight=400.0)])
+    b.call(EndpointsListed(False, [b.row(21, born=0.01, weight=400.0)]))
     assert b.router.holders(b.router.docs["a", 0]) == []
 
 
@@ -63,7 +82,7 @@
     lines = []
     for seed in range(routers):
         b = Bench(routers=routers, seed=seed)
-        b.call("roster", "changes", [b.row(21, born=0.0), b.row(12, kind="parent", zone=0, born=0.0)])
+        b.call(EndpointsListed(False, [b.row(21, born=0.0), b.row(12, kind="parent", zone=0, born=0.0)]))
         lines += [line for i in range(each) for line in b.serve("a", part=i, at=start + 0.1 + i / each)]
     return sum(f"{server} " in line for line in lines)
 
@@ -81,11 +100,17 @@
 
 def test_power_not_told_is_guessed_low():
     """Hunt day hfe3941: with most parents just started the last warm one was asked for more than it could do."""
-    b = Bench(weight=0.0, tells="none", routers=40, parents=(11, 12, 13, 14), tracks=[track(fresh_s=60.0)])
+    b = Bench(
+        weight=0.0,
+        tells="none",
+        routers=40,
+        parents=(11, 12, 13, 14),
+        request_classes=[request_class(fresh_s=60.0)],
+    )
     for i in range(40):
         b.serve("a", part=i, at=i / 4)
     power = [round(b.router.power(b.router.fleet.index[server]), 1) for server in (11, 21)]
-    b.call("roster", "changes", [b.row(p, kind="parent", zone=0, born=9.0) for p in (11, 12, 13)])
+    b.call(EndpointsListed(False, [b.row(p, kind="parent", zone=0, born=9.0) for p in (11, 12, 13)]))
     power.append(round(b.router.power(b.router.fleet.index[11]), 1))
     assert power == [1.0, 3.7, 1.0]
 
@@ -94,8 +119,8 @@
     b = Bench()
     b.serve("a", group=5)
     b.serve("b", group=6)
-    b.call("purged", 5, 0.0, "", at=1.0)
-    b.call("purged", 6, 0.5, "b", at=1.0)
+    b.call(ObjectsPurged(5, 0.0, ""), at=1.0)
+    b.call(ObjectsPurged(6, 0.5, "b"), at=1.0)
     assert b.ask("a", group=5, at=1.1) + b.ask("b", group=6, at=1.1) + b.ask("a", group=5, at=9.0) == [
         "q3 push 21 from 12 rank 2 age<0.099",
         "q4 push 22 from 11 rank 2 age<0.599",
@@ -106,5 +131,11 @@
 
 def test_referenced_that_may_have_run_does_not_pass_by_its_group():
     """No cache is left; a parent is no member of the group that drops repeats."""
-    b = Bench(tracks=[track(effect="referenced", group="zone")], caches=(21,), direct=True)
+    b = Bench(
+        request_classes=[
+            request_class(idempotency=Idempotency.KEYED, deduplication_scope=DeduplicationScope.ZONE)
+        ],
+        caches=(21,),
+        direct=True,
+    )
     assert b.ask("a") + b.end(1, "broken") == ["q1 push 21 from 12 rank 1", "q1 error"]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -260,8 +260,8 @@
 
     async def scene(t):
         router, sizes = t.service.reducer.router, []
-        query = router.query
-        router.query = lambda *values: sizes.append(values[5]) or query(*values)
+        on_request = router.on_request
+        router.on_request = lambda request: sizes.append(request.size_kb) or on_request(request)
         t.caller.ask(1, room=None)
         t.caller.ask(2, room="0")
         t.caller.ask(3)
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -3,6 +3,7 @@
 import pytest
 from helpers import configuration, read, settings
 
+from brookhinge.decisions.settings import Idempotency
 from brookhinge.startup import StartError, read_site
 
 
@@ -19,9 +20,9 @@
         and site.lines == pytest.approx((0.2, 30.0, 32))
         and site.columns == [b"util", b"x0"]
     )
-    assert [(t.name, t.effect, t.patience_s) for t in site.decisions["tracks"]] == [
-        ("page", "replayable", 3.0),
-        ("order", "single-use", 3.0),
+    assert [(t.name, t.idempotency, t.timeout_s) for t in site.decisions["request_classes"]] == [
+        ("page", Idempotency.REPEATABLE, 3.0),
+        ("order", Idempotency.ONCE, 3.0),
     ]
 
 
