--- /dev/null
+++ b/tests/net/test_wire_bytes.py
@@ -0,0 +1,159 @@
+"""The exact bytes that the router writes on each wire, as literals."""
+
+import pytest
+
+from brookhinge.net import cachewire, http, thrift
+
+SERVE_FIELDS = {
+    b"service": b"page",
+    b"ref": b"00000000000000a1",
+    b"allow": b"2900",
+    b"lookup": b"abababababababab",
+    b"piece": b"0",
+    b"lot": b"3",
+    b"room": b"100.0",
+    b"ver": b"4be0c1927d55a6f3",
+    b"replay": b"2",
+}
+SERVE_ARGUMENTS = (
+    thrift.HEAD.pack(thrift.MAP, 1),
+    thrift.words(SERVE_FIELDS),
+    thrift.HEAD.pack(thrift.STRING, 2),
+    thrift.text(b"body"),
+    b"\0",
+)
+FORGET_ARGUMENTS = (thrift.HEAD.pack(thrift.I32, 1), thrift.INT.pack(7), b"\0")
+
+
+@pytest.mark.parametrize(
+    "message, wire",
+    [
+        (
+            thrift.message(b"serve", thrift.CALL, 7, *SERVE_ARGUMENTS),
+            "000000d880010001000000057365727665000000070d00010b0b00000009000000077365727669636500000004706167650000"
+            "0003726566000000103030303030303030303030303030613100000005616c6c6f770000000432393030000000066c6f6f6b75"
+            "7000000010616261626162616261626162616261620000000570696563650000000130000000036c6f74000000013300000004"
+            "726f6f6d000000053130302e30000000037665720000001034626530633139323764353561366633000000067265706c617900"
+            "000001320b000200000004626f647900",
+        ),
+        (
+            thrift.message(b"forget", thrift.ONEWAY, 8, *FORGET_ARGUMENTS),
+            "0000001a8001000400000006666f72676574000000080800010000000700",
+        ),
+        (thrift.message(b"isWell", thrift.CALL, -1, b"\0"), "000000138001000100000006697357656c6cffffffff00"),
+    ],
+    ids=["serve", "forget", "isWell"],
+)
+def test_a_client_call_has_these_bytes(message, wire):
+    assert message.hex() == wire
+
+
+@pytest.mark.parametrize(
+    "message, wire",
+    [
+        (
+            thrift.answer(b"serve", 7, b"object", {}, True),
+            "0000003080010002000000057365727665000000070c00000b0001000000066f626a6563740d00020b0b00000000020003010000",
+        ),
+        (
+            thrift.answer(b"serve", 2**31 - 1, b"", {b"unchanged": b"1"}, True),
+            "0000003c800100020000000573657276657fffffff0c00000b0001000000000d00020b0b0000000100000009756e6368616e67"
+            "65640000000131020003010000",
+        ),
+        (
+            thrift.answer(b"isWell", 9, b"", {}, False),
+            "0000002b8001000200000006697357656c6c000000090c00000b0001000000000d00020b0b00000000020003000000",
+        ),
+        (
+            thrift.thrown(7, 1, {b"cooldown": b"250"}),
+            "0000003280010002000000057365727665000000070c00010d00010b0b0000000100000008636f6f6c646f776e000000033235"
+            "300000",
+        ),
+        (
+            thrift.thrown(7, 1, {}),
+            "0000001f80010002000000057365727665000000070c00010d00010b0b000000000000",
+        ),
+        (
+            thrift.thrown(7, 2, {}),
+            "0000001f80010002000000057365727665000000070c00020d00010b0b000000000000",
+        ),
+        (
+            thrift.exception(b"serve", 7, thrift.PROTOCOL, "ref: missing or unusable"),
+            "0000003880010003000000057365727665000000070b0001000000187265663a206d697373696e67206f7220756e757361626c"
+            "650800020000000700",
+        ),
+        (
+            thrift.exception(b"sing", 7, thrift.UNKNOWN_METHOD, "no method sing"),
+            "0000002d800100030000000473696e67000000070b00010000000e6e6f206d6574686f642073696e670800020000000100",
+        ),
+    ],
+    ids=["object", "unchanged", "unwell", "reject with wait", "reject", "fail", "bad field", "no method"],
+)
+def test_a_reply_to_a_client_has_these_bytes(message, wire):
+    assert message.hex() == wire
+
+
+@pytest.mark.parametrize(
+    "line, wire",
+    [
+        (
+            cachewire.pull(
+                b"a1", b"page", b"7f3a", b"03", 1.2345, "s-11", 2, 0.5004, True, True, True, b"4be0", b"x\r\n"
+            ),
+            b"PULL a1 sort=page,asset=7f3a,slice=03,patience=1234,parent=s-11,shelf=2,accept=500,"
+            b"hints=merge+local+revalidate,got=4be0 3\r\nx\r\n\r\n",
+        ),
+        (
+            cachewire.pull(b"a1", b"page", b"7f3a", b"3", 0.0, None, 0, 0.0, False, False, False, None, b""),
+            b"PULL a1 sort=page,asset=7f3a,slice=3,patience=1 0\r\n\r\n",
+        ),
+        (
+            cachewire.pull(
+                b"a1",
+                b"order",
+                b"7f3a",
+                b"3",
+                3.0,
+                None,
+                0,
+                0.0001,
+                False,
+                False,
+                False,
+                None,
+                b"",
+                mark=b"1ff975",
+            ),
+            b"PULL a1 sort=order,asset=7f3a,slice=3,patience=3000,accept=1,op=1ff975 0\r\n\r\n",
+        ),
+        (
+            cachewire.pull(
+                b"a1", b"page", b"7f3a", b"3", 0.05, "s-01", 1, 0.0, False, True, False, None, b"", skip=True
+            ),
+            b"PULL a1 sort=page,asset=7f3a,slice=3,patience=50,parent=s-01,shelf=1,hints=local+skip 0\r\n\r\n",
+        ),
+        (cachewire.kill(b"a1"), b"KILL a1\r\n"),
+        (cachewire.echo(b"echo"), b"ECHO echo\r\n"),
+    ],
+    ids=["every field", "no field", "idempotency key", "cached only", "cancel", "health check"],
+)
+def test_a_line_to_a_cache_server_has_these_bytes(line, wire):
+    assert line == wire
+
+
+@pytest.mark.parametrize(
+    "message, wire",
+    [
+        (
+            http.request("127.0.0.1:9", 0, 1000),
+            b"GET /cmd/next?resume=0&block=1000 HTTP/1.1\r\nHost: 127.0.0.1:9\r\nAccept: application/json\r\n\r\n",
+        ),
+        (
+            http.request("cmd.example:8080", 41, 0),
+            b"GET /cmd/next?resume=41&block=0 HTTP/1.1\r\nHost: cmd.example:8080\r\nAccept: application/json\r\n\r\n",
+        ),
+    ],
+    ids=["wait a second", "do not wait"],
+)
+def test_a_poll_of_the_command_channel_has_these_bytes(message, wire):
+    assert message == wire
