--- /dev/null
+++ b/tests/store/test_stored_data.py
@@ -0,0 +1,118 @@
+"""Files of earlier versions are read as they were written, and the same scene still writes the same bytes."""
+
+import json
+import shutil
+from pathlib import Path
+from unittest import mock
+
+import pytest
+
+from brookhinge.store import Copy, DiskTier
+from brookhinge.store.files import Files
+from brookhinge.store.ledger import GROUP, OBJECT
+from tests.store.data.make_store import (
+    CHUNK_BYTES,
+    LIMIT_BYTES,
+    MAX_PURGED_OBJECTS,
+    SEGMENT_BYTES,
+    STORE_ID,
+    body_of,
+    write_scene,
+)
+
+VERSION1 = Path(__file__).parent / "data" / "version1"
+EXPECTED = json.loads((VERSION1 / "expected.json").read_text())
+FILES = [
+    "index-00000001.snap",
+    "index-00000002.snap",
+    "purges.log",
+    "s-00000001.seg",
+    "s-00000002.seg",
+    "s-00000003.seg",
+    "store",
+]
+
+
+def tier_in(folder):
+    return DiskTier(Files(folder), LIMIT_BYTES, SEGMENT_BYTES, most_purges=MAX_PURGED_OBJECTS)
+
+
+@pytest.fixture
+def folder(tmp_path):
+    return Path(shutil.copytree(VERSION1 / "store", tmp_path / "store"))
+
+
+def check_copies(tier, without_snapshot=False):
+    """Every copy, field by field; a date that a revalidation moved is kept by the snapshot alone."""
+    for copy in EXPECTED["copies"]:
+        name, part = copy["object"].encode(), copy["part"]
+        held = tier.look(name, part)
+        if copy["held"] is None:
+            assert held is None and tier.read(name, part) is None, name
+            continue
+        dated, group, rank, size, aside, chunks = copy["held"]
+        if without_snapshot and name == b"old-05":
+            dated = 105.0
+        assert held == (dated, group, rank, size, aside, chunks), name
+        start = CHUNK_BYTES if chunks == 2 else 0
+        found = tier.read(name, part, start, size)
+        body = body_of(name, copy["found"]["body_bytes"])
+        assert found == (copy["found"]["tag"].encode(), dated, group, rank, size, body, aside, start), name
+
+
+def check_purges(tier, opened=1):
+    """The ledger; each start writes it anew with serials that go on rising, one for each record it keeps."""
+    purges = EXPECTED["purges"]
+    ledger = tier.ledger
+    assert {name.decode(): when for name, when in ledger.objects.items()} == purges["objects"]
+    assert {str(group): when for group, when in ledger.groups.items()} == purges["groups"]
+    assert (ledger.floor, ledger.last_group) == (purges["floor"], purges["last_group"])
+    kept = 1 + len(purges["groups"]) + len(purges["objects"])
+    assert ledger.serial == purges["serial"] + (opened - 1) * kept
+
+
+def test_a_folder_of_version_1_is_read_whole(folder):
+    tier = tier_in(folder)
+    assert tier.open() == EXPECTED["opened"]
+    check_copies(tier)
+    check_purges(tier)
+    assert tier.figures() == EXPECTED["figures"]
+    tier.close()
+    again = tier_in(folder)
+    assert again.open()["parts"] == EXPECTED["figures"]["parts"]
+    check_copies(again)
+    check_purges(again, opened=2)
+    again.abandon()
+
+
+def test_a_folder_of_version_1_is_read_from_its_older_snapshot(folder):
+    (folder / "index-00000002.snap").write_bytes(b"damaged")
+    tier = tier_in(folder)
+    figures = tier.open()
+    assert (figures["pictures"], figures["damaged"]) == (1, 1)
+    check_copies(tier, without_snapshot=True)
+    check_purges(tier)
+    tier.abandon()
+
+
+def test_a_folder_of_version_1_is_read_without_snapshots(folder):
+    for path in folder.glob("*.snap"):
+        path.unlink()
+    tier = tier_in(folder)
+    figures = tier.open()
+    assert (figures["pictures"], figures["segments"], figures["damaged"]) == (0, 3, 0)
+    check_copies(tier, without_snapshot=True)
+    check_purges(tier)
+    tier.abandon()
+
+
+def test_the_same_scene_writes_the_bytes_of_version_1(tmp_path):
+    tier = tier_in(tmp_path / "store")
+    with mock.patch("secrets.randbits", return_value=STORE_ID):
+        tier.open()
+    write_scene(tier, Copy, OBJECT, GROUP)
+    tier.abandon()
+    written = {path.name: path.read_bytes() for path in (tmp_path / "store").iterdir() if path.name != "lock"}
+    assert sorted(written) == FILES
+    for name in FILES:
+        assert written[name] == (VERSION1 / "store" / name).read_bytes(), name
