--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -18,10 +18,10 @@
 
 from benchmarks import kept
 from brookhinge.store.admission import Admission
+from brookhinge.store.disk_tier import DiskTier
 from brookhinge.store.files import Files
 from brookhinge.store.index import FIELDS, Index
 from brookhinge.store.records import Copy, check_of, key_of
-from brookhinge.store.tier import DiskTier
 
 MB = 1024 * 1024
 BODY = 65536
--- a/benchmarks/store_kills.py
+++ b/benchmarks/store_kills.py
@@ -18,7 +18,7 @@
 from brookhinge.standin.caller import LineCaller
 from brookhinge.standin.origin import body_of, group_of
 from brookhinge.standin.town import Town
-from brookhinge.store.ledger import Ledger
+from brookhinge.store.purge_ledger import Ledger
 from brookhinge.store.records import FILE_HEAD
 
 GRACE_S = 0.5
--- a/brookhinge/box/service.py
+++ b/brookhinge/box/service.py
@@ -11,7 +11,7 @@
 from brookhinge.net.caches import Caches
 from brookhinge.store import Copy, DiskTier, Store
 from brookhinge.store.files import Files
-from brookhinge.store.ledger import GROUP, OBJECT
+from brookhinge.store.purge_ledger import GROUP, OBJECT
 from brookhinge.store.records import ANY_GROUP
 
 MB = 1024 * 1024
--- a/brookhinge/cli/store.py
+++ b/brookhinge/cli/store.py
@@ -77,7 +77,7 @@
 @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
 def verify(folder, as_json):
     """Reads every byte and names every place that is not what was written. Exit 1 if there is one."""
-    from brookhinge.store.check import check_folder
+    from brookhinge.store.verification import check_folder
 
     tier, _, said = opened(folder)
     bar = (
--- a/brookhinge/store/__init__.py
+++ b/brookhinge/store/__init__.py
@@ -9,8 +9,8 @@
 index. The format is written to the byte in docs/design/store.md; the sketch and its ageing are after TinyLFU (Einziger,
 Friedman, Manes, 2017), the log and its cleaning after LFS (Rosenblum, Ousterhout, 1992)."""
 
+from brookhinge.store.disk_tier import DiskTier, StoreUnusable
 from brookhinge.store.records import Copy, Found, Held
 from brookhinge.store.store import Store
-from brookhinge.store.tier import DiskTier, StoreUnusable
 
 __all__ = ["Copy", "DiskTier", "Found", "Held", "Store", "StoreUnusable"]
--- a/brookhinge/store/tier.py
+++ b/brookhinge/store/disk_tier.py
@@ -14,10 +14,10 @@
 import struct
 import threading
 
-from brookhinge.store import cleaning, picture
+from brookhinge.store import cleaning, index_snapshot
 from brookhinge.store.files import read_whole, write_whole
 from brookhinge.store.index import NONE, Index
-from brookhinge.store.ledger import GROUP, OBJECT, Ledger
+from brookhinge.store.purge_ledger import GROUP, OBJECT, Ledger
 from brookhinge.store.records import (
     ALIGN,
     CHUNK,
@@ -183,7 +183,7 @@
         self.next_picture = max(numbers, default=0) + 1
         for number in reversed(numbers):
             try:
-                _, self.serial, covered, self.index = picture.decode(
+                _, self.serial, covered, self.index = index_snapshot.decode(
                     read_whole(self.files, picture_name(number)), self.store
                 )
             except (Damaged, OtherVersion, OSError, struct.error) as fault:
@@ -766,7 +766,7 @@
             write_whole(
                 self.files,
                 picture_name(number),
-                picture.encode(self.store, number, serial, covered, live, taken),
+                index_snapshot.encode(self.store, number, serial, covered, live, taken),
             )
             for old in numbered(self.files.names(), "index-", ".snap")[:-GENERATIONS]:
                 self.files.remove(picture_name(old))
--- a/brookhinge/store/store.py
+++ b/brookhinge/store/store.py
@@ -6,12 +6,12 @@
 import time
 
 from brookhinge.store.admission import Admission
-from brookhinge.store.hands import Hands
+from brookhinge.store.disk_tier import StoreUnusable
 from brookhinge.store.health import TRIAL, Health
-from brookhinge.store.ledger import FLOOR, GROUP, OBJECT, Ledger
-from brookhinge.store.memory import Memory
+from brookhinge.store.io_workers import Hands
+from brookhinge.store.memory_tier import Memory
+from brookhinge.store.purge_ledger import FLOOR, GROUP, OBJECT, Ledger
 from brookhinge.store.records import Copy, key_of, usable
-from brookhinge.store.tier import StoreUnusable
 
 READERS, MOST_READS = 4, 64
 MOST_WRITES, MOST_BYTES = 256, 32 * 1024 * 1024
--- a/brookhinge/store/check.py
+++ b/brookhinge/store/verification.py
@@ -1,9 +1,9 @@
 """Looks through all files of an open tier for places that are not what was written."""
 
-from brookhinge.store import picture
+from brookhinge.store import index_snapshot
+from brookhinge.store.disk_tier import numbered, picture_name, segment_name
 from brookhinge.store.files import read_whole
 from brookhinge.store.records import FILE_HEAD, Damaged, OtherVersion
-from brookhinge.store.tier import numbered, picture_name, segment_name
 
 
 def check_folder(tier, said, went):
@@ -32,7 +32,7 @@
         went(segment.size)
     for number in numbered(tier.files.names(), "index-", ".snap"):
         try:
-            picture.decode(read_whole(tier.files, picture_name(number)), tier.store)
+            index_snapshot.decode(read_whole(tier.files, picture_name(number)), tier.store)
         except (Damaged, OtherVersion) as fault:
             rows.append({"file": picture_name(number), "place": "", "why": str(fault)})
     return found, rows
--- a/tests/store/data/make_store.py
+++ b/tests/store/data/make_store.py
@@ -100,9 +100,10 @@
 
 
 def main(target):
+    from brookhinge.store.ledger import GROUP, OBJECT
+
     from brookhinge.store import Copy, DiskTier
     from brookhinge.store.files import Files
-    from brookhinge.store.ledger import GROUP, OBJECT
 
     def tier_in(folder):
         return DiskTier(Files(folder), LIMIT_BYTES, SEGMENT_BYTES, most_purges=MAX_PURGED_OBJECTS)
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -14,11 +14,11 @@
 
 from brookhinge.store.admission import Admission, Sketch
 from brookhinge.store.cleaning import FULL, choose, room
+from brookhinge.store.disk_tier import DiskTier
 from brookhinge.store.health import Health
-from brookhinge.store.memory import OVERHEAD, Memory
+from brookhinge.store.memory_tier import OVERHEAD, Memory
 from brookhinge.store.records import CHUNK, Copy, Found, key_of
 from brookhinge.store.store import Store
-from brookhinge.store.tier import DiskTier
 from tests.store.simfiles import SimFiles
 
 NEVER_S = 3600.0  # longer than any test runs
--- a/tests/store/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -9,7 +9,7 @@
 
 from brookhinge.store import Copy, DiskTier
 from brookhinge.store.files import Files
-from brookhinge.store.ledger import GROUP, OBJECT
+from brookhinge.store.purge_ledger import GROUP, OBJECT
 from tests.store.data.make_store import (
     CHUNK_BYTES,
     LIMIT_BYTES,
--- a/tests/store/test_tier.py
+++ b/tests/store/test_tier.py
@@ -13,10 +13,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 from xxhash import xxh3_64_intdigest
 
+from brookhinge.store.disk_tier import DiskTier, StoreUnusable
 from brookhinge.store.files import Files, Owned
-from brookhinge.store.ledger import GROUP, OBJECT
+from brookhinge.store.purge_ledger import GROUP, OBJECT
 from brookhinge.store.records import CHUNK, Copy, key_of
-from brookhinge.store.tier import DiskTier, StoreUnusable
 from tests.store.simfiles import Crash, SimFiles
 
 KEYS = [(b"%016x" % n, part) for n in range(3) for part in range(2)]
--- a/tests/store/test_tools.py
+++ b/tests/store/test_tools.py
@@ -7,9 +7,9 @@
 
 import pytest
 
+from brookhinge.store.disk_tier import OBJECT, DiskTier
 from brookhinge.store.files import Files
 from brookhinge.store.records import Copy
-from brookhinge.store.tier import OBJECT, DiskTier
 
 
 def run(*args):
