--- a/tests/rollout/data/make_journal.py
+++ b/tests/rollout/data/make_journal.py
@@ -19,15 +19,15 @@
 
 
 def main(path):
-    from brookhinge.rollout.journal import Journal, line_of
+    from brookhinge.rollout.journal import Journal, encode_record
 
     path.unlink(missing_ok=True)
     journal = Journal(path)
-    journal.write(*RECORDS[:2])
-    journal.write(*RECORDS[2:])
+    journal.append(*RECORDS[:2])
+    journal.append(*RECORDS[2:])
     journal.close()
     with path.open("ab") as file:
-        file.write(line_of(len(RECORDS), RECORDS[2])[:TORN_BYTES])
+        file.write(encode_record(len(RECORDS), RECORDS[2])[:TORN_BYTES])
 
 
 if __name__ == "__main__":
--- a/tests/rollout/test_stored_data.py
+++ b/tests/rollout/test_stored_data.py
@@ -14,7 +14,7 @@
     journal = Journal(path)
     assert journal.records == RECORDS
     assert path.read_bytes() == VERSION1.read_bytes()[:-TORN_BYTES]
-    journal.write({"what": "epoch", "epoch": 1})
+    journal.append({"what": "epoch", "epoch": 1})
     journal.close()
     again = Journal(path)
     assert again.records == [*RECORDS, {"what": "epoch", "epoch": 1}]
@@ -24,6 +24,6 @@
 def test_the_same_records_write_the_bytes_of_form_1(tmp_path):
     journal = Journal(tmp_path / "j")
     for record in RECORDS:
-        journal.write(record)
+        journal.append(record)
     journal.close()
     assert (tmp_path / "j").read_bytes() == VERSION1.read_bytes()[:-TORN_BYTES]
