--- a/benchmarks/soak/client.py
+++ b/benchmarks/soak/client.py
@@ -29,21 +29,21 @@
 
 def serve_call(number, fields, body=b""):
     told = {key.encode(): str(value).encode() for key, value in fields.items()}
-    return thrift.message(
+    return thrift.encode_message(
         b"serve",
         thrift.CALL,
         number,
-        thrift.HEAD.pack(thrift.MAP, 1),
-        thrift.words(told),
-        thrift.HEAD.pack(thrift.STRING, 2),
-        thrift.INT.pack(len(body)) + body,
+        thrift.FIELD_HEADER.pack(thrift.MAP, 1),
+        thrift.encode_string_map(told),
+        thrift.FIELD_HEADER.pack(thrift.STRING, 2),
+        thrift.INT32.pack(len(body)) + body,
         b"\0",
     )
 
 
 def forget_call(number):
-    head = thrift.HEAD.pack(thrift.I32, 1)
-    return thrift.message(b"forget", thrift.ONEWAY, number, head, thrift.INT.pack(number), b"\0")
+    head = thrift.FIELD_HEADER.pack(thrift.I32, 1)
+    return thrift.encode_message(b"forget", thrift.ONEWAY, number, head, thrift.INT32.pack(number), b"\0")
 
 
 class Request:
@@ -133,7 +133,7 @@
         self.out.clear()
 
     async def read(self):
-        frames, paused_s = thrift.Frames(), 0.0
+        frames, paused_s = thrift.FrameSplitter(), 0.0
         try:
             while data := await self.reader.read(READ):
                 paused_s = 0.0
@@ -190,13 +190,13 @@
 def read_answer(frame):
     """(served, refused, failed or well; number; body; whether the client's copy is said to hold)"""
     reader = thrift.Reader(frame)
-    _, kind, number = thrift.read_head(reader)
+    _, kind, number = thrift.read_message_header(reader)
     if kind == thrift.EXCEPTION:
         return "failed", number, b"", False
-    _, place = next(reader.fields())
+    _, place = next(reader.read_fields())
     if place:
         return ("refused" if place == 1 else "failed"), number, b"", False
-    args = thrift.read_args(reader, {1: thrift.STRING, 2: thrift.MAP})
+    args = thrift.read_arguments(reader, {1: thrift.STRING, 2: thrift.MAP})
     return "served", number, args.get(1, b""), args.get(2, {}).get(b"unchanged") == b"1"
 
 
--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -14,10 +14,10 @@
 def no_checks():
     """The engine's own checks let everything pass."""
     from brookhinge.engine.invariants import Invariants
-    from brookhinge.net.service import Service
+    from brookhinge.net.write_guard import WriteGuard
 
     Invariants.of_attempt = lambda self, now, query, track, attempt: None
-    Service.held_back = lambda self, decided: None
+    WriteGuard.hold_reason = lambda self, decided: None
 
 
 def answer_missing():
@@ -158,8 +158,8 @@
     """Servers are told the whole time of the class."""
     from brookhinge.net import cachewire
 
-    real = cachewire.pull
-    cachewire.pull = lambda name, kind, key, part, patience_s, *rest: real(name, kind, key, part, 2.9, *rest)
+    real = cachewire.encode_pull
+    cachewire.encode_pull = lambda request_id, fetch, timeout_s: real(request_id, fetch, 2.9)
 
 
 def crash():
@@ -180,17 +180,17 @@
 
 def stop_late():
     """The end waits for clients to leave."""
-    from brookhinge.net.service import Service
+    from brookhinge.net.graceful_shutdown import GracefulShutdown
 
-    real = Service.look_for_end
+    real = GracefulShutdown.check_done
 
-    def look_for_end(self):
-        if self.front.clients:
-            asyncio.get_running_loop().call_later(0.05, self.look_for_end)
+    def check_done(self):
+        if self._client_connections.clients:
+            asyncio.get_running_loop().call_later(0.05, self.check_done)
         else:
             real(self)
 
-    Service.look_for_end = look_for_end
+    GracefulShutdown.check_done = check_done
 
 
 def wall_clock():
--- a/benchmarks/soak/server.py
+++ b/benchmarks/soak/server.py
@@ -69,7 +69,7 @@
                         tasks.pop(name).cancel()
                     elif command == "echo":
                         writer.write(wire.answer(name, b"well"))
-        except (ConnectionError, cachewire.Unreadable):
+        except (ConnectionError, cachewire.UnreadableError):
             pass
         finally:
             for task in tasks.values():
@@ -184,14 +184,14 @@
         return link
 
     async def read(self):
-        answers = cachewire.Answers()
+        answers = cachewire.AnswerSplitter()
         try:
             while data := await self.reader.read(READ):
                 for name, word, fields, body in answers.feed(data):
                     future = self.waiting.pop(name, None)
                     if future is not None and not future.done():
                         future.set_result((word, list(fields.items()), body))
-        except (ConnectionError, cachewire.Unreadable):
+        except (ConnectionError, cachewire.UnreadableError):
             pass
         self.closed = True
         self.writer.close()
@@ -203,16 +203,25 @@
         patience_s = min(pull.patience_s, world.LONGEST_S)
         tag = b"%b.%d" % (name, len(self.waiting)) if name in self.waiting else name
         self.waiting[tag] = future = asyncio.get_running_loop().create_future()
-        wanted = cachewire.pull(
-            tag, pull.sort, pull.object, b"%d" % pull.part, patience_s, beyond, 0, accept_s, True,
-            pull.local, False, None, b"",
-        )  # fmt: skip
-        self.writer.write(wanted)
+        fetch = cachewire.Fetch(
+            request_class=pull.sort,
+            object_key=pull.object,
+            part=b"%d" % pull.part,
+            source=beyond,
+            rank=0,
+            max_age_s=accept_s,
+            joins_fill=True,
+            cached_only=pull.local,
+            revalidate=False,
+            known_version=None,
+            body=b"",
+        )
+        self.writer.write(cachewire.encode_pull(tag, fetch, patience_s))
         try:
             return await asyncio.wait_for(future, patience_s)
         except asyncio.CancelledError:
             if not self.closed:
-                self.writer.write(cachewire.kill(tag))
+                self.writer.write(cachewire.encode_kill(tag))
             raise
         finally:
             self.waiting.pop(tag, None)
--- a/benchmarks/soak/witness.py
+++ b/benchmarks/soak/witness.py
@@ -56,7 +56,7 @@
         self.record, self.chance = front.witness.record, front.witness.chance
         front.witness.serial += 1
         self.number, self.up = front.witness.serial, None
-        self.commands, self.answers, self.open = wire.Commands(), cachewire.Answers(), {}
+        self.commands, self.answers, self.open = wire.Commands(), cachewire.AnswerSplitter(), {}
         self.used_at, self.held, self.unread_from = time.monotonic(), b"", None
 
     async def run(self):
--- a/brookhinge/box/lines.py
+++ b/brookhinge/box/lines.py
@@ -5,7 +5,7 @@
 from tornado.iostream import StreamClosedError
 
 from brookhinge.box import wire
-from brookhinge.net.cachewire import Unreadable
+from brookhinge.net.cachewire import UnreadableError
 from brookhinge.net.listener import Listener
 from brookhinge.net.stream import Stream
 
@@ -69,7 +69,7 @@
                     self.take(peer, command, name, rest)
         except (StreamClosedError, OSError):
             pass
-        except Unreadable as fault:
+        except UnreadableError as fault:
             self.say("peer", why=f"unreadable: {fault}")
         except Exception as fault:
             self.say("fault", where="peer", why=f"{type(fault).__name__}: {fault}")
@@ -84,7 +84,7 @@
             if name in peer.open:
                 peer.open.pop(name).cancel()
         elif name in peer.open:
-            raise Unreadable(f"the id {name[:40]!r} that is open")
+            raise UnreadableError(f"the id {name[:40]!r} that is open")
         elif len(peer.open) >= MOST_OPEN:
             peer.write(wire.answer(name, b"full"))
         else:
--- a/brookhinge/box/wire.py
+++ b/brookhinge/box/wire.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from brookhinge.net.cachewire import LONGEST_BODY, Pieces, Unreadable, read_fields
+from brookhinge.net.cachewire import MAX_BODY_BYTES, LineSplitter, UnreadableError, read_fields
 
 HEX = frozenset(b"0123456789abcdef")
 HINTS = {b"merge", b"local", b"skip", b"revalidate"}
@@ -29,7 +29,7 @@
     got: bytes  # tag of the client's copy, or b""
 
 
-class Commands(Pieces):
+class Commands(LineSplitter):
     """Commands: ("pull", id, fields, body), ("kill", id), ("echo", tag)."""
 
     @staticmethod
@@ -43,9 +43,9 @@
             or not words[1]
             or not words[3].isdigit()
             or len(words[3]) > 7
-            or int(words[3]) > LONGEST_BODY
+            or int(words[3]) > MAX_BODY_BYTES
         ):
-            raise Unreadable(f"the line {line[:80]!r}")
+            raise UnreadableError(f"the line {line[:80]!r}")
         return ("pull", words[1], words[2]), int(words[3])
 
 
--- a/brookhinge/client/client.py
+++ b/brookhinge/client/client.py
@@ -47,19 +47,19 @@
     async def read(self, reader):
         try:
             while True:
-                (size,) = thrift.INT.unpack(await reader.readexactly(4))
+                (size,) = thrift.INT32.unpack(await reader.readexactly(4))
                 if not 0 < size <= 1 << 20:
-                    raise thrift.Unreadable(f"a frame of {size} bytes")
+                    raise thrift.UnreadableError(f"a frame of {size} bytes")
                 frame = thrift.Reader(await reader.readexactly(size))
-                _, kind, number = thrift.read_head(frame)
+                _, kind, number = thrift.read_message_header(frame)
                 future = self.waiting.pop(number, None)
                 if future is not None and not future.done():
                     future.set_result(read_answer(frame, kind))
         except (
             ConnectionError,
             asyncio.IncompleteReadError,
-            thrift.Unreadable,
-            thrift.Unusable,
+            thrift.UnreadableError,
+            thrift.InvalidCallError,
             StopIteration,
         ):
             pass
@@ -77,7 +77,7 @@
                 return GONE
             number = next(self.numbers)
             self.waiting[number] = future = asyncio.get_running_loop().create_future()
-            self.writer.write(thrift.message(method, thrift.CALL, number, *args, b"\0"))
+            self.writer.write(thrift.encode_message(method, thrift.CALL, number, *args, b"\0"))
             try:
                 return await asyncio.wait_for(future, within_s)
             except TimeoutError:
@@ -91,12 +91,12 @@
         self.waiting.pop(number, None)
         if self.open:
             self.writer.write(
-                thrift.message(
+                thrift.encode_message(
                     b"forget",
                     thrift.ONEWAY,
                     number,
-                    thrift.HEAD.pack(thrift.I32, 1),
-                    thrift.INT.pack(number),
+                    thrift.FIELD_HEADER.pack(thrift.I32, 1),
+                    thrift.INT32.pack(number),
                     b"\0",
                 )
             )
@@ -104,7 +104,10 @@
     async def ask(self, fields, within_s):
         told = {key.encode(): str(value).encode() for key, value in fields.items()}
         return await self.call(
-            b"serve", thrift.HEAD.pack(thrift.MAP, 1), thrift.words(told), within_s=within_s
+            b"serve",
+            thrift.FIELD_HEADER.pack(thrift.MAP, 1),
+            thrift.encode_string_map(told),
+            within_s=within_s,
         )
 
     async def well(self):
@@ -117,15 +120,15 @@
 
 
 def read_answer(frame, kind):
-    _, place = next(frame.fields())
+    _, place = next(frame.read_fields())
     if kind == thrift.EXCEPTION:
-        return Answer("failed", b"", False, 0.0, frame.text().decode("utf-8", "replace"))
+        return Answer("failed", b"", False, 0.0, frame.read_string().decode("utf-8", "replace"))
     if place:
-        fields = thrift.read_args(frame, {1: thrift.MAP}).get(1, {})
+        fields = thrift.read_arguments(frame, {1: thrift.MAP}).get(1, {})
         told = fields.get(b"cooldown", b"0")
         wait = int(told) / 1000.0 if told.isdigit() and len(told) < 8 else 0.0
         return Answer("refused" if place == 1 else "failed", b"", False, wait if place == 1 else 0.0, "")
-    args = thrift.read_args(frame, {1: thrift.STRING, 2: thrift.MAP})
+    args = thrift.read_arguments(frame, {1: thrift.STRING, 2: thrift.MAP})
     return Answer("satisfied", args.get(1, b""), args.get(2, {}).get(b"unchanged") == b"1", 0.0, "")
 
 
--- a/brookhinge/net/caches.py
+++ b/brookhinge/net/caches.py
@@ -32,11 +32,10 @@
     name: bytes
     until: float  # when its answer is wanted no more
     since: float  # when it came here
-    before: tuple  # arguments of cachewire.pull before the time left, and
-    after: tuple  # those after it
+    fetch: cachewire.Fetch
 
     def wire(self, now):
-        return cachewire.pull(self.name, *self.before, self.until - now, *self.after)
+        return cachewire.encode_pull(self.name, self.fetch, self.until - now)
 
 
 class Line:
@@ -45,7 +44,13 @@
     def __init__(self, server, stream, now):
         self.server, self.stream, self.up, self.closed, self.retired = server, stream, False, False, False
         self.used_at, self.heard_at, self.asked_at = now, now, None
-        self.out, self.spent, self.waiting, self.answers, self.looks = {}, set(), {}, cachewire.Answers(), 0
+        self.out, self.spent, self.waiting, self.answers, self.looks = (
+            {},
+            set(),
+            {},
+            cachewire.AnswerSplitter(),
+            0,
+        )
         self.killed, self.stuck_at = (
             set(),
             None,
@@ -57,7 +62,7 @@
     def stuck(self):
         """Part of an answer has come that no push waits for: what follows it would wait for its rest."""
         head = self.answers.head
-        return head[0] not in self.out if head is not None else bool(self.answers.held) and not self.out
+        return head[0] not in self.out if head is not None else bool(self.answers.buffered) and not self.out
 
 
 class Caches:
@@ -102,7 +107,9 @@
         line = self.choose(server, name)
         if line is None:  # no descriptor left for one more: nothing was sent
             return self.end(query, push, "unreachable")
-        decided = Decided(query, push, server, name, until, self.now(), (kind, key, part), request)
+        decided = Decided(
+            query, push, server, name, until, self.now(), cachewire.Fetch(kind, key, part, *request)
+        )
         self.put(line, decided)
 
     def stale(self, effect, values):
@@ -172,7 +179,7 @@
             line.retired |= line.asked_at is not None
             line.killed.add(name)
             self.spend(line, name)
-            self.write(line, cachewire.kill(name))
+            self.write(line, cachewire.encode_kill(name))
             if line.stream.writing():  # it may not arrive: closing gives it up for sure
                 self.close(line, CloseReason.UNSENT)
         self.settle(line)
@@ -261,7 +268,7 @@
             pass
         except TimeoutError:
             why = "no connection in time"
-        except cachewire.Unreadable as fault:
+        except cachewire.UnreadableError as fault:
             why, reason = f"unreadable: {fault}", CloseReason.UNREADABLE
         except Exception as fault:
             why, reason = f"{type(fault).__name__}: {fault}", CloseReason.FAILED
@@ -287,10 +294,10 @@
         ):  # a second answer or of an id that nobody asked for: it is not to be trusted further
             line.retired = True
             return self.settle(line)
-        result, note, waited, load, dated, digest, lot = cachewire.read_result(word, fields, self.columns)
+        answer = cachewire.read_result(word, fields, self.columns)
         line.used_at = came
         query, push, _ = line.out.pop(name)
-        if result != "satisfied":  # a further push may follow, and a second copy of this answer
+        if answer.result != "satisfied":  # a further push may follow, and a second copy of this answer
             self.spend(line, name)
         del self.where[query, push]
         self.post(
@@ -298,16 +305,16 @@
             (
                 query,
                 push,
-                result,
-                note,
-                waited,
-                load,
+                answer.result,
+                answer.note,
+                answer.source_wait_s,
+                answer.load_report,
                 body,
-                word == b"unchanged",
+                word == cachewire.UNCHANGED,
                 came,
-                None if dated is None else dated - self.start,
-                digest,
-                lot,
+                None if answer.dated_at is None else answer.dated_at - self.start,
+                answer.version,
+                answer.purge_group,
             ),
         )
         self.settle(line)
@@ -364,9 +371,9 @@
                     self.close(line, CloseReason.IDLE)
             elif quiet <= most:
                 line.looks = 0
-            elif line.asked_at is None and not line.answers.held:
+            elif line.asked_at is None and not line.answers.buffered:
                 line.asked_at, line.looks = now, 0
-                self.write(line, cachewire.echo(ECHO))
+                self.write(line, cachewire.encode_echo(ECHO))
             elif line.looks < LOOKS:
                 line.looks += 1
             else:
--- a/brookhinge/net/cachewire.py
+++ b/brookhinge/net/cachewire.py
@@ -1,6 +1,18 @@
-"""Cache servers' wire: lines of words, bodies by length. Parses and encodes bytes, no I/O."""
+"""The lines that routers and cache servers exchange: words, with bodies by length. No I/O.
 
-LONGEST_LINE, LONGEST_BODY = 4096, 240_000
+This module is the only one of the router that knows the names of this wire.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import NamedTuple
+
+MAX_LINE_BYTES = 4096
+MAX_BODY_BYTES = 240_000
+LINE_END = b"\r\n"
+
+# Results of an attempt, by the word of its answer.
 RESULTS = {
     b"data": "satisfied",
     b"unchanged": "satisfied",
@@ -9,153 +21,231 @@
     b"failed": "errored",
     b"moot": "moot",
 }
-NOTES = {
-    note: i + 1
-    for i, note in enumerate(
-        (
-            b"hit",
-            b"filled",
-            b"via_origin",
-            b"joined",
-            b"stale",
-            b"src_refused",
-            b"src_broke",
-            b"src_lacks",
-            b"no_slot",
-            b"origin_failed",
-        )
-    )
-}
+UNCHANGED = b"unchanged"
+# Notes on how a server came to its result; the decisions know them by number, from 1.
+_NOTE_NAMES = (
+    b"hit",
+    b"filled",
+    b"via_origin",
+    b"joined",
+    b"stale",
+    b"src_refused",
+    b"src_broke",
+    b"src_lacks",
+    b"no_slot",
+    b"origin_failed",
+)
+NOTES = {name: number for number, name in enumerate(_NOTE_NAMES, 1)}
+
+
+class UnreadableError(Exception):
+    """Bytes that can't be read as this protocol; the connection they came on is closed."""
 
 
-class Unreadable(Exception):
-    """Bytes that can't be read as this protocol; the connection they came on is closed."""
+class Fetch(NamedTuple):
+    """What a cache server is asked for, apart from the id and the time left.
+
+    Bytes are passed on as the client sent them.
+    """
+
+    request_class: bytes
+    object_key: bytes
+    part: bytes
+    source: str | None  # the server to fill from; None: no fill
+    rank: int  # for eviction; 0: none
+    max_age_s: float  # the oldest copy that will do; 0: the class's own bound
+    joins_fill: bool  # may wait for a fill that is under way
+    cached_only: bool  # may not fill
+    revalidate: bool
+    known_version: bytes | None  # tag of the copy that the client has
+    body: bytes
+    skips_cache: bool = False
+    idempotency_key: bytes | None = None
+
+
+class AnswerLine(NamedTuple):
+    """An answer as it came."""
+
+    request_id: bytes
+    word: bytes
+    fields: dict[bytes, bytes]
+    body: bytes
 
 
-def pull(
-    name,
-    kind,
-    key,
-    part,
-    patience_s,
-    source,
-    rank,
-    age_s,
-    join,
-    held_only,
-    renew,
-    tag,
-    body,
-    skip=False,
-    mark=None,
-):
+class Result(NamedTuple):
+    """What an answer says."""
+
+    result: str  # one of RESULTS
+    note: int  # one of NOTES; 0: none
+    source_wait_s: float  # how long the server waited for its source
+    load_report: list[float] | None
+    dated_at: float | None  # when the copy was made, in Unix seconds
+    version: bytes | None  # tag of the copy
+    purge_group: bytes | None
+
+
+def encode_pull(request_id: bytes, fetch: Fetch, timeout_s: float) -> bytes:
+    """Encode an attempt, with the time that is left for its answer."""
     fields = [
-        b"sort=" + kind,
-        b"asset=" + key,
-        b"slice=" + part,
-        b"patience=%d" % max(1, int(patience_s * 1000)),
-    ]
-    if source:
-        fields.append(b"parent=" + source.encode())
-    if rank:
-        fields.append(b"shelf=%d" % rank)
-    if age_s > 0:
-        fields.append(b"accept=%d" % max(1, int(age_s * 1000)))
-    hints = [
-        word
-        for word, on in ((b"merge", join), (b"local", held_only), (b"skip", skip), (b"revalidate", renew))
-        if on
+        b"sort=" + fetch.request_class,
+        b"asset=" + fetch.object_key,
+        b"slice=" + fetch.part,
+        b"patience=%d" % max(1, int(timeout_s * 1000)),
     ]
+    if fetch.source:
+        fields.append(b"parent=" + fetch.source.encode())
+    if fetch.rank:
+        fields.append(b"shelf=%d" % fetch.rank)
+    if fetch.max_age_s > 0:
+        fields.append(b"accept=%d" % max(1, int(fetch.max_age_s * 1000)))
+    hints = _hints(fetch)
     if hints:
         fields.append(b"hints=" + b"+".join(hints))
-    if tag:
-        fields.append(b"got=" + tag)
-    if mark:
-        fields.append(b"op=" + mark)
-    return b"PULL %b %b %d\r\n%b\r\n" % (name, b",".join(fields), len(body), body)
+    if fetch.known_version:
+        fields.append(b"got=" + fetch.known_version)
+    if fetch.idempotency_key:
+        fields.append(b"op=" + fetch.idempotency_key)
+    return b"PULL %b %b %d\r\n%b\r\n" % (request_id, b",".join(fields), len(fetch.body), fetch.body)
 
 
-def kill(name):
-    return b"KILL %b\r\n" % name
+def _hints(fetch: Fetch) -> list[bytes]:
+    hints = []
+    if fetch.joins_fill:
+        hints.append(b"merge")
+    if fetch.cached_only:
+        hints.append(b"local")
+    if fetch.skips_cache:
+        hints.append(b"skip")
+    if fetch.revalidate:
+        hints.append(b"revalidate")
+    return hints
 
 
-def echo(tag):
+def encode_kill(request_id: bytes) -> bytes:
+    """Encode that an attempt is given up."""
+    return b"KILL %b\r\n" % request_id
+
+
+def encode_echo(tag: bytes) -> bytes:
+    """Encode a health check of the connection; the answer bears the tag as its id."""
     return b"ECHO %b\r\n" % tag
 
 
-class Pieces:
-    """Cuts a stream of bytes, in any pieces, into lines with the bodies that they announce. A kind of line says in
-    `begin(line)` what it is and how many bytes follow, or None where none do."""
+class LineSplitter:
+    """Cuts a stream of bytes, in any pieces, into lines with the bodies that they announce.
+
+    Attributes:
+        buffered: Bytes that belong to no item yet.
+        head: The values of a line whose body has not come whole, or None.
+    """
 
-    def __init__(self):
-        self.held, self.head, self.size = bytearray(), None, 0
+    def __init__(self) -> None:
+        self.buffered = bytearray()
+        self.head: tuple | None = None
+        self._body_size = 0
 
-    def feed(self, data):
-        held, at, items = self.held, 0, []
-        held += data
+    @staticmethod
+    def begin(line: bytes) -> tuple[tuple, int | None]:
+        """Return the values of a line, and how many bytes follow as its body; None where none do.
+
+        Raises:
+            UnreadableError: The line cannot be read.
+        """
+        raise NotImplementedError
+
+    def feed(self, data: bytes) -> list[tuple]:
+        """Return the items that are complete with `data`: the values of the line, and its body if it has one.
+
+        Raises:
+            UnreadableError: The bytes are not of this protocol.
+        """
+        buffered = self.buffered
+        buffered += data
+        position = 0
+        items = []
         while True:
             if self.head is None:
-                end = held.find(b"\r\n", at, at + LONGEST_LINE)
-                if end < 0:
-                    if len(held) - at >= LONGEST_LINE:
-                        raise Unreadable("a line that is too long")
+                line_end = buffered.find(LINE_END, position, position + MAX_LINE_BYTES)
+                if line_end < 0:
+                    if len(buffered) - position >= MAX_LINE_BYTES:
+                        raise UnreadableError("a line that is too long")
                     break
-                head, size = self.begin(bytes(held[at:end]))
-                at = end + 2
-                if size is None:
+                head, body_size = self.begin(bytes(buffered[position:line_end]))
+                position = line_end + len(LINE_END)
+                if body_size is None:
                     items.append(head)
                     continue
-                self.head, self.size = head, size
-            end = at + self.size
-            if len(held) < end + 2:
+                self.head = head
+                self._body_size = body_size
+            body_end = position + self._body_size
+            item_end = body_end + len(LINE_END)
+            if len(buffered) < item_end:
                 break
-            if held[end : end + 2] != b"\r\n":
-                raise Unreadable("a body that does not end with its length")
-            items.append((*self.head, bytes(held[at:end])))
-            self.head, at = None, end + 2
-        del held[:at]
+            if buffered[body_end:item_end] != LINE_END:
+                raise UnreadableError("a body that does not end with its length")
+            items.append((*self.head, bytes(buffered[position:body_end])))
+            self.head = None
+            position = item_end
+        del buffered[:position]
         return items
 
 
-class Answers(Pieces):
-    """Answers: (id, word, fields, body)."""
+class AnswerSplitter(LineSplitter):
+    """Cuts what a cache server sends into answers; each item has the values of an `AnswerLine`."""
 
     @staticmethod
-    def begin(line):
-        return read_head(line)
+    def begin(line: bytes) -> tuple[tuple[bytes, bytes, dict[bytes, bytes]], int]:
+        """Return id, word and fields of an answer, and the size of its body.
+
+        Raises:
+            UnreadableError: The line cannot be read.
+        """
+        words = line.split(b" ")
+        if len(words) != 4 or not is_body_size(words[3]):
+            raise UnreadableError(f"the line {line[:80]!r}")
+        request_id, word, fields, size = words
+        return (request_id, word, read_fields(fields)), int(size)
 
 
-def read_head(line):
-    words = line.split(b" ")
-    if len(words) != 4 or not words[3].isdigit() or len(words[3]) > 7 or int(words[3]) > LONGEST_BODY:
-        raise Unreadable(f"the line {line[:80]!r}")
-    name, word, fields, size = words
-    return (name, word, read_fields(fields)), int(size)
+def is_body_size(text: bytes) -> bool:
+    """Return whether a word is the size of a body, within its bound."""
+    return text.isdigit() and len(text) <= 7 and int(text) <= MAX_BODY_BYTES
 
 
-def read_fields(text):
+def read_fields(text: bytes) -> dict[bytes, bytes]:
+    """Read name=value pairs; `-` stands for none."""
     if text in (b"-", b""):
         return {}
     return dict(pair.partition(b"=")[::2] for pair in text.split(b","))
 
 
-def read_result(word, fields, columns):
-    """(result, note, seconds waited for the source, load report or None, Unix time of the copy or None, its tag, its
-    group or None) of an answer."""
+def read_result(word: bytes, fields: dict[bytes, bytes], load_columns: Sequence[bytes]) -> Result:
+    """Read what an answer says.
+
+    Args:
+        word: Of the answer.
+        fields: Of the answer.
+        load_columns: The names whose values make up a load report, in this order; none: reports are not read.
+
+    Raises:
+        UnreadableError: The word is unknown, or a field is no number.
+    """
     try:
-        load = None
-        if columns and b"l" in fields:
-            told = dict(pair.partition(b":")[::2] for pair in fields[b"l"].split(b";"))
-            load = [float(told.get(name, 0.0)) for name in columns]
-        dated = float(fields[b"dated"]) / 1000.0 if b"dated" in fields else None
-        return (
-            RESULTS[word],
-            NOTES.get(fields.get(b"n"), 0),
-            float(fields.get(b"first", 0.0)) / 1000.0,
-            load,
-            dated,
-            fields.get(b"digest"),
-            fields.get(b"lot"),
+        return Result(
+            result=RESULTS[word],
+            note=NOTES.get(fields.get(b"n"), 0),
+            source_wait_s=float(fields.get(b"first", 0.0)) / 1000.0,
+            load_report=_read_load_report(fields.get(b"l"), load_columns),
+            dated_at=float(fields[b"dated"]) / 1000.0 if b"dated" in fields else None,
+            version=fields.get(b"digest"),
+            purge_group=fields.get(b"lot"),
         )
     except (KeyError, ValueError):
-        raise Unreadable(f"the answer {word!r} {fields!r:.80}") from None
+        raise UnreadableError(f"the answer {word!r} {fields!r:.80}") from None
+
+
+def _read_load_report(text: bytes | None, columns: Sequence[bytes]) -> list[float] | None:
+    if text is None or not columns:
+        return None
+    values = dict(pair.partition(b":")[::2] for pair in text.split(b";"))
+    return [float(values.get(column, 0.0)) for column in columns]
--- a/brookhinge/net/channel.py
+++ b/brookhinge/net/channel.py
@@ -47,7 +47,7 @@
             try:
                 status, body, kept = await within(self.ask(), self.block_s + self.slack_s, self.watch)
                 if status != 200:
-                    raise http.Unreadable(f"status {status}")
+                    raise http.UnreadableError(f"status {status}")
                 cursor, commands = read_commands(body, self.start)
                 if not kept:
                     self.close()
@@ -57,7 +57,7 @@
                 continue
             except (TimeoutError, StreamClosedError, OSError) as fault:
                 why = type(fault).__name__
-            except (http.Unreadable, NoCommands) as fault:
+            except (http.UnreadableError, NoCommands) as fault:
                 why = str(fault)
             except Exception as fault:
                 why = f"{type(fault).__name__}: {fault}"
@@ -72,21 +72,21 @@
     async def ask(self):
         if self.stream is None or self.stream.closed():
             self.stream = Stream(
-                socket.socket(socket.AF_INET, socket.SOCK_STREAM), max_buffer_size=2 * http.LONGEST_BODY
+                socket.socket(socket.AF_INET, socket.SOCK_STREAM), max_buffer_size=2 * http.MAX_BODY_BYTES
             )
             self.stream.set_nodelay(True)
             await self.stream.connect(self.address)
-        stream, answer = self.stream, http.Answer()
+        stream, answer = self.stream, http.ResponseParser()
         block_s = 0.0 if self.is_behind() else self.block_s
         self.asked_at = self.now()
         self.waits_until = self.asked_at + block_s
-        await stream.write(http.request("%s:%d" % self.address, self.cursor, int(block_s * 1000)))
+        await stream.write(http.encode_poll("%s:%d" % self.address, self.cursor, int(block_s * 1000)))
         while True:
             self.received = stream.read_bytes(65536, partial=True)
             try:
                 done = answer.feed(await self.received)
             except StreamClosedError:
-                done = answer.ended()
+                done = answer.end()
             if done is not None:
                 self.waits_until = None
                 return done
--- /dev/null
+++ b/brookhinge/net/fleet_wiring.py
@@ -0,0 +1,189 @@
+"""What a router of a fleet shares with its peers, as its block `fleet` of the operator's file says.
+
+The packages of the fleet are imported only where the block turns them on: a router without peers does not
+pay for them.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from brookhinge.decide import Router
+from brookhinge.engine.reducer import Reducer
+from brookhinge.startup import Site
+
+if TYPE_CHECKING:
+    from brookhinge.membership.talk import Talk
+    from brookhinge.membership.tight import Tight
+    from brookhinge.operator.schema import Control, Fleet
+    from brookhinge.purgelog.client import LogClient
+
+JOIN_RETRY_S = 0.05  # between two tries to bind the address that the process before still holds
+
+
+def safety_notices(started_at: float) -> Tight:
+    """Return the store of what peers tell that tightens a rule.
+
+    Args:
+        started_at: When this router started, in Unix seconds.
+    """
+    from brookhinge.membership.tight import Tight
+
+    return Tight(started_at)
+
+
+def router_class(fleet: Fleet | None) -> type[Router]:
+    """Return the class of the decisions, extended by what the fleet shares."""
+    extensions = []
+    if fleet is not None and fleet.share_limits:
+        from brookhinge.limits.shared import Sharing
+
+        extensions.append(Sharing)
+    if fleet is not None and fleet.share_verdicts:
+        from brookhinge.verdicts.shared import Judging
+
+        extensions.append(Judging)
+    if fleet is not None and fleet.share_memory:
+        from brookhinge.membership.memory import Remembering
+
+        extensions.append(Remembering)
+    if fleet is not None and fleet.purge_log:
+        from brookhinge.purgelog.copies import ProvenCopies
+
+        extensions.append(ProvenCopies)
+    return type("Router", (*extensions, Router), {}) if extensions else Router
+
+
+class FleetLink:
+    """This router's membership in the fleet, and its client of the purge log where there is one.
+
+    Attributes:
+        before_round: Functions to call before each round; what they post goes before all else.
+    """
+
+    def __init__(
+        self,
+        fleet: Fleet,
+        controls: dict[str, Control],
+        *,
+        site: Site,
+        reducer: Reducer,
+        post: Callable[[str, tuple], None],
+        log: Callable[..., None],
+    ) -> None:
+        from brookhinge.membership.talk import Talk
+
+        place = site.decisions["place"]
+        configured_sizes = (place.routers_here, place.routers)
+        self._fleet = fleet
+        self._reducer = reducer
+        self._log = log
+        self._talk: Talk = Talk(fleet, site.seed, configured_sizes, post, log)
+        self._purge_log: LogClient | None = None
+        self.before_round = [self._talk.before]
+        if fleet.share_limits:
+            self._share_limits()
+        if fleet.share_memory:
+            self._share_warm_start_state()
+        if fleet.share_verdicts:
+            self._share_outlier_evidence()
+        if fleet.purge_log:
+            self._read_purge_log(controls, post)
+
+    def _share_limits(self) -> None:
+        from brookhinge.limits.limits import Limits
+
+        self._talk.add(
+            lambda talk, now: Limits(
+                talk.peer.view,
+                self._fleet.name,
+                self._fleet.zone,
+                talk.peer.version,
+                lambda: talk.counted,
+                self._reducer.demand,
+                now,
+            )
+        )
+
+    def _share_warm_start_state(self) -> None:
+        from brookhinge.membership.memory import Memory
+
+        self._talk.add(
+            lambda talk, now: Memory(
+                talk.peer.view,
+                self._fleet.name,
+                self._fleet.zone,
+                talk.peer.version,
+                self._reducer.router.memory,
+                now,
+            )
+        )
+
+    def _share_outlier_evidence(self) -> None:
+        from brookhinge.verdicts.verdicts import Verdicts
+
+        servers = self._reducer.router.fleet
+        self._talk.add(
+            lambda talk, now: Verdicts(
+                talk.peer.view,
+                self._fleet.name,
+                self._fleet.zone,
+                talk.peer.version,
+                lambda: talk.counted[0],
+                self._reducer.seen,
+                lambda: len(servers.own),
+                now,
+            )
+        )
+
+    def _read_purge_log(self, controls: dict[str, Control], post: Callable[[str, tuple], None]) -> None:
+        from brookhinge.purgelog.client import LogClient
+
+        self._purge_log = self._talk.purge_log = LogClient(self._fleet, controls, post, self._log)
+        self.before_round.append(self._purge_log.before)
+
+    def spread(self, kind: str, *values: object) -> None:
+        """Tell the peers something that tightens a rule.
+
+        Purges are left out where the settings say so, for as long as the purge log delivers them.
+        """
+        is_in_purge_log = (
+            kind == "purge" and self._purge_log is not None and self._purge_log.replaces_notices()
+        )
+        if not is_in_purge_log:
+            self._talk.spread(kind, *values)
+
+    async def join(self) -> None:
+        """Begin to exchange messages with the peers and to read the purge log.
+
+        Raises:
+            OSError: The address of the fleet cannot be bound.
+        """
+        if self._purge_log is not None and self._purge_log.closed():
+            await self._purge_log.start()
+        await self._talk.start()
+
+    async def join_after_predecessor(self) -> None:
+        """Join the fleet once the process before this one has left it.
+
+        The two have the same name and address.
+        """
+        while True:
+            try:
+                await self.join()
+            except OSError as error:
+                if error.errno != errno.EADDRINUSE:
+                    self._log("fault", where="fleet", why=str(error))
+                    return
+            else:
+                return
+            await asyncio.sleep(JOIN_RETRY_S)
+
+    async def leave(self) -> None:
+        """Leave the fleet; this router's share of the limits was in use until now."""
+        if self._purge_log is not None:
+            self._purge_log.stop()
+        await self._talk.leave()
--- a/brookhinge/net/front.py
+++ b/brookhinge/net/front.py
@@ -9,15 +9,14 @@
 
 from brookhinge import rules
 from brookhinge.engine.invariants import Invariant
-from brookhinge.net import stream, thrift
-from brookhinge.net.arrivals import Arrivals
-from brookhinge.net.calls import read_query
+from brookhinge.net import client_protocol, stream, thrift
 from brookhinge.net.listener import Listener
+from brookhinge.net.receive_times import ReceiveTimes
+from brookhinge.net.request_validation import validate_request
 from brookhinge.net.stream import Stream
 from brookhinge.rules import CloseReason, HeldBack
 
 PIECE = 64 * 1024
-WANTED = {b"serve": {1: thrift.MAP, 2: thrift.STRING}, b"forget": {1: thrift.I32}, b"isWell": {}}
 FRAME_S = 2.2  # from the connect to the first query, and from a frame's first byte to its last
 IDLE_S = 10.0  # a connection that has asked and has nothing open; usual clients close theirs before
 SPARE = 16  # closed at once when the share of descriptors is reached
@@ -84,14 +83,14 @@
         self.clients, self.serial, self.unread, self.held = {}, 0, 0, 0
         self.violated, self.trace = violated or (lambda invariant, detail: None), trace
         self.closes = collections.Counter()  # by reason
-        self.arrivals = Arrivals(watch)
+        self.receive_times = ReceiveTimes(watch)
         self.leaving = {}  # connections whose writing side is shut
         self.gate = gate  # storm/gate.py, where it is on: how many to take, and whose
-        pass_of = {} if gate is None else {"in_a_pass": gate.in_a_pass}
+        pass_of = {} if gate is None else {"max_accepts": gate.in_a_pass}
         self.listener = Listener(self.open_client, say, self.has_room, **pass_of)
         self.listener.on_shortage, self.listener.on_empty = (
-            self.arrivals.accept_failed,
-            self.arrivals.accepted_all,
+            self.receive_times.note_accept_failed,
+            self.receive_times.note_backlog_empty,
         )
 
     # accepting
@@ -110,10 +109,10 @@
             network, kept = self.gate.came(self.now(), address)
             if not kept:
                 return made.close()
-        connection = Stream(made, max_buffer_size=2 * thrift.LONGEST, read_chunk_size=PIECE)
+        connection = Stream(made, max_buffer_size=2 * thrift.MAX_FRAME_BYTES, read_chunk_size=PIECE)
         self.serial += 1
         client = self.clients[self.serial] = Client(self.serial, connection, self.now())
-        client.accepted_from = self.arrivals.of_accept()
+        client.accepted_from = self.receive_times.waiting_since()
         if self.trace is not None:
             self.trace("client connected", client=client.number)
         if network is not None:
@@ -159,29 +158,31 @@
     # reading
 
     async def run(self, client):
-        frames, why = thrift.Frames(), None
+        frames, why = thrift.FrameSplitter(), None
         try:
             self.read_on(client)
             while True:
                 data = await client.coming
-                came = self.arrivals.of_read(client.emptied_at, client.accepted_from)
+                came = self.receive_times.received_at(client.emptied_at, client.accepted_from)
                 self.read_on(client)
                 # what stands behind is read first: the client's end there ends all, no call of it is taken
-                while client.coming.done() and len(data) < thrift.LONGEST:
+                while client.coming.done() and len(data) < thrift.MAX_FRAME_BYTES:
                     data += client.coming.result()
                     self.read_on(client)
                 if client.number in self.clients and not client.broken:  # else nothing more is taken of it
                     calls = frames.feed(data)
                     client.calls.extend((frame, came) for frame in calls)
                     client.queued += sum(map(len, calls))
-                    client.part_at = (not calls and client.part_at or came) if frames.held else None
-                    self.hold(client, client.queued + len(frames.held))
-                    if frames.broken:
-                        client.broken = CloseReason.UNREADABLE, f"unreadable: {frames.broken}"
+                    client.part_at = (not calls and client.part_at or came) if frames.buffered else None
+                    self.hold(client, client.queued + len(frames.buffered))
+                    if frames.error:
+                        client.broken = CloseReason.UNREADABLE, f"unreadable: {frames.error}"
                     self.hand_on(client)
                     self.take_cancels(client)
                     self.keep_bound()
-                    while client.queued > thrift.LONGEST:  # reads nothing: no more is taken of it meanwhile
+                    while (
+                        client.queued > thrift.MAX_FRAME_BYTES
+                    ):  # reads nothing: no more is taken of it meanwhile
                         client.room.clear()
                         await client.room.wait()
                 # others' turn: what comes without a pause would else be read without one
@@ -224,7 +225,7 @@
         try:
             while (
                 client.calls
-                and client.unread <= thrift.LONGEST
+                and client.unread <= thrift.MAX_FRAME_BYTES
                 and not client.waits
                 and client.number in self.clients
             ):
@@ -232,22 +233,22 @@
                 client.queued -= len(frame)
                 self.hold(client, client.held - len(frame))
                 self.call(client, frame, came)
-        except thrift.Unreadable as fault:
+        except thrift.UnreadableError as fault:
             client.broken = CloseReason.UNREADABLE, f"unreadable: {fault}"
             client.calls.clear()
             client.queued = 0
             self.hold(client, 0)
-        if client.queued <= thrift.LONGEST:
+        if client.queued <= thrift.MAX_FRAME_BYTES:
             client.room.set()
         self.end_broken(client)
 
     def take_cancels(self, client):
         """A cancel does not wait behind calls that have to: no attempt may begin for its query any more."""
-        for entry in [entry for entry in client.calls if thrift.is_call_of(entry[0], b"forget")]:
-            number = thrift.cancelled_number(entry[0])
+        for entry in [entry for entry in client.calls if client_protocol.is_cancel(entry[0])]:
+            number = client_protocol.cancelled_number(entry[0])
             if number is None:  # it cannot be read: that is found out in its turn
                 continue
-            waiting = [other for other in client.calls if thrift.number_of_query(other[0]) == number]
+            waiting = [other for other in client.calls if client_protocol.serve_number(other[0]) == number]
             for done in (entry, *waiting):
                 client.calls.remove(done)
                 client.queued -= len(done[0])
@@ -266,49 +267,45 @@
             self.shut(client.number, client.broken[1], client.broken[0])
 
     def call(self, client, frame, came):
-        reader = thrift.Reader(frame)
-        method, kind, number = thrift.read_head(reader)
         try:
-            if kind != (thrift.ONEWAY if method == b"forget" else thrift.CALL):
-                raise thrift.Unusable(thrift.WRONG_KIND, "expected another kind of message")
-            wanted = WANTED.get(method)
-            if wanted is None:
-                raise thrift.Unusable(thrift.UNKNOWN_METHOD, f"no method {method[:80].decode('latin-1')}")
-            args = thrift.read_args(reader, wanted)
-            if reader.at != len(frame):
-                raise thrift.Unreadable("a frame that goes on after its message")
-            if method == b"serve":
-                values = read_query(args.get(1) or {}, args.get(2, b""), self.longest)
-                client.owed.add(number)
-                self.post("query", (client.number, number, *values, came, args.get(1, {}).get(b"replay")))
-            elif method == b"forget":
-                return self.cancel(client, args.get(1))
-            else:
-                self.write(client, thrift.answer(method, number, b"", {}, self.well()))
-            client.asked, client.used_at = True, came
-        except thrift.Unusable as fault:
-            if kind == thrift.ONEWAY:  # nothing can be answered
-                raise thrift.Unreadable(str(fault)) from None
-            self.refuse(client, thrift.exception(method, number, fault.code, str(fault)))
+            call = client_protocol.read_call(frame)
+        except client_protocol.CallError as error:
+            return self.refuse(client, error.reply)
+        if call.method == client_protocol.CANCEL:
+            return self.cancel(client, call.arguments.get(client_protocol.CANCELLED_ARGUMENT))
+        if call.method == client_protocol.SERVE:
+            try:
+                self.serve(client, call, came)
+            except thrift.InvalidCallError as error:
+                wire = client_protocol.invalid_call(call.method, call.sequence_number, error)
+                return self.refuse(client, wire)
+        else:
+            self.write(client, client_protocol.health(call.sequence_number, is_well=self.well()))
+        client.asked, client.used_at = True, came
+
+    def serve(self, client, call, came):
+        fields = call.arguments.get(client_protocol.FIELDS_ARGUMENT, {})
+        body = call.arguments.get(client_protocol.BODY_ARGUMENT, b"")
+        request = validate_request(fields, body, self.longest)
+        client.owed.add(call.sequence_number)
+        values = *request[:-1], came, request.idempotency_key
+        self.post("query", (client.number, call.sequence_number, *values))
 
     # effects
 
     def satisfy(self, client, number, body, same):
-        self.reply(
-            client, number, thrift.answer(b"serve", number, body, {b"unchanged": b"1"} if same else {}, True)
-        )
+        self.reply(client, number, client_protocol.response(number, body, is_unchanged=same))
 
     def nack(self, client, number, retry_after_s):
-        fields = {b"cooldown": b"%d" % int(retry_after_s * 1000)} if retry_after_s > 0 else {}
-        self.reply(client, number, thrift.thrown(number, 1, fields))
+        self.reply(client, number, client_protocol.rejection(number, retry_after_s))
 
     def error(self, client, number):
-        self.reply(client, number, thrift.thrown(number, 2, {}))
+        self.reply(client, number, client_protocol.failure(number))
 
     def reject(self, client, number, why):
         if client in self.clients:
             self.clients[client].owed.discard(number)
-            self.refuse(self.clients[client], thrift.exception(b"serve", number, thrift.PROTOCOL, why))
+            self.refuse(self.clients[client], client_protocol.invalid_request(number, why))
 
     def refuse(self, client, wire):
         """A call that can't be taken; who goes on sending such is closed."""
--- a/brookhinge/net/http.py
+++ b/brookhinge/net/http.py
@@ -1,97 +1,150 @@
-"""The command channel's wire: HTTP/1.1 requests and answers. No I/O."""
+"""HTTP/1.1 as the command channel speaks it: polls and responses. Parses and encodes bytes, no I/O."""
 
-LONGEST_HEAD, LONGEST_BODY = 16 * 1024, 4 * 1024 * 1024
+from __future__ import annotations
 
+from typing import NamedTuple
 
-class Unreadable(Exception):
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
+LINE_END = b"\r\n"
+HEAD_END = b"\r\n\r\n"
+STATUSES_WITHOUT_BODY = (204, 304)
+
+
+class UnreadableError(Exception):
     """Bytes that can't be read as this protocol; the connection they came on is closed."""
 
 
-def request(host, resume, block_ms):
+class Response(NamedTuple):
+    """A response that is complete."""
+
+    status: int
+    body: bytes
+    keeps_alive: bool  # whether the connection goes on
+
+
+def encode_poll(host: str, cursor: int, wait_ms: int) -> bytes:
+    """Encode a poll for the commands after `cursor`, which the channel may let wait for so long."""
     return (
-        f"GET /cmd/next?resume={resume}&block={block_ms} HTTP/1.1\r\nHost: {host}\r\n"
+        f"GET /cmd/next?resume={cursor}&block={wait_ms} HTTP/1.1\r\nHost: {host}\r\n"
         "Accept: application/json\r\n\r\n"
     ).encode()
 
 
-class Answer:
-    """One answer, fed in any pieces; `feed` returns (status, body, whether the connection goes on) or None."""
+class ResponseParser:
+    """Reads one response, fed in any pieces."""
 
-    def __init__(self):
-        self.held, self.status, self.body = bytearray(), None, bytearray()
-        self.left = self.kept = self.chunked = None
+    def __init__(self) -> None:
+        self._buffered = bytearray()
+        self._status: int | None = None
+        self._body = bytearray()  # of chunks
+        self._length: int | None = None
+        self._keeps_alive = False
+        self._is_chunked = False
 
-    def feed(self, data):
-        self.held += data
-        while self.status is None:
-            end = self.held.find(b"\r\n\r\n")
+    def feed(self, data: bytes) -> Response | None:
+        """Return the response once it is complete with `data`.
+
+        Raises:
+            UnreadableError: The bytes are not of this protocol, or too many.
+        """
+        self._buffered += data
+        while self._status is None:
+            end = self._buffered.find(HEAD_END)
             if end < 0:
-                if len(self.held) > LONGEST_HEAD:
-                    raise Unreadable("a head that is too long")
+                if len(self._buffered) > MAX_HEAD_BYTES:
+                    raise UnreadableError("a head that is too long")
                 return None
-            self.head(bytes(self.held[:end]))
-            del self.held[: end + 4]
-        if self.chunked:
-            return self.chunks()
-        if len(self.held) > LONGEST_BODY:
-            raise Unreadable("a body that is too long")
-        if self.left is None or len(self.held) < self.left:  # without a length it ends with its connection
-            return None
-        return self.status, bytes(self.held[: self.left]), self.kept
+            self._read_head(bytes(self._buffered[:end]).decode("latin-1"))
+            del self._buffered[: end + len(HEAD_END)]
+        if self._is_chunked:
+            return self._read_chunks()
+        if len(self._buffered) > MAX_BODY_BYTES:
+            raise UnreadableError("a body that is too long")
+        if self._length is None or len(self._buffered) < self._length:
+            return None  # without a length it ends with its connection
+        return Response(self._status, bytes(self._buffered[: self._length]), self._keeps_alive)
+
+    def end(self) -> Response:
+        """Return the response that the end of the connection completes.
+
+        Raises:
+            UnreadableError: The response is cut off.
+        """
+        if self._status is None or self._is_chunked or self._length is not None:
+            raise UnreadableError("an answer that is cut off")
+        return Response(self._status, bytes(self._buffered), keeps_alive=False)
 
-    def head(self, text):
-        first, *lines = text.decode("latin-1").split("\r\n")
-        version, _, rest = first.partition(" ")
+    def _read_head(self, text: str) -> None:
+        status_line, *lines = text.split("\r\n")
+        version, _, rest = status_line.partition(" ")
         if not version.startswith("HTTP/1.") or not rest[:3].isdigit():
-            raise Unreadable(f"the status line {first[:80]!r}")
+            raise UnreadableError(f"the status line {status_line[:80]!r}")
         status = int(rest[:3])
-        if 100 <= status < 200:  # something else follows
+        if 100 <= status < 200:  # an interim response, the final one follows
             return
-        fields = {}
-        for line in lines:
-            name, colon, value = line.partition(":")
-            if not colon:
-                raise Unreadable(f"the header {line[:80]!r}")
-            fields[name.strip().lower()] = value.strip()
-        self.status, length = status, fields.get("content-length")
-        self.chunked = "chunked" in fields.get("transfer-encoding", "").lower()
-        if length is not None and not self.chunked:
-            if not length.isdigit() or len(length) > 9 or int(length) > LONGEST_BODY:
-                raise Unreadable(f"the length {length!r:.40}")
-            self.left = int(length)
-        elif status in (204, 304):
-            self.left = 0
-        closes = fields.get("connection", "" if version != "HTTP/1.0" else "close").lower()
-        self.kept = "close" not in closes and (self.chunked or self.left is not None)
-
-    def chunks(self):
+        headers = _read_headers(lines)
+        self._status = status
+        self._is_chunked = "chunked" in headers.get("transfer-encoding", "").lower()
+        if not self._is_chunked:
+            self._length = _body_length(status, headers)
+        default = "close" if version == "HTTP/1.0" else ""
+        closes = "close" in headers.get("connection", default).lower()
+        self._keeps_alive = not closes and (self._is_chunked or self._length is not None)
+
+    def _read_chunks(self) -> Response | None:
         while True:
-            end = self.held.find(b"\r\n")
-            if end < 0:
-                if len(self.held) > LONGEST_HEAD:
-                    raise Unreadable("a chunk's line that is too long")
+            line_end = self._buffered.find(LINE_END)
+            if line_end < 0:
+                if len(self._buffered) > MAX_HEAD_BYTES:
+                    raise UnreadableError("a chunk's line that is too long")
                 return None
-            size = bytes(self.held[:end]).partition(b";")[0].strip()
-            try:
-                size = int(size, 16)
-            except ValueError:
-                raise Unreadable(f"the chunk length {size[:40]!r}") from None
-            if size < 0 or len(self.body) + size > LONGEST_BODY:
-                raise Unreadable(f"a chunk of {size} bytes")
-            if not size:  # trailers end with an empty line
-                if self.held[end : end + 4] == b"\r\n\r\n":
-                    return self.status, bytes(self.body), self.kept
-                done = self.held.find(b"\r\n\r\n", end) >= 0
-                return (self.status, bytes(self.body), False) if done else None
-            if len(self.held) < end + 2 + size + 2:
+            size = self._read_chunk_size(line_end)
+            if not size:
+                return self._read_trailers(line_end)
+            begin = line_end + len(LINE_END)
+            end = begin + size
+            if len(self._buffered) < end + len(LINE_END):
                 return None
-            if self.held[end + 2 + size : end + 4 + size] != b"\r\n":
-                raise Unreadable("a chunk that does not end with its length")
-            self.body += self.held[end + 2 : end + 2 + size]
-            del self.held[: end + 4 + size]
-
-    def ended(self):
-        """What the end of the connection makes of an answer without a length."""
-        if self.status is None or self.chunked or self.left is not None:
-            raise Unreadable("an answer that is cut off")
-        return self.status, bytes(self.held), False
+            if self._buffered[end : end + len(LINE_END)] != LINE_END:
+                raise UnreadableError("a chunk that does not end with its length")
+            self._body += self._buffered[begin:end]
+            del self._buffered[: end + len(LINE_END)]
+
+    def _read_chunk_size(self, line_end: int) -> int:
+        digits = bytes(self._buffered[:line_end]).partition(b";")[0].strip()
+        try:
+            size = int(digits, 16)
+        except ValueError:
+            raise UnreadableError(f"the chunk length {digits[:40]!r}") from None
+        if size < 0 or len(self._body) + size > MAX_BODY_BYTES:
+            raise UnreadableError(f"a chunk of {size} bytes")
+        return size
+
+    def _read_trailers(self, line_end: int) -> Response | None:
+        """Return the response once the empty line after the trailers has come."""
+        if self._buffered[line_end : line_end + len(HEAD_END)] == HEAD_END:
+            return Response(self._status, bytes(self._body), self._keeps_alive)
+        if self._buffered.find(HEAD_END, line_end) < 0:
+            return None
+        return Response(self._status, bytes(self._body), keeps_alive=False)
+
+
+def _read_headers(lines: list[str]) -> dict[str, str]:
+    headers = {}
+    for line in lines:
+        name, colon, value = line.partition(":")
+        if not colon:
+            raise UnreadableError(f"the header {line[:80]!r}")
+        headers[name.strip().lower()] = value.strip()
+    return headers
+
+
+def _body_length(status: int, headers: dict[str, str]) -> int | None:
+    """Return the length of a body that is not chunked; None: it ends with its connection."""
+    length = headers.get("content-length")
+    if length is None:
+        return 0 if status in STATUSES_WITHOUT_BODY else None
+    if not length.isdigit() or len(length) > 9 or int(length) > MAX_BODY_BYTES:
+        raise UnreadableError(f"the length {length!r:.40}")
+    return int(length)
--- /dev/null
+++ b/brookhinge/net/metrics_report.py
@@ -0,0 +1,85 @@
+"""Figures of the router in its log: every few seconds, and in total as it ends."""
+
+import asyncio
+import collections
+from collections.abc import Callable
+
+from brookhinge.engine.loop_watch import LoopWatch
+from brookhinge.engine.reducer import Reducer
+from brookhinge.net.caches import Caches
+from brookhinge.net.front import Front
+
+REPORT_INTERVAL_S = 10.0
+
+
+class MetricsReport:
+    """Counts what was done since the start and logs the differences at regular intervals."""
+
+    def __init__(
+        self,
+        *,
+        now: Callable[[], float],
+        log: Callable[..., None],
+        reducer: Reducer,
+        watch: LoopWatch,
+        client_connections: Front,
+        upstream_connections: Caches,
+    ) -> None:
+        self._now = now
+        self._log = log
+        self._reducer = reducer
+        self._watch = watch
+        self._client_connections = client_connections
+        self._upstream_connections = upstream_connections
+
+    def counts(self) -> dict[str, float]:
+        """Return totals since the start: of requests, and of the stalls of the event loop."""
+        return {
+            **self._reducer.counts,
+            "stalls": self._watch.stalls,
+            "stalled_s": round(self._watch.stalled_s, 3),
+        }
+
+    def reasons(self) -> dict[str, collections.Counter[str]]:
+        """Return totals by reason: of rejects, retries, withdrawals, holds, closes and violations."""
+        counters = {
+            "refusals": self._reducer.refusals,
+            "retries": self._reducer.retries,
+            "withdrawals": self._reducer.withdrawals,
+            "held_back": self._upstream_connections.holds,
+            "client_closes": self._client_connections.closes,
+            "server_closes": self._upstream_connections.closes,
+            "violations": self._reducer.invariants.violations,
+        }
+        return {
+            name: collections.Counter({str(reason): count for reason, count in counter.items()})
+            for name, counter in counters.items()
+        }
+
+    async def run(self) -> None:
+        """Log what was done since the last line, and by how much the event loop lags, until cancelled."""
+        counts_before = self.counts()
+        reasons_before = self.reasons()
+        while True:
+            due = self._now() + REPORT_INTERVAL_S
+            await asyncio.sleep(REPORT_INTERVAL_S)
+            counts = self.counts()
+            reasons = self.reasons()
+            self._log(
+                "figures",
+                **{name: round(count - counts_before[name], 3) for name, count in counts.items()},
+                open=len(self._reducer.queries),
+                clients=len(self._client_connections.clients),
+                caches=len(self._upstream_connections.all),
+                unread=self._client_connections.unread,
+                late_s=round(self._now() - due, 4),
+                **{name: dict(counter - reasons_before[name]) for name, counter in reasons.items()},
+            )
+            counts_before = counts
+            reasons_before = reasons
+
+    async def log_scores(self, interval_s: float) -> None:
+        """Log the scores of requests every `interval_s` seconds, until cancelled."""
+        while True:
+            await asyncio.sleep(interval_s)
+            self._log("scores", totals=self._reducer.scores.totals)
--- a/brookhinge/net/program.py
+++ b/brookhinge/net/program.py
@@ -1,64 +1,105 @@
 """One router on sockets as a program, configured by the file that BALANCER_CONFIG names."""
 
+from __future__ import annotations
+
 import asyncio
 import os
 import resource
 import signal
 import sys
+from collections.abc import Callable, Mapping
+from typing import TYPE_CHECKING, NamedTuple
 
 from brookhinge.net.service import Service
-from brookhinge.startup import StartError, read_site
+from brookhinge.startup import Site, StartError, read_site
 
+if TYPE_CHECKING:
+    from brookhinge.operator.schema import Control, Fleet
+
+MIN_DESCRIPTORS = 32
+EXIT_CONFIGURATION = 2  # also where an address cannot be bound
+
+
+class FleetBlocks(NamedTuple):
+    """What the operator's file says of this router's fleet."""
+
+    fleet: Fleet | None
+    controls: dict[str, Control]
+
+
+class AgentSettings(NamedTuple):
+    """What an agent hands the routers that it keeps."""
+
+    listener_fd: int | None  # descriptor of the listening socket
+    scores_interval_s: float  # seconds between two log lines of scores; 0: none
 
-def reread(service):
-    """SIGHUP: the new file, or one that can't be used: that is logged and the old one stays in force."""
-    try:
-        service.reload(read_site(os.environ))
-    except StartError as fault:
-        service.log("configuration", why=str(fault))
 
+def read_fleet(site: Site, environ: Mapping[str, str]) -> FleetBlocks:
+    """Return the block `fleet` of the file that BROOKHINGE_FLEET names, and its blocks `control`.
 
-def fleet_of(site, environ):
-    """The block `fleet` of the operator's file that BROOKHINGE_FLEET names, and its blocks `control`; without a file
-    nothing of it is imported."""
+    Without a file nothing of the fleet is imported.
+
+    Raises:
+        StartError: The file cannot be used, or has no block for this router.
+    """
     path = environ.get("BROOKHINGE_FLEET")
     if not path:
-        return None, {}
+        return FleetBlocks(None, {})
     from brookhinge.operator import OperatorError, read_file
 
     try:
-        told = read_file(path)
-    except OperatorError as fault:
-        raise StartError(f"BROOKHINGE_FLEET: {path}: {fault}") from None
-    if site.name not in told.fleet:
+        operator = read_file(path)
+    except OperatorError as error:
+        raise StartError(f"BROOKHINGE_FLEET: {path}: {error}") from None
+    if site.name not in operator.fleet:
         raise StartError(f'BROOKHINGE_FLEET: {path}: no block fleet "{site.name}"')
-    return told.fleet[site.name], told.control
+    return FleetBlocks(operator.fleet[site.name], operator.control)
+
 
+def read_agent_settings(environ: Mapping[str, str]) -> AgentSettings:
+    """Return what an agent set in the environment.
 
-def kept(environ):
-    """What a keeper hands its routers: the descriptor of the listening socket, and how often it wants scores."""
-    handed, scores_s = environ.get("BROOKHINGE_LISTENER"), environ.get("BROOKHINGE_SCORES_S")
+    Raises:
+        StartError: A value is no number.
+    """
+    listener_fd = environ.get("BROOKHINGE_LISTENER")
+    scores_interval_s = environ.get("BROOKHINGE_SCORES_S")
     try:
-        return {"handed": int(handed) if handed else None, "scores_s": float(scores_s) if scores_s else 0.0}
+        return AgentSettings(
+            listener_fd=int(listener_fd) if listener_fd else None,
+            scores_interval_s=float(scores_interval_s) if scores_interval_s else 0.0,
+        )
     except ValueError:
         raise StartError(
             "BROOKHINGE_LISTENER, BROOKHINGE_SCORES_S: expected numbers, got "
-            f"{handed!r:.20}, {scores_s!r:.20}"
+            f"{listener_fd!r:.20}, {scores_interval_s!r:.20}"
         ) from None
 
 
-def bounded(site):
-    """With no more descriptors than the system gives: what clients, servers and channel may hold is shared out of it."""
-    most = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    if most == resource.RLIM_INFINITY or most >= site.bounds.sockets:
+def limit_descriptors(site: Site) -> Site:
+    """Return the site with no more descriptors than the system gives.
+
+    What clients, servers and command channel may hold is shared out of that number.
+
+    Raises:
+        StartError: The system gives too few to run at all.
+    """
+    soft_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    if soft_limit == resource.RLIM_INFINITY or soft_limit >= site.bounds.sockets:
         return site
-    if most < 32:
-        raise StartError(f"limits.sockets: expected 32 descriptors at least, the system gives {most}")
-    return site._replace(bounds=site.bounds._replace(sockets=most))
+    if soft_limit < MIN_DESCRIPTORS:
+        raise StartError(
+            f"limits.sockets: expected {MIN_DESCRIPTORS} descriptors at least, the system gives {soft_limit}"
+        )
+    return site._replace(bounds=site.bounds._replace(sockets=soft_limit))
+
 
+def open_trace(site: Site, environ: Mapping[str, str]) -> Callable[..., None] | None:
+    """Return the trace that BROOKHINGE_TRACE asks for, or None.
 
-def traced(site, environ):
-    """The trace that BROOKHINGE_TRACE asks for, or None."""
+    Raises:
+        StartError: The file cannot be written.
+    """
     path = environ.get("BROOKHINGE_TRACE")
     if not path:
         return None
@@ -66,37 +107,76 @@
 
     try:
         return Trace(path, site.name, os.getpid())
-    except OSError as fault:
-        raise StartError(f"BROOKHINGE_TRACE: {path}: {fault.strerror}") from None
+    except OSError as error:
+        raise StartError(f"BROOKHINGE_TRACE: {path}: {error.strerror}") from None
 
 
-async def serve(site, fleet, controls, kept_, told_again, trace):
-    service = Service(site, fleet=fleet, controls=controls, trace=trace, **kept_)
-    for word in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(word, service.stop)
-    asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reread, service)
-    if told_again:  # SIGHUP came after the file had been read
-        reread(service)
+def reload(service: Service) -> None:
+    """Read the configuration again; one that cannot be used is logged and the old one stays in force."""
+    try:
+        service.reload(read_site(os.environ))
+    except StartError as error:
+        service.log("configuration", why=str(error))
+
+
+async def serve(
+    site: Site,
+    blocks: FleetBlocks,
+    agent: AgentSettings,
+    trace: Callable[..., None] | None,
+    *,
+    early_reloads: list[bool],
+) -> None:
+    """Run a router until a signal ends it.
+
+    Args:
+        site: The router's configuration.
+        blocks: What the operator's file says of its fleet.
+        agent: What an agent handed over.
+        trace: Takes each step of each request, or None.
+        early_reloads: Gets an entry for each SIGHUP that comes before the loop handles them.
+
+    Raises:
+        OSError: An address cannot be bound.
+    """
+    service = Service(
+        site,
+        fleet=blocks.fleet,
+        controls=blocks.controls,
+        listener_fd=agent.listener_fd,
+        scores_interval_s=agent.scores_interval_s,
+        trace=trace,
+    )
+    loop = asyncio.get_running_loop()
+    for end_signal in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(end_signal, service.stop)
+    loop.add_signal_handler(signal.SIGHUP, reload, service)
+    if early_reloads:  # looked at only now: from here on the loop handles the signal
+        reload(service)
     await service.run()
 
 
-def main():
-    told_again = []
-    signal.signal(signal.SIGHUP, lambda *_: told_again.append(True))
+def main() -> int:
+    """Run one router and return the exit code."""
+    early_reloads: list[bool] = []
+    signal.signal(signal.SIGHUP, lambda *_: early_reloads.append(True))
     try:
-        site = bounded(read_site(os.environ))
-        (fleet, controls), kept_ = fleet_of(site, os.environ), kept(os.environ)
-        trace = traced(site, os.environ)
-    except StartError as fault:
-        print(f"brookhinge: {fault}", file=sys.stderr)
-        return 2
+        site = limit_descriptors(read_site(os.environ))
+        blocks = read_fleet(site, os.environ)
+        agent = read_agent_settings(os.environ)
+        trace = open_trace(site, os.environ)
+    except StartError as error:
+        print(f"brookhinge: {error}", file=sys.stderr)
+        return EXIT_CONFIGURATION
     try:
-        asyncio.run(serve(site, fleet, controls, kept_, told_again, trace))
-    except OSError as fault:
-        where = [site.listen] + ([fleet.listen, fleet.log_listen] if fleet else [])
+        asyncio.run(serve(site, blocks, agent, trace, early_reloads=early_reloads))
+    except OSError as error:
+        addresses = [site.listen]
+        if blocks.fleet:
+            addresses += [blocks.fleet.listen, blocks.fleet.log_listen]
         print(
-            f"brookhinge: listen: expected an address that is free here, got {where} ({fault.strerror})",
+            f"brookhinge: listen: expected an address that is free here, got {addresses} ({error.strerror})",
             file=sys.stderr,
         )
-        return 2
+        return EXIT_CONFIGURATION
     return 0
--- /dev/null
+++ b/brookhinge/net/request_validation.py
@@ -0,0 +1,124 @@
+"""The fields of a client's `serve` call, checked before anything of it goes on. No I/O.
+
+What a cache server cannot read or use would end its connection, with every attempt on it. So all fields are
+checked here. This module and `brookhinge/net/client_protocol.py` are the only ones that know the names of
+the clients' wire.
+"""
+
+import re
+from collections.abc import Callable, Mapping
+from typing import NamedTuple
+
+from brookhinge.net import thrift
+
+MAX_BODY_BYTES = 240_000
+MAX_PURGE_GROUP = 255
+TIMEOUT_SLACK_S = 0.001  # a timeout is told in whole milliseconds
+
+_is_hex_id = re.compile(rb"[0-9a-f]{16}").fullmatch
+_is_word = re.compile(rb"[\w.:-]{1,80}").fullmatch
+_is_integer = re.compile(rb"[0-9]{1,9}").fullmatch
+_is_decimal = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,12})?").fullmatch
+
+# Names on the wire.
+REQUEST_CLASS = b"service"
+REQUEST_ID = b"ref"
+TIMEOUT_MS = b"allow"
+OBJECT_KEY = b"lookup"
+PART = b"piece"
+PURGE_GROUP = b"lot"
+SIZE_KB = b"room"
+KNOWN_VERSION = b"ver"
+IDEMPOTENCY_KEY = b"replay"
+
+
+class FieldRule(NamedTuple):
+    """What a field must look like."""
+
+    name: bytes
+    is_valid: Callable[[bytes], object]
+    is_required: bool
+
+
+FIELD_RULES = (
+    FieldRule(REQUEST_CLASS, _is_word, True),
+    FieldRule(REQUEST_ID, _is_hex_id, True),
+    FieldRule(TIMEOUT_MS, _is_integer, True),
+    FieldRule(OBJECT_KEY, _is_hex_id, True),
+    FieldRule(PART, _is_integer, True),
+    FieldRule(PURGE_GROUP, _is_integer, False),
+    FieldRule(SIZE_KB, _is_decimal, False),
+    FieldRule(KNOWN_VERSION, _is_word, False),
+    FieldRule(IDEMPOTENCY_KEY, _is_word, False),
+)
+
+
+class ServeRequest(NamedTuple):
+    """A client's request, checked.
+
+    What the decisions need is parsed, the rest stays as the bytes that came.
+    """
+
+    request_id: bytes
+    request_class: bytes
+    object_key: bytes
+    part: bytes
+    part_number: int
+    purge_group: int  # 0: not told
+    size_kb: float  # 0: not told
+    timeout_s: float
+    known_version: bytes | None  # tag of the copy that the client has
+    body: bytes
+    idempotency_key: bytes | None
+
+
+def validate_request(
+    fields: Mapping[bytes, bytes], body: bytes, max_timeout_s: Mapping[bytes, float]
+) -> ServeRequest:
+    """Check and parse the arguments of a `serve` call.
+
+    Args:
+        fields: The map of the call.
+        body: The body of the call.
+        max_timeout_s: The longest time that clients may wait, by request class.
+
+    Raises:
+        thrift.InvalidCallError: A field is missing or unusable; the message names it.
+    """
+    for name, is_valid, is_required in FIELD_RULES:
+        value = fields.get(name)
+        if is_required if value is None else not is_valid(value):
+            raise invalid(f"{name.decode()}: missing or unusable")
+    request_class = fields[REQUEST_CLASS]
+    longest_s = max_timeout_s.get(request_class)
+    if longest_s is None:
+        raise invalid("service: no such class")
+    purge_group = int(fields.get(PURGE_GROUP, 0))
+    timeout_s = int(fields[TIMEOUT_MS]) / 1000.0
+    size_kb = float(fields.get(SIZE_KB, 0.0))
+    if purge_group > MAX_PURGE_GROUP:
+        raise invalid("lot: out of range")
+    if not 0.0 < timeout_s <= longest_s + TIMEOUT_SLACK_S:
+        raise invalid("allow: out of range")
+    if not size_kb and SIZE_KB in fields:
+        raise invalid("room: out of range")
+    if len(body) > MAX_BODY_BYTES:
+        raise invalid("body: out of range")
+    return ServeRequest(
+        request_id=fields[REQUEST_ID],
+        request_class=request_class,
+        object_key=fields[OBJECT_KEY],
+        part=fields[PART],
+        part_number=int(fields[PART]),
+        purge_group=purge_group,
+        size_kb=size_kb,
+        timeout_s=timeout_s,
+        known_version=fields.get(KNOWN_VERSION),
+        body=body,
+        idempotency_key=fields.get(IDEMPOTENCY_KEY),
+    )
+
+
+def invalid(reason: str) -> thrift.InvalidCallError:
+    """Return the error of a call whose fields cannot be used."""
+    return thrift.InvalidCallError(thrift.PROTOCOL_ERROR, reason)
--- a/brookhinge/net/stream.py
+++ b/brookhinge/net/stream.py
@@ -1,4 +1,4 @@
-"""Tornado's IOStream, but for failures that pass by themselves."""
+"""Tornado's IOStream with tolerance for shortages of the system that pass by themselves."""
 
 import enum
 import errno
@@ -19,38 +19,48 @@
     UNKNOWN = "unknown"  # a shortage: nobody can tell
 
 
-def unread(made):
-    """What lies unread on a socket that does not block, or on none."""
+def unread(connection: socket.socket | None) -> Unread:
+    """Return what lies unread on a socket that does not block; a closed stream has None."""
+    if connection is None:
+        return Unread.END
     try:
-        return Unread.BYTES if made.recv(1, socket.MSG_PEEK) else Unread.END
+        return Unread.BYTES if connection.recv(1, socket.MSG_PEEK) else Unread.END
     except BlockingIOError:
         return Unread.NOTHING
-    except AttributeError:
-        return Unread.END
-    except OSError as fault:
-        return Unread.UNKNOWN if fault.errno in SHORTAGES else Unread.END
+    except OSError as error:
+        return Unread.UNKNOWN if error.errno in SHORTAGES else Unread.END
 
 
 class Stream(IOStream):
-    """A connection that a shortage of the system does not end: what was to be read or written is tried again. Tornado's
-    own stream closes on every failure but 'would block', with all that is open on it."""
+    """A connection that a shortage of the system does not end: reads and writes are tried again.
 
-    def read_from_fd(self, buf):
+    Tornado's own stream closes on every failure but 'would block', with everything that is open on it.
+    """
+
+    def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
+        """Read into `buf`; return the number of bytes, or None if there is nothing to read now."""
         try:
             return super().read_from_fd(buf)
-        except OSError as fault:
-            if fault.errno not in SHORTAGES:
+        except OSError as error:
+            if error.errno not in SHORTAGES:
                 raise
             return None
         finally:
-            del buf  # an error that ends the stream is kept by it, with this frame
+            # The stream keeps the error that ended it, and with it this frame and the buffer.
+            del buf
+
+    def write_to_fd(self, data: memoryview) -> int:
+        """Write `data` and return the number of bytes written.
 
-    def write_to_fd(self, data):
+        Raises:
+            BlockingIOError: Nothing can be written now.
+            OSError: The connection is broken.
+        """
         try:
             return super().write_to_fd(data)
-        except OSError as fault:
-            if fault.errno not in SHORTAGES:
+        except OSError as error:
+            if error.errno not in SHORTAGES:
                 raise
-            raise BlockingIOError(fault.errno, fault.strerror) from None
+            raise BlockingIOError(error.errno, error.strerror) from None
         finally:
             del data
--- a/brookhinge/net/thrift.py
+++ b/brookhinge/net/thrift.py
@@ -1,229 +1,310 @@
-"""Clients' wire: Thrift, framed transport, strict binary protocol. Parses and encodes bytes, no I/O."""
+"""Thrift as the clients speak it: framed transport, strict binary protocol. No I/O."""
 
 import struct
-
-LONGEST = 256 * 1024  # of a client's frame
-CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4
-UNKNOWN_METHOD, WRONG_KIND, INTERNAL, PROTOCOL = 1, 2, 6, 7
-STOP, BOOL, BYTE, DOUBLE, I16, I32, I64, STRING, STRUCT, MAP, SET, LIST = (
-    0,
-    2,
-    3,
-    4,
-    6,
-    8,
-    10,
-    11,
-    12,
-    13,
-    14,
-    15,
-)
-FIXED = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
-DEEPEST = 8
-INT, HEAD = struct.Struct(">i"), struct.Struct(">Bh")
-
-
-class Unreadable(Exception):
+from collections.abc import Iterator, Mapping
+from typing import NamedTuple
+
+MAX_FRAME_BYTES = 256 * 1024
+MAX_DEPTH = 8  # of nested values in an argument that is skipped
+VERSION_1 = 0x8001  # upper half of the first word of a strict message
+
+# Kinds of messages.
+CALL = 1
+REPLY = 2
+EXCEPTION = 3
+ONEWAY = 4
+
+# Codes of TApplicationException.
+UNKNOWN_METHOD = 1
+WRONG_MESSAGE_TYPE = 2
+PROTOCOL_ERROR = 7
+
+# Types of values.
+STOP = 0
+BOOL = 2
+BYTE = 3
+DOUBLE = 4
+I16 = 6
+I32 = 8
+I64 = 10
+STRING = 11
+STRUCT = 12
+MAP = 13
+SET = 14
+LIST = 15
+SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
+
+INT32 = struct.Struct(">i")
+INT16 = struct.Struct(">h")
+FIELD_HEADER = struct.Struct(">Bh")  # type, number
+
+
+class UnreadableError(Exception):
     """Bytes that can't be read as this protocol; the connection they came on is closed."""
 
 
-class Unusable(Exception):
-    """A call that can be read and not taken; answered under its sequence number."""
+class InvalidCallError(Exception):
+    """A call that can be read and not be carried out; it is answered under its sequence number.
+
+    Attributes:
+        code: Of the TApplicationException that answers it.
+    """
 
-    def __init__(self, code, text):
-        super().__init__(text)
+    def __init__(self, code: int, reason: str) -> None:
+        super().__init__(reason)
         self.code = code
 
 
-class Frames:
-    """Cuts a stream of bytes, in any pieces, into frames; `broken` says from where on it can't be read, and why."""
+class MessageHeader(NamedTuple):
+    """What every message begins with."""
 
-    def __init__(self):
-        self.held, self.broken = bytearray(), None
-
-    def feed(self, data):
-        if self.broken:
-            return []
-        self.held += data
-        held, at, frames = self.held, 0, []
-        while len(held) - at >= 4:
-            (size,) = INT.unpack_from(held, at)
-            if not 0 < size <= LONGEST:
-                self.broken, self.held = f"a frame of {size} bytes", bytearray()
-                return frames
-            if len(held) - at - 4 < size:
-                break
-            frames.append(bytes(held[at + 4 : at + 4 + size]))
-            at += 4 + size
-        del held[:at]
-        return frames
+    method: bytes
+    message_type: int
+    sequence_number: int
 
 
-def is_call_of(frame, method):
-    """Whether a frame begins as a message of that method; a look, not a check."""
-    return frame[4:8] == INT.pack(len(method)) and frame[8 : 8 + len(method)] == method
+class FrameSplitter:
+    """Cuts a stream of bytes, in any pieces, into frames.
 
+    Attributes:
+        buffered: Bytes of a frame whose rest has not come.
+        error: Why nothing can be read any more, or None.
+    """
 
-def number_of_query(frame):
-    """The sequence number of a call of `serve`, or None."""
-    if not is_call_of(frame, b"serve"):
-        return None
-    try:
-        return read_head(Reader(frame))[2]
-    except Unreadable:
-        return None
+    def __init__(self) -> None:
+        self.buffered = bytearray()
+        self.error: str | None = None
 
-
-def cancelled_number(frame):
-    """The sequence number that a message of `forget` names, or None where it cannot be read."""
-    reader = Reader(frame)
-    try:
-        _, kind, _ = read_head(reader)
-        number = read_args(reader, {1: I32}).get(1)
-    except (Unreadable, Unusable):
-        return None
-    return number if kind == ONEWAY and reader.at == len(frame) else None
+    def feed(self, data: bytes) -> list[bytes]:
+        """Return the frames that are complete with `data`, without their lengths."""
+        if self.error:
+            return []
+        self.buffered += data
+        position = 0
+        frames = []
+        while len(self.buffered) - position >= INT32.size:
+            (size,) = INT32.unpack_from(self.buffered, position)
+            if not 0 < size <= MAX_FRAME_BYTES:
+                self.error = f"a frame of {size} bytes"
+                self.buffered = bytearray()
+                return frames
+            begin = position + INT32.size
+            end = begin + size
+            if len(self.buffered) < end:
+                break
+            frames.append(bytes(self.buffered[begin:end]))
+            position = end
+        del self.buffered[:position]
+        return frames
 
 
 class Reader:
-    """Reads the values of one frame."""
-
-    def __init__(self, frame):
-        self.frame, self.at = frame, 0
-
-    def take(self, count):
-        start, self.at = self.at, self.at + count
-        if count < 0 or self.at > len(self.frame):
-            raise Unreadable("a frame that is cut off")
-        return self.frame[start : self.at]
-
-    def int(self):
-        return INT.unpack(self.take(4))[0]
-
-    def text(self):
-        return self.take(self.int())
-
-    def skip(self, kind, depth=0):
-        if depth > DEEPEST:
-            raise Unreadable("values nested too deep")
-        if kind in FIXED:
-            self.take(FIXED[kind])
-        elif kind == STRING:
-            self.text()
-        elif kind == STRUCT:
-            for inner, _ in self.fields():
-                self.skip(inner, depth + 1)
-        elif kind in (MAP, SET, LIST):
-            kinds = self.take(2 if kind == MAP else 1)
-            for _ in range(self.count()):
-                for inner in kinds:
-                    self.skip(inner, depth + 1)
+    """Reads the values of one frame in order.
+
+    Attributes:
+        frame: The bytes.
+        position: Of the next byte to read.
+    """
+
+    def __init__(self, frame: bytes) -> None:
+        self.frame = frame
+        self.position = 0
+
+    def take(self, count: int) -> bytes:
+        """Read so many bytes.
+
+        Raises:
+            UnreadableError: The frame has not so many.
+        """
+        begin = self.position
+        self.position = begin + count
+        if count < 0 or self.position > len(self.frame):
+            raise UnreadableError("a frame that is cut off")
+        return self.frame[begin : self.position]
+
+    def read_int32(self) -> int:
+        """Read a signed integer of four bytes."""
+        return INT32.unpack(self.take(INT32.size))[0]
+
+    def read_string(self) -> bytes:
+        """Read a string, as bytes."""
+        return self.take(self.read_int32())
+
+    def skip(self, value_type: int, depth: int = 0) -> None:
+        """Read past a value of any type.
+
+        Raises:
+            UnreadableError: The type is unknown, or values are nested too deep.
+        """
+        if depth > MAX_DEPTH:
+            raise UnreadableError("values nested too deep")
+        if value_type in SIZES:
+            self.take(SIZES[value_type])
+        elif value_type == STRING:
+            self.read_string()
+        elif value_type == STRUCT:
+            for field_type, _ in self.read_fields():
+                self.skip(field_type, depth + 1)
+        elif value_type in (MAP, SET, LIST):
+            entry_types = self.take(2 if value_type == MAP else 1)
+            for _ in range(self.read_count()):
+                for entry_type in entry_types:
+                    self.skip(entry_type, depth + 1)
         else:
-            raise Unreadable(f"a value of the unknown type {kind}")
+            raise UnreadableError(f"a value of the unknown type {value_type}")
 
-    def count(self):
-        count = self.int()
+    def read_count(self) -> int:
+        """Read the number of entries of a container.
+
+        Raises:
+            UnreadableError: The frame cannot hold so many.
+        """
+        count = self.read_int32()
         if not 0 <= count <= len(self.frame):  # an entry has a byte at least
-            raise Unreadable(f"a count of {count}")
+            raise UnreadableError(f"a count of {count}")
         return count
 
-    def fields(self):
-        """Type and number of each field of a struct; the caller reads or skips the value."""
+    def read_fields(self) -> Iterator[tuple[int, int]]:
+        """Yield type and number of each field of a struct; the caller reads or skips the value."""
         while True:
-            kind = self.take(1)[0]
-            if kind == STOP:
+            field_type = self.take(1)[0]
+            if field_type == STOP:
                 return
-            yield kind, struct.unpack(">h", self.take(2))[0]
-
-    def words(self):
-        key, value = self.take(2)
-        count = self.count()
-        if count and (key, value) != (STRING, STRING):
-            raise Unusable(PROTOCOL, "fields: expected a map of strings")
-        return {self.text(): self.text() for _ in range(count)}
-
-
-def read_head(reader):
-    """(method, kind, sequence number) of a message."""
-    version = reader.int() & 0xFFFFFFFF
-    if version >> 16 != 0x8001:
-        raise Unreadable("a message that is not strict binary")
-    return reader.text(), version & 0xFF, reader.int()
-
-
-def read_args(reader, wanted):
-    """The arguments by field number; wanted: the type of each. What isn't wanted is skipped."""
-    found, wrong = {}, None
-    for kind, number in reader.fields():
-        if wanted.get(number) != kind:
-            reader.skip(kind)
-            if number in wanted:
-                wrong = wrong or number
-        elif kind == MAP:
-            found[number] = reader.words()
-        elif kind == STRING:
-            found[number] = reader.text()
-        elif kind == I32:
-            found[number] = reader.int()
-    if wrong is not None:
-        raise Unusable(PROTOCOL, f"argument {wrong}: wrong type")
-    return found
-
-
-def text(value):
-    return INT.pack(len(value)) + value
-
-
-def words(fields):
-    return b"".join(
-        [bytes((STRING, STRING)), INT.pack(len(fields))]
-        + [text(part) for pair in fields.items() for part in pair]
+            yield field_type, INT16.unpack(self.take(INT16.size))[0]
+
+    def read_string_map(self) -> dict[bytes, bytes]:
+        """Read a map of strings.
+
+        Raises:
+            InvalidCallError: The map has entries of another type.
+        """
+        key_type, value_type = self.take(2)
+        count = self.read_count()
+        if count and (key_type, value_type) != (STRING, STRING):
+            raise InvalidCallError(PROTOCOL_ERROR, "fields: expected a map of strings")
+        return {self.read_string(): self.read_string() for _ in range(count)}
+
+
+def is_message_of(frame: bytes, method: bytes) -> bool:
+    """Return whether a frame begins as a message of that method; its rest is not checked."""
+    return frame[4:8] == INT32.pack(len(method)) and frame[8 : 8 + len(method)] == method
+
+
+def read_message_header(reader: Reader) -> MessageHeader:
+    """Read what a message begins with.
+
+    Raises:
+        UnreadableError: The message is not one of the strict binary protocol.
+    """
+    first_word = reader.read_int32() & 0xFFFFFFFF
+    if first_word >> 16 != VERSION_1:
+        raise UnreadableError("a message that is not strict binary")
+    return MessageHeader(reader.read_string(), first_word & 0xFF, reader.read_int32())
+
+
+def read_arguments(reader: Reader, types: Mapping[int, int]) -> dict[int, object]:
+    """Read the arguments of a call by field number.
+
+    Args:
+        reader: Stands behind the header of the message.
+        types: The type of each argument by field number; other fields are skipped.
+
+    Raises:
+        InvalidCallError: An argument has another type.
+        UnreadableError: The frame cannot be read.
+    """
+    arguments: dict[int, object] = {}
+    mistyped = None
+    for field_type, number in reader.read_fields():
+        if types.get(number) != field_type:
+            reader.skip(field_type)
+            if number in types:
+                mistyped = mistyped or number
+        elif field_type == MAP:
+            arguments[number] = reader.read_string_map()
+        elif field_type == STRING:
+            arguments[number] = reader.read_string()
+        elif field_type == I32:
+            arguments[number] = reader.read_int32()
+    if mistyped is not None:
+        raise InvalidCallError(PROTOCOL_ERROR, f"argument {mistyped}: wrong type")
+    return arguments
+
+
+def encode_string(value: bytes) -> bytes:
+    """Encode a string without its field header."""
+    return INT32.pack(len(value)) + value
+
+
+def encode_string_map(fields: Mapping[bytes, bytes]) -> bytes:
+    """Encode a map of strings without its field header."""
+    entries = [encode_string(part) for pair in fields.items() for part in pair]
+    return b"".join((bytes((STRING, STRING)), INT32.pack(len(fields)), *entries))
+
+
+def encode_message(method: bytes, message_type: int, sequence_number: int, *body: bytes) -> bytes:
+    """Encode a message with its frame; `body` are the pieces of its struct, STOP included."""
+    header = b"".join(
+        (
+            INT32.pack((VERSION_1 << 16 | message_type) - (1 << 32)),
+            encode_string(method),
+            INT32.pack(sequence_number),
+        )
     )
-
-
-def message(method, kind, number, *body):
-    head = INT.pack(-0x7FFF0000 | kind) + text(method) + INT.pack(number)
-    return b"".join((INT.pack(len(head) + sum(map(len, body))), head) + body)
-
-
-def answer(method, number, body, fields, good):
-    return message(
+    return b"".join((INT32.pack(len(header) + sum(map(len, body))), header, *body))
+
+
+def encode_reply(
+    method: bytes, sequence_number: int, body: bytes, fields: Mapping[bytes, bytes], *, is_well: bool
+) -> bytes:
+    """Encode a result of the type that all methods of the router return.
+
+    Args:
+        method: Of the call.
+        sequence_number: Of the call.
+        body: Field 1 of the result.
+        fields: Field 2 of the result.
+        is_well: Field 3 of the result.
+    """
+    return encode_message(
         method,
         REPLY,
-        number,
-        HEAD.pack(STRUCT, 0),
-        HEAD.pack(STRING, 1),
-        INT.pack(len(body)),
+        sequence_number,
+        FIELD_HEADER.pack(STRUCT, 0),
+        FIELD_HEADER.pack(STRING, 1),
+        INT32.pack(len(body)),
         body,
-        HEAD.pack(MAP, 2),
-        words(fields),
-        HEAD.pack(BOOL, 3),
-        bytes((good, STOP, STOP)),
+        FIELD_HEADER.pack(MAP, 2),
+        encode_string_map(fields),
+        FIELD_HEADER.pack(BOOL, 3),
+        bytes((is_well, STOP, STOP)),
     )
 
 
-def thrown(number, place, fields):
-    """One of the declared exceptions of `serve`: 1 refused, 2 failed."""
-    return message(
-        b"serve",
+def encode_declared_exception(
+    method: bytes, sequence_number: int, place: int, fields: Mapping[bytes, bytes]
+) -> bytes:
+    """Encode one of the exceptions that a method declares, by its place in the method's result."""
+    return encode_message(
+        method,
         REPLY,
-        number,
-        HEAD.pack(STRUCT, place),
-        HEAD.pack(MAP, 1),
-        words(fields),
+        sequence_number,
+        FIELD_HEADER.pack(STRUCT, place),
+        FIELD_HEADER.pack(MAP, 1),
+        encode_string_map(fields),
         bytes((STOP, STOP)),
     )
 
 
-def exception(method, number, code, why):
-    return message(
+def encode_exception(method: bytes, sequence_number: int, code: int, reason: str) -> bytes:
+    """Encode a TApplicationException."""
+    return encode_message(
         method,
         EXCEPTION,
-        number,
-        HEAD.pack(STRING, 1),
-        text(why.encode()),
-        HEAD.pack(I32, 2),
-        INT.pack(code),
+        sequence_number,
+        FIELD_HEADER.pack(STRING, 1),
+        encode_string(reason.encode()),
+        FIELD_HEADER.pack(I32, 2),
+        INT32.pack(code),
         bytes((STOP,)),
     )
--- /dev/null
+++ b/brookhinge/net/write_guard.py
@@ -0,0 +1,49 @@
+"""The last check before an attempt is written to a server."""
+
+from collections.abc import Callable
+
+from brookhinge.engine.reducer import Reducer
+from brookhinge.engine.rounds import Rounds
+from brookhinge.net.caches import Decided
+from brookhinge.net.channel import Channel
+from brookhinge.net.front import Front
+from brookhinge.rules import HeldBack
+
+MIN_TIME_LEFT_S = 0.002  # an attempt with less time than this cannot be answered in time
+
+
+class WriteGuard:
+    """Finds reasons against writing an attempt that was decided a moment ago.
+
+    An attempt is decided on what had been read by then. Since then the process may have been stopped, or
+    may have read a server's answer before the end of the client's connection. So the client's connection
+    and the command channel are checked once more.
+    """
+
+    def __init__(
+        self,
+        *,
+        now: Callable[[], float],
+        reducer: Reducer,
+        rounds: Rounds,
+        command_channel: Channel,
+        client_connections: Front,
+    ) -> None:
+        self._now = now
+        self._reducer = reducer
+        self._rounds = rounds
+        self._command_channel = command_channel
+        self._client_connections = client_connections
+
+    def hold_reason(self, decided: Decided) -> HeldBack | None:
+        """Return why the attempt may not be written at this very moment, or None if it may."""
+        if decided.until - self._now() < MIN_TIME_LEFT_S:
+            return HeldBack.NO_TIME
+        reason = self._reducer.held_back(decided.query, decided.push)
+        if reason is not None:
+            return reason
+        if not self._rounds.knows_all():
+            return HeldBack.STALLED
+        if self._command_channel.has_unread() or self._rounds.has_posted("listed", "purged"):
+            return HeldBack.LIST_UNREAD
+        return self._client_connections.held_back(*self._reducer.asker(decided.query))
--- a/brookhinge/standin/caller.py
+++ b/brookhinge/standin/caller.py
@@ -20,13 +20,13 @@
         return self
 
     async def read(self, reader):
-        answers = cachewire.Answers()
+        answers = cachewire.AnswerSplitter()
         try:
             while data := await reader.read(65536):
                 for name, word, fields, body in answers.feed(data):
                     if name in self.waiting and not self.waiting[name].done():
                         self.waiting.pop(name).set_result((word.decode(), fields, body))
-        except (ConnectionError, cachewire.Unreadable):
+        except (ConnectionError, cachewire.UnreadableError):
             pass
         finally:
             for future in self.waiting.values():
--- a/examples/ask.py
+++ b/examples/ask.py
@@ -21,24 +21,29 @@
     }
     with socket.create_connection(("127.0.0.1", 8080), 5) as made:
         made.sendall(
-            thrift.message(
-                b"serve", thrift.CALL, 1, thrift.HEAD.pack(thrift.MAP, 1), thrift.words(fields), b"\0"
+            thrift.encode_message(
+                b"serve",
+                thrift.CALL,
+                1,
+                thrift.FIELD_HEADER.pack(thrift.MAP, 1),
+                thrift.encode_string_map(fields),
+                b"\0",
             )
         )
-        frames, found = thrift.Frames(), []
+        frames, found = thrift.FrameSplitter(), []
         while not found:
             data = made.recv(65536)
             if not data:
                 return "the connection ended without an answer"
             found = frames.feed(data)
     reader = thrift.Reader(found[0])
-    _, kind, _ = thrift.read_head(reader)
-    _, place = next(reader.fields())
+    _, kind, _ = thrift.read_message_header(reader)
+    _, place = next(reader.read_fields())
     if kind == thrift.EXCEPTION:
-        return "not taken: " + reader.text().decode()
+        return "not taken: " + reader.read_string().decode()
     if place:
         return {1: "nacked", 2: "errored"}[place]
-    return "satisfied: " + thrift.read_args(reader, {1: thrift.STRING})[1].decode()
+    return "satisfied: " + thrift.read_arguments(reader, {1: thrift.STRING})[1].decode()
 
 
 if __name__ == "__main__":
--- a/tests/box/test_box.py
+++ b/tests/box/test_box.py
@@ -7,7 +7,7 @@
 import pytest
 
 from brookhinge.box import Box, wire
-from brookhinge.net.cachewire import Unreadable
+from brookhinge.net.cachewire import UnreadableError
 from brookhinge.operator.schema import Stand, Tier
 from brookhinge.standin.caller import LineCaller
 from brookhinge.standin.channel import CommandChannel
@@ -445,5 +445,5 @@
         b"x" * 5000,
         b"PULL a - 1\r\nabc\r\n",
     ):
-        with pytest.raises(Unreadable):
+        with pytest.raises(UnreadableError):
             wire.Commands().feed(bad)
--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -75,8 +75,8 @@
             left = t.service.reducer.counts["left"]
             asking = asyncio.ensure_future(client.fetch(X))
             await asyncio.sleep(0.05)
-            for client in list(t.service.front.clients.values()):
-                t.service.front.drop(client, CloseReason.STOPPING)
+            for client in list(t.service.client_connections.clients.values()):
+                t.service.client_connections.drop(client, CloseReason.STOPPING)
             return left, (await asking).kind
 
     assert played(scene, tmp_path, boxes(act="silent")) == (1, "gone")
--- a/tests/crossings/test_rare.py
+++ b/tests/crossings/test_rare.py
@@ -14,7 +14,7 @@
 from brookhinge.engine.reducer import Reducer
 from brookhinge.net import caches as net_caches
 from brookhinge.net import front, listener, thrift
-from brookhinge.net.calls import LONGEST_BODY
+from brookhinge.net.request_validation import MAX_BODY_BYTES
 from brookhinge.storm.lineage import Lineage
 from tests.crossings.test_sockets import Raw, warm
 from tests.helpers import Bench, Desk, Machine, configuration, settings, track
@@ -91,7 +91,9 @@
     """SIGTERM comes while no descriptor is to be had: the query lies in the backlog when accepting ends."""
 
     async def scene(t, error):
-        failing = t.service.front.listener.socket = FailingListener(t.service.front.listener.socket, error)
+        failing = t.service.client_connections.listener.socket = FailingListener(
+            t.service.client_connections.listener.socket, error
+        )
         t.service.stop()
         caller = await Raw(t.address).asks(1).send().caller()
         asyncio.get_running_loop().call_later(0.9, setattr, failing, "fails", False)
@@ -107,7 +109,7 @@
     """Every place is taken by clients with a query open; one more is in the backlog as the router is told to end."""
 
     async def scene(t):
-        t.service.front.sockets = 1
+        t.service.client_connections.sockets = 1
         t.caller.ask(1)
         await until(t.pulled)
         caller = await Raw(t.address).asks(1).send().caller()
@@ -141,11 +143,11 @@
     raw = Raw(t.address)
     raw.asks(1, lookup=key).send()
     await until(t.pulled)
-    client = list(t.service.front.clients.values())[-1]
+    client = list(t.service.client_connections.clients.values())[-1]
     for number in range(2, 32):
         raw.asks(number, lookup=f"{number:016x}").send()
         await asyncio.sleep(0.01)
-    await until(lambda: client.unread > thrift.LONGEST)
+    await until(lambda: client.unread > thrift.MAX_FRAME_BYTES)
     return raw, client
 
 
@@ -197,7 +199,7 @@
 
     async def scene(t):
         monkeypatch.setattr(net_caches, "socket", SmallSockets())
-        body = b"x" * LONGEST_BODY
+        body = b"x" * MAX_BODY_BYTES
         fields = {
             "service": "page", "allow": "2900", "lookup": "ab" * 8, "piece": "0", "lot": "3", "room": "100.0",
         }  # fmt: skip
@@ -205,13 +207,13 @@
             told = {k.encode(): v.encode() for k, v in {**fields, "ref": f"{number:016x}"}.items()}
             t.caller.call(
                 b"serve",
-                thrift.HEAD.pack(thrift.MAP, 1),
-                thrift.words(told),
-                thrift.HEAD.pack(thrift.STRING, 2),
-                thrift.INT.pack(len(body)) + body,
+                thrift.FIELD_HEADER.pack(thrift.MAP, 1),
+                thrift.encode_string_map(told),
+                thrift.FIELD_HEADER.pack(thrift.STRING, 2),
+                thrift.INT32.pack(len(body)) + body,
             )
             await asyncio.sleep(0.02)
-        stalled = [line for line in t.service.caches.all if line.up and line.stream.writing()]
+        stalled = [line for line in t.service.upstream_connections.all if line.up and line.stream.writing()]
         return len(stalled) > 0, max(len(line.out) for line in stalled)
 
     machines = {server: DeafMachine() for server in ("s-21", "s-22", "s-23")}
@@ -251,8 +253,8 @@
 
         await warm(t)
         patch.setattr(socket.socket, method, fake, raising=False)
-        streams = [client.stream for client in t.service.front.clients.values()]
-        streams += [line.stream for line in t.service.caches.all]
+        streams = [client.stream for client in t.service.client_connections.clients.values()]
+        streams += [line.stream for line in t.service.upstream_connections.all]
         failing.update(stream.socket.fileno() for stream in streams)
         t.caller.ask(1)
         return await t.caller.hear()
@@ -293,7 +295,7 @@
         note_patience(t)
         await asyncio.sleep(0.1)
         raw = Raw(t.address).asks(1)
-        await until(lambda: len(t.service.front.clients) == 2)
+        await until(lambda: len(t.service.client_connections.clients) == 2)
         raw.send()
         time.sleep(0.6)  # the loop stands still
         await until(lambda: t.told)
@@ -314,8 +316,8 @@
 
     async def scene(t):
         note_patience(t)
-        listener = FailingListener(t.service.front.listener.socket, errno.ENFILE)
-        t.service.front.listener.socket = listener
+        listener = FailingListener(t.service.client_connections.listener.socket, errno.ENFILE)
+        t.service.client_connections.listener.socket = listener
         asyncio.get_running_loop().call_later(0.6, setattr, listener, "fails", False)
         caller = await Raw(t.address).asks(1).send().caller()
         answer = await caller.hear()
@@ -366,14 +368,14 @@
     async def scene(t):
         await warm(t)
         note_patience(t)
-        real = t.service.caches.put
+        real = t.service.upstream_connections.put
 
         def stopped_once(*values):
-            t.service.caches.put = real
+            t.service.upstream_connections.put = real
             real(*values)
             time.sleep(0.5)
 
-        t.service.caches.put = stopped_once
+        t.service.upstream_connections.put = stopped_once
         t.caller.ask(1)
         t.caller.ask(2)
         answers = await t.caller.hear(), await t.caller.hear()
@@ -390,17 +392,17 @@
 
     async def scene(t):
         raw, client = await reads_nothing(t)
-        body = thrift.INT.pack(200_000) + b"x" * 200_000
+        body = thrift.INT32.pack(200_000) + b"x" * 200_000
         for _ in range(2):
             raw.call.call(
                 b"serve",
-                thrift.HEAD.pack(thrift.MAP, 1),
-                thrift.words({}),
-                thrift.HEAD.pack(thrift.STRING, 2),
+                thrift.FIELD_HEADER.pack(thrift.MAP, 1),
+                thrift.encode_string_map({}),
+                thrift.FIELD_HEADER.pack(thrift.STRING, 2),
                 body,
             )
         raw.send()
-        await until(lambda: client.queued > thrift.LONGEST)
+        await until(lambda: client.queued > thrift.MAX_FRAME_BYTES)
         raw.socket.shutdown(socket.SHUT_WR)
         await asyncio.sleep(0.2)
         return await pulls_of_the_first_once_its_server_fails(t, raw)
@@ -413,9 +415,9 @@
         def failing():
             raise OSError(errno.EBADF, "planted")
 
-        t.service.front.stop = failing
+        t.service.client_connections.stop = failing
         t.service.stop()
-        t.service.until = t.service.now() + 1.0
+        t.service.shutdown.deadline = t.service.now() + 1.0
         await asyncio.wait_for(t.task, 5.0)
         return t.service.phases.now
 
@@ -434,7 +436,7 @@
             raw = Raw(t.address).asks(number + 1).send()
             await asyncio.sleep(0.005)
             raw.close(reset=True)
-        await until(lambda: len(t.service.front.clients) == 1)
+        await until(lambda: len(t.service.client_connections.clients) == 1)
         return (tracemalloc.get_traced_memory()[0] - before) / count
 
     gc.collect()
--- a/tests/crossings/test_sockets.py
+++ b/tests/crossings/test_sockets.py
@@ -64,7 +64,7 @@
     for n in range(1000, 1030):
         t.caller.ask(n, lookup=f"{n:016x}")
         await t.caller.hear()
-    await until(lambda: all(line.up for line in t.service.caches.all))
+    await until(lambda: all(line.up for line in t.service.upstream_connections.all))
     for machine in t.machines.values():
         machine.seen.clear()
 
@@ -94,10 +94,10 @@
 
     async def scene(t):
         raw = Raw(t.address).asks(1, room="-1").asks(2).send()
-        await until(lambda: any(c.waits for c in t.service.front.clients.values()))
+        await until(lambda: any(c.waits for c in t.service.client_connections.clients.values()))
         raw.close()
         await asyncio.sleep(0.4)
-        return pulls(t), len(t.service.front.clients), t.service.front.held
+        return pulls(t), len(t.service.client_connections.clients), t.service.client_connections.held
 
     assert played(scene, tmp_path) == ([], 1, 0)
 
@@ -132,7 +132,7 @@
         raw = Raw(t.address).asks(1).send()
         await until(lambda: first)
         name, machine = first[0][1].encode(), next(m for m in t.machines.values() if m.seen)
-        line = next(n for n in t.service.caches.all if name in n.out)
+        line = next(n for n in t.service.upstream_connections.all if name in n.out)
         writer = next(
             w for w in machine.writers if w.get_extra_info("peername") == line.stream.socket.getsockname()
         )
@@ -149,14 +149,14 @@
 
 def test_a_connection_is_not_closed_between_the_read_of_a_call_and_its_round(tmp_path):
     async def scene(t):
-        post = t.service.front.post
+        post = t.service.client_connections.post
 
         def and_close(method, values):
             post(method, values)
             if method == "query":
-                t.service.front.make_room()
+                t.service.client_connections.make_room()
 
-        t.service.front.post = and_close
+        t.service.client_connections.post = and_close
         t.caller.ask(1)
         return await t.caller.hear()
 
@@ -168,11 +168,11 @@
 
     async def scene(t):
         raw, silent = Raw(t.address), front.Client.silent
-        await until(lambda: len(t.service.front.clients) == 2)
+        await until(lambda: len(t.service.client_connections.clients) == 2)
         monkeypatch.setattr(
             front.Client, "silent", lambda c: raw.asks(1).send() and silent(c) if c.number == 2 else silent(c)
         )
-        t.service.front.release(t.service.front.clients[2], CloseReason.IDLE)
+        t.service.client_connections.release(t.service.client_connections.clients[2], CloseReason.IDLE)
         return await (await raw.caller()).hear()
 
     assert played(scene, tmp_path) == (1, "satisfied 19")
@@ -187,7 +187,7 @@
         heard = [await caller.hear(), await caller.hear()]  # the answer, then the end
         caller.ask(2)
         await asyncio.sleep(0.05)
-        return heard, caller.reader.exception(), len(pulls(t)), len(t.service.front.leaving) > 0
+        return heard, caller.reader.exception(), len(pulls(t)), len(t.service.client_connections.leaving) > 0
 
     assert played(scene, tmp_path) == ([(1, "satisfied 19"), None], None, 1, True)
 
@@ -230,7 +230,7 @@
 
     async def scene(t):
         raw, silent, sent = Raw(t.address), front.Client.silent, []
-        await until(lambda: len(t.service.front.clients) == 2)
+        await until(lambda: len(t.service.client_connections.clients) == 2)
 
         def crossing(client):
             if client.number == 2 and not sent:
@@ -283,8 +283,8 @@
     async def play(t):
         Held.gate = asyncio.Event()
         t.caller.ask(1, lookup="ab" * 8)
-        await until(lambda: any(line.waiting for line in t.service.caches.all))
-        server = next(line.server[0] for line in t.service.caches.all if line.waiting)
+        await until(lambda: any(line.waiting for line in t.service.upstream_connections.all))
+        server = next(line.server[0] for line in t.service.upstream_connections.all if line.waiting)
         return await scene(t, server)
 
     monkeypatch.setattr(net_caches, "Stream", Held)
@@ -345,7 +345,7 @@
         await until(lambda: not t.service.reducer.queries)
         Held.gate.set()
         await asyncio.sleep(0.1)
-        return pulls(t), t.service.caches.where
+        return pulls(t), t.service.upstream_connections.where
 
     assert held(scene, tmp_path, monkeypatch) == ([], {})
 
@@ -370,14 +370,14 @@
 )
 def test_a_connection_that_brought_what_nobody_waits_for_is_not_used_again(tmp_path, spoilt):
     async def scene(t):
-        used, write = [], t.service.caches.write
+        used, write = [], t.service.upstream_connections.write
 
         def noted(line, wire):
             if wire.startswith(b"PULL"):
                 used.append(line)
             write(line, wire)
 
-        t.service.caches.write = noted
+        t.service.upstream_connections.write = noted
         for machine in t.machines.values():
             machine.act = lambda line: spoilt if len(used) == 1 else "data"
         heard = []
@@ -401,14 +401,14 @@
             machine.act = b"ID data - 200000\r\nfirst"
         t.caller.ask(1, allow="100")
         heard = await t.caller.hear()
-        line = next(n for n in t.service.caches.all if n.answers.head)
+        line = next(n for n in t.service.upstream_connections.all if n.answers.head)
         writer = next(w for m in t.machines.values() for w in m.writers if m.seen)
         for _ in range(200):
             if line.closed:
                 break
             writer.write(b"x")
             await asyncio.sleep(0.01)
-        return heard, line.closed, t.service.caches.where
+        return heard, line.closed, t.service.upstream_connections.where
 
     assert played(scene, tmp_path) == ((1, "nack"), True, {})
 
@@ -418,17 +418,18 @@
 
 def test_for_room_the_longest_idle_go_and_none_of_which_half_a_call_has_come(tmp_path):
     async def scene(t):
-        t.service.front.sockets = 6
+        t.service.client_connections.sockets = 6
         half = Raw(t.address)
         wire = half.asks(1).bytes
         half.socket.sendall(wire[:30])
         idle = [await Caller.connect(t.address) for _ in range(3)]
         await until(
             lambda: (
-                len(t.service.front.clients) == 5 and any(c.part_at for c in t.service.front.clients.values())
+                len(t.service.client_connections.clients) == 5
+                and any(c.part_at for c in t.service.client_connections.clients.values())
             )
         )
-        t.service.front.clients[1].used_at += 100.0  # the town's own, used last of all
+        t.service.client_connections.clients[1].used_at += 100.0  # the town's own, used last of all
         late = [await Caller.connect(t.address) for _ in range(2)]
         gone = await idle[0].hear()
         late[-1].ask(2)
@@ -442,11 +443,11 @@
     async def scene(t):
         t.caller.ask(1)
         await t.caller.hear()
-        await until(lambda: t.service.channel.stream is not None)
+        await until(lambda: t.service.command_channel.stream is not None)
         streams = (
-            [c.stream for c in t.service.front.clients.values()]
-            + [t.service.channel.stream]
-            + [n.stream for n in t.service.caches.all]
+            [c.stream for c in t.service.client_connections.clients.values()]
+            + [t.service.command_channel.stream]
+            + [n.stream for n in t.service.upstream_connections.all]
         )
         return {s.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) != 0 for s in streams}, len(
             streams
@@ -501,10 +502,10 @@
 def test_the_share_of_descriptors_is_of_what_the_system_gives(tmp_path, monkeypatch):
     site = read(configuration(), tmp_path)
     monkeypatch.setattr(program.resource, "getrlimit", lambda what: (256, 256))
-    assert program.bounded(site).bounds.sockets == 256
+    assert program.limit_descriptors(site).bounds.sockets == 256
     monkeypatch.setattr(program.resource, "getrlimit", lambda what: (16, 16))
     with pytest.raises(program.StartError, match="limits.sockets: .* gives 16"):
-        program.bounded(site)
+        program.limit_descriptors(site)
 
 
 def test_sighup_while_it_starts_ends_nothing_and_the_new_file_holds(tmp_path):
@@ -563,7 +564,7 @@
                 caller.ask(n)
                 await caller.hear()
                 caller.writer.close()
-            await until(lambda: len(t.service.front.clients) == 1)
+            await until(lambda: len(t.service.client_connections.clients) == 1)
             await asyncio.sleep(0.05)
             return sum(isinstance(o, front.Client) for o in gc.get_objects())
         finally:
--- a/tests/engine/test_invariants.py
+++ b/tests/engine/test_invariants.py
@@ -154,9 +154,9 @@
     async def scene(t):
         t.caller.ask(1)
         await until(t.pulled)
-        client = t.service.front.clients[1]
-        t.service.front.satisfy(1, 7, b"never asked", False)
-        t.service.front.drop(client, CloseReason.IDLE)
+        client = t.service.client_connections.clients[1]
+        t.service.client_connections.satisfy(1, 7, b"never asked", False)
+        t.service.client_connections.drop(client, CloseReason.IDLE)
         return await t.caller.hear(), dict(t.service.reducer.invariants.violations)
 
     assert played(scene, tmp_path, machines=caches(delay=0.3)) == (None, {"one_answer": 1, "close": 1})
@@ -166,9 +166,9 @@
     async def scene(t):
         t.caller.ask(1)
         await until(t.pulled)
-        client = t.service.front.clients[1]
-        t.service.front.cancel(client, 1)
-        t.service.front.satisfy(1, 1, b"late", False)
+        client = t.service.client_connections.clients[1]
+        t.service.client_connections.cancel(client, 1)
+        t.service.client_connections.satisfy(1, 1, b"late", False)
         t.caller.ask(2)
         return await t.caller.hear(), dict(t.service.reducer.invariants.violations)
 
@@ -180,7 +180,7 @@
     trace = Trace(tmp_path / "trace", "n1", 1)
 
     async def scene(t):
-        t.service.tracer = t.service.front.trace = t.service.caches.trace = trace
+        t.service.tracer = t.service.client_connections.trace = t.service.upstream_connections.trace = trace
         t.service.reducer.traced = True
         acts = iter(["absent", "data"])
         for machine in t.machines.values():
@@ -220,7 +220,7 @@
         t.service.log = Log("n1", Sink(lines))
         t.caller.ask(1)
         await t.caller.hear()
-        t.service.ended.set()
+        t.service.shutdown.done.set()
         await t.task
 
     played(scene, tmp_path, machines=caches(act="full"))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -370,7 +370,7 @@
 
     def call(self, method, *args, kind=thrift.CALL):
         self.number += 1
-        self.writer.write(thrift.message(method, kind, self.number, *args, b"\0"))
+        self.writer.write(thrift.encode_message(method, kind, self.number, *args, b"\0"))
         return self.number
 
     def ask(self, name, **fields):
@@ -385,25 +385,27 @@
             **fields,
         }
         told = {k.encode(): v.encode() for k, v in values.items() if v is not None}
-        return self.call(b"serve", thrift.HEAD.pack(thrift.MAP, 1), thrift.words(told))
+        return self.call(b"serve", thrift.FIELD_HEADER.pack(thrift.MAP, 1), thrift.encode_string_map(told))
 
     def forget(self, number):
-        self.call(b"forget", thrift.HEAD.pack(thrift.I32, 1), thrift.INT.pack(number), kind=thrift.ONEWAY)
+        self.call(
+            b"forget", thrift.FIELD_HEADER.pack(thrift.I32, 1), thrift.INT32.pack(number), kind=thrift.ONEWAY
+        )
 
     async def hear(self):
         """One answer as (sequence number, text), or None at the end of the connection."""
         try:
-            (size,) = thrift.INT.unpack(await self.reader.readexactly(4))
+            (size,) = thrift.INT32.unpack(await self.reader.readexactly(4))
             reader = thrift.Reader(await self.reader.readexactly(size))
         except (ConnectionError, asyncio.IncompleteReadError):
             return None
-        _, kind, number = thrift.read_head(reader)
-        ((_, place),) = [next(reader.fields())]
+        _, kind, number = thrift.read_message_header(reader)
+        ((_, place),) = [next(reader.read_fields())]
         if kind == thrift.EXCEPTION:
-            return number, "exception " + reader.text().decode()
+            return number, "exception " + reader.read_string().decode()
         if place:
             return number, {1: "nack", 2: "error"}[place]
-        args = thrift.read_args(reader, {1: thrift.STRING, 2: thrift.MAP})
+        args = thrift.read_arguments(reader, {1: thrift.STRING, 2: thrift.MAP})
         same = " unchanged" if args[2].get(b"unchanged") == b"1" else ""
         return number, f"satisfied {len(args[1])}{same}" if args[
             1
@@ -431,13 +433,13 @@
         self.task = asyncio.ensure_future(self.service.run())
         while self.service.phases.now == "starting":
             await asyncio.sleep(0.001)
-        self.address = self.service.front.listener.socket.getsockname()
+        self.address = self.service.client_connections.listener.socket.getsockname()
         self.caller = await Caller.connect(self.address)
         return self
 
     async def __aexit__(self, *_):
         if not self.task.done():
-            self.service.ended.set()
+            self.service.shutdown.done.set()
         await asyncio.wait_for(self.task, 5)
 
     def pulled(self):
--- a/tests/net/test_wire_bytes.py
+++ b/tests/net/test_wire_bytes.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from brookhinge.net import cachewire, http, thrift
+from brookhinge.net import cachewire, client_protocol, http, thrift
 
 SERVE_FIELDS = {
     b"service": b"page",
@@ -16,20 +16,33 @@
     b"replay": b"2",
 }
 SERVE_ARGUMENTS = (
-    thrift.HEAD.pack(thrift.MAP, 1),
-    thrift.words(SERVE_FIELDS),
-    thrift.HEAD.pack(thrift.STRING, 2),
-    thrift.text(b"body"),
+    thrift.FIELD_HEADER.pack(thrift.MAP, 1),
+    thrift.encode_string_map(SERVE_FIELDS),
+    thrift.FIELD_HEADER.pack(thrift.STRING, 2),
+    thrift.encode_string(b"body"),
     b"\0",
 )
-FORGET_ARGUMENTS = (thrift.HEAD.pack(thrift.I32, 1), thrift.INT.pack(7), b"\0")
+PLAIN_FETCH = cachewire.Fetch(
+    request_class=b"page",
+    object_key=b"7f3a",
+    part=b"3",
+    source=None,
+    rank=0,
+    max_age_s=0.0,
+    joins_fill=False,
+    cached_only=False,
+    revalidate=False,
+    known_version=None,
+    body=b"",
+)
+FORGET_ARGUMENTS = (thrift.FIELD_HEADER.pack(thrift.I32, 1), thrift.INT32.pack(7), b"\0")
 
 
 @pytest.mark.parametrize(
     "message, wire",
     [
         (
-            thrift.message(b"serve", thrift.CALL, 7, *SERVE_ARGUMENTS),
+            thrift.encode_message(b"serve", thrift.CALL, 7, *SERVE_ARGUMENTS),
             "000000d880010001000000057365727665000000070d00010b0b00000009000000077365727669636500000004706167650000"
             "0003726566000000103030303030303030303030303030613100000005616c6c6f770000000432393030000000066c6f6f6b75"
             "7000000010616261626162616261626162616261620000000570696563650000000130000000036c6f74000000013300000004"
@@ -37,10 +50,13 @@
             "000001320b000200000004626f647900",
         ),
         (
-            thrift.message(b"forget", thrift.ONEWAY, 8, *FORGET_ARGUMENTS),
+            thrift.encode_message(b"forget", thrift.ONEWAY, 8, *FORGET_ARGUMENTS),
             "0000001a8001000400000006666f72676574000000080800010000000700",
         ),
-        (thrift.message(b"isWell", thrift.CALL, -1, b"\0"), "000000138001000100000006697357656c6cffffffff00"),
+        (
+            thrift.encode_message(b"isWell", thrift.CALL, -1, b"\0"),
+            "000000138001000100000006697357656c6cffffffff00",
+        ),
     ],
     ids=["serve", "forget", "isWell"],
 )
@@ -52,38 +68,38 @@
     "message, wire",
     [
         (
-            thrift.answer(b"serve", 7, b"object", {}, True),
+            client_protocol.response(7, b"object", is_unchanged=False),
             "0000003080010002000000057365727665000000070c00000b0001000000066f626a6563740d00020b0b00000000020003010000",
         ),
         (
-            thrift.answer(b"serve", 2**31 - 1, b"", {b"unchanged": b"1"}, True),
+            client_protocol.response(2**31 - 1, b"", is_unchanged=True),
             "0000003c800100020000000573657276657fffffff0c00000b0001000000000d00020b0b0000000100000009756e6368616e67"
             "65640000000131020003010000",
         ),
         (
-            thrift.answer(b"isWell", 9, b"", {}, False),
+            client_protocol.health(9, is_well=False),
             "0000002b8001000200000006697357656c6c000000090c00000b0001000000000d00020b0b00000000020003000000",
         ),
         (
-            thrift.thrown(7, 1, {b"cooldown": b"250"}),
+            client_protocol.rejection(7, 0.25),
             "0000003280010002000000057365727665000000070c00010d00010b0b0000000100000008636f6f6c646f776e000000033235"
             "300000",
         ),
         (
-            thrift.thrown(7, 1, {}),
+            client_protocol.rejection(7, 0.0),
             "0000001f80010002000000057365727665000000070c00010d00010b0b000000000000",
         ),
         (
-            thrift.thrown(7, 2, {}),
+            client_protocol.failure(7),
             "0000001f80010002000000057365727665000000070c00020d00010b0b000000000000",
         ),
         (
-            thrift.exception(b"serve", 7, thrift.PROTOCOL, "ref: missing or unusable"),
+            client_protocol.invalid_request(7, "ref: missing or unusable"),
             "0000003880010003000000057365727665000000070b0001000000187265663a206d697373696e67206f7220756e757361626c"
             "650800020000000700",
         ),
         (
-            thrift.exception(b"sing", 7, thrift.UNKNOWN_METHOD, "no method sing"),
+            thrift.encode_exception(b"sing", 7, thrift.UNKNOWN_METHOD, "no method sing"),
             "0000002d800100030000000473696e67000000070b00010000000e6e6f206d6574686f642073696e670800020000000100",
         ),
     ],
@@ -97,43 +113,45 @@
     "line, wire",
     [
         (
-            cachewire.pull(
-                b"a1", b"page", b"7f3a", b"03", 1.2345, "s-11", 2, 0.5004, True, True, True, b"4be0", b"x\r\n"
+            cachewire.encode_pull(
+                b"a1",
+                PLAIN_FETCH._replace(
+                    part=b"03",
+                    source="s-11",
+                    rank=2,
+                    max_age_s=0.5004,
+                    joins_fill=True,
+                    cached_only=True,
+                    revalidate=True,
+                    known_version=b"4be0",
+                    body=b"x\r\n",
+                ),
+                1.2345,
             ),
             b"PULL a1 sort=page,asset=7f3a,slice=03,patience=1234,parent=s-11,shelf=2,accept=500,"
             b"hints=merge+local+revalidate,got=4be0 3\r\nx\r\n\r\n",
         ),
         (
-            cachewire.pull(b"a1", b"page", b"7f3a", b"3", 0.0, None, 0, 0.0, False, False, False, None, b""),
+            cachewire.encode_pull(b"a1", PLAIN_FETCH, 0.0),
             b"PULL a1 sort=page,asset=7f3a,slice=3,patience=1 0\r\n\r\n",
         ),
         (
-            cachewire.pull(
+            cachewire.encode_pull(
                 b"a1",
-                b"order",
-                b"7f3a",
-                b"3",
+                PLAIN_FETCH._replace(request_class=b"order", max_age_s=0.0001, idempotency_key=b"1ff975"),
                 3.0,
-                None,
-                0,
-                0.0001,
-                False,
-                False,
-                False,
-                None,
-                b"",
-                mark=b"1ff975",
             ),
             b"PULL a1 sort=order,asset=7f3a,slice=3,patience=3000,accept=1,op=1ff975 0\r\n\r\n",
         ),
         (
-            cachewire.pull(
-                b"a1", b"page", b"7f3a", b"3", 0.05, "s-01", 1, 0.0, False, True, False, None, b"", skip=True
+            cachewire.encode_pull(
+                b"a1", PLAIN_FETCH._replace(source="s-01", rank=1, cached_only=True, skips_cache=True), 0.05
             ),
-            b"PULL a1 sort=page,asset=7f3a,slice=3,patience=50,parent=s-01,shelf=1,hints=local+skip 0\r\n\r\n",
+            b"PULL a1 sort=page,asset=7f3a,slice=3,patience=50,parent=s-01,shelf=1,hints=local+skip 0\r\n"
+            b"\r\n",
         ),
-        (cachewire.kill(b"a1"), b"KILL a1\r\n"),
-        (cachewire.echo(b"echo"), b"ECHO echo\r\n"),
+        (cachewire.encode_kill(b"a1"), b"KILL a1\r\n"),
+        (cachewire.encode_echo(b"echo"), b"ECHO echo\r\n"),
     ],
     ids=["every field", "no field", "idempotency key", "cached only", "cancel", "health check"],
 )
@@ -145,12 +163,14 @@
     "message, wire",
     [
         (
-            http.request("127.0.0.1:9", 0, 1000),
-            b"GET /cmd/next?resume=0&block=1000 HTTP/1.1\r\nHost: 127.0.0.1:9\r\nAccept: application/json\r\n\r\n",
+            http.encode_poll("127.0.0.1:9", 0, 1000),
+            b"GET /cmd/next?resume=0&block=1000 HTTP/1.1\r\nHost: 127.0.0.1:9\r\n"
+            b"Accept: application/json\r\n\r\n",
         ),
         (
-            http.request("cmd.example:8080", 41, 0),
-            b"GET /cmd/next?resume=41&block=0 HTTP/1.1\r\nHost: cmd.example:8080\r\nAccept: application/json\r\n\r\n",
+            http.encode_poll("cmd.example:8080", 41, 0),
+            b"GET /cmd/next?resume=41&block=0 HTTP/1.1\r\nHost: cmd.example:8080\r\n"
+            b"Accept: application/json\r\n\r\n",
         ),
     ],
     ids=["wait a second", "do not wait"],
--- a/tests/standstill/test_held_back.py
+++ b/tests/standstill/test_held_back.py
@@ -18,7 +18,7 @@
     await asyncio.sleep(0.05)  # its connection was read empty longer ago than a moment
     t.service.watch.tick()
     server = q.server, *t.service.reducer.dials[q.server]
-    return raw, net_caches.Decided(query, q.pushes, server, q.name, now + 1.0, now, (), ())
+    return raw, net_caches.Decided(query, q.pushes, server, q.name, now + 1.0, now, None)
 
 
 def reason_after(tmp_path, change):
@@ -27,9 +27,11 @@
     async def scene(t):
         raw, decided = await one_out(t)
         await until(t.service.rounds.knows_all)
-        before = t.service.held_back(decided)
-        t.service.front.clients[2].emptied_at = t.service.channel.empty_at = float("-inf")
-        return before, t.service.held_back(change(t, raw, decided) or decided)
+        before = t.service.write_guard.hold_reason(decided)
+        t.service.client_connections.clients[2].emptied_at = t.service.command_channel.empty_at = float(
+            "-inf"
+        )
+        return before, t.service.write_guard.hold_reason(change(t, raw, decided) or decided)
 
     before, after = played(scene, tmp_path, machines=caches(act="silent"))
     assert before is None
@@ -48,7 +50,7 @@
 
 def test_its_client_is_known_to_have_cancelled(tmp_path):
     def cancel(t, raw, decided):
-        t.service.front.cancel(t.service.front.clients[2], 1)
+        t.service.client_connections.cancel(t.service.client_connections.clients[2], 1)
 
     assert reason_after(tmp_path, cancel) is HeldBack.CLIENT_GONE
 
@@ -62,8 +64,8 @@
 
 def test_the_command_channel_has_sent_something(tmp_path):
     def answered(t, raw, decided):
-        t.service.channel.received = asyncio.get_running_loop().create_future()
-        t.service.channel.received.set_result(b"")
+        t.service.command_channel.received = asyncio.get_running_loop().create_future()
+        t.service.command_channel.received.set_result(b"")
 
     assert reason_after(tmp_path, answered) is HeldBack.LIST_UNREAD
 
@@ -93,8 +95,10 @@
 def test_it_waited_too_long_for_its_connection(tmp_path):
     async def scene(t):
         _, decided = await one_out(t)
-        line = next(line for line in t.service.caches.all if line.out)
-        t.service.caches.put(line, decided._replace(since=decided.since - 1.0, name=b"other", push=9))
-        return dict(t.service.caches.holds)
+        line = next(line for line in t.service.upstream_connections.all if line.out)
+        t.service.upstream_connections.put(
+            line, decided._replace(since=decided.since - 1.0, name=b"other", push=9)
+        )
+        return dict(t.service.upstream_connections.holds)
 
     assert played(scene, tmp_path, machines=caches(act="silent")) == {HeldBack.LATE: 1}
--- a/tests/storm/test_daemon.py
+++ b/tests/storm/test_daemon.py
@@ -101,11 +101,11 @@
         await asyncio.sleep(0.2)
         t.caller.ask(2, lookup="cd" * 8)
         heard.append(await t.caller.hear())
-        kept = len(t.service.front.clients)
+        kept = len(t.service.client_connections.clients)
         gate = t.service.gate
         for _, writer in crowd:
             writer.close()
-        await until(lambda: gate.door.open == len(t.service.front.clients) == 1)
+        await until(lambda: gate.door.open == len(t.service.client_connections.clients) == 1)
         return (
             heard,
             kept,
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -4,6 +4,7 @@
 
 from brookhinge.engine import commands
 from brookhinge.net import cachewire, http, thrift
+from brookhinge.net.cachewire import Fetch
 
 SERVE = (
     bytes.fromhex("80010001 00000005")
@@ -24,15 +25,15 @@
 
 @pytest.mark.parametrize("size", [1, 3, 1000])
 def test_frames_in_any_pieces(size):
-    frames, wire = thrift.Frames(), (thrift.INT.pack(len(SERVE)) + SERVE) * 2
+    frames, wire = thrift.FrameSplitter(), (thrift.INT32.pack(len(SERVE)) + SERVE) * 2
     assert [f for piece in pieces(wire, size) for f in frames.feed(piece)] == [SERVE, SERVE]
-    assert len(frames.held) == 0
+    assert len(frames.buffered) == 0
 
 
 def test_a_call_and_its_arguments_with_an_unknown_one_skipped():
     reader = thrift.Reader(SERVE)
-    assert thrift.read_head(reader) == (b"serve", 1, 7)
-    assert thrift.read_args(reader, {1: thrift.MAP, 2: thrift.STRING}) == {1: {b"ref": b"9b"}, 2: b"hi"}
+    assert thrift.read_message_header(reader) == (b"serve", 1, 7)
+    assert thrift.read_arguments(reader, {1: thrift.MAP, 2: thrift.STRING}) == {1: {b"ref": b"9b"}, 2: b"hi"}
 
 
 @pytest.mark.parametrize(
@@ -50,32 +51,32 @@
     ],
 )
 def test_a_frame_that_cannot_be_read(frame, why):
-    with pytest.raises(thrift.Unreadable) as fault:
+    with pytest.raises(thrift.UnreadableError) as fault:
         reader = thrift.Reader(frame)
-        thrift.read_head(reader)
-        thrift.read_args(reader, {1: thrift.MAP, 2: thrift.STRING})
+        thrift.read_message_header(reader)
+        thrift.read_arguments(reader, {1: thrift.MAP, 2: thrift.STRING})
     assert why in str(fault.value)
 
 
 def test_a_wrong_type_is_told_and_the_frame_stays_readable():
     reader = thrift.Reader(SERVE)
-    thrift.read_head(reader)
-    with pytest.raises(thrift.Unusable) as fault:
-        thrift.read_args(reader, {1: thrift.STRING, 2: thrift.STRING})
+    thrift.read_message_header(reader)
+    with pytest.raises(thrift.InvalidCallError) as fault:
+        thrift.read_arguments(reader, {1: thrift.STRING, 2: thrift.STRING})
     assert str(fault.value) == "argument 1: wrong type"
 
 
 @pytest.mark.parametrize("size", [b"\0\0\0\0", b"\xff\xff\xff\xff", b"\0\x08\0\x01"])
 def test_a_frame_out_of_bounds(size):
     """What was whole before it comes out, nothing after it, and nothing of it is held."""
-    frames, whole = thrift.Frames(), thrift.INT.pack(len(SERVE)) + SERVE
+    frames, whole = thrift.FrameSplitter(), thrift.INT32.pack(len(SERVE)) + SERVE
     assert frames.feed(whole + size + whole) == [SERVE]
-    assert frames.broken == f"a frame of {thrift.INT.unpack(size)[0]} bytes"
-    assert frames.feed(whole) == [] and not frames.held
+    assert frames.error == f"a frame of {thrift.INT32.unpack(size)[0]} bytes"
+    assert frames.feed(whole) == [] and not frames.buffered
 
 
 def test_what_a_client_is_answered():
-    assert thrift.answer(b"serve", 7, b"hi", {b"unchanged": b"1"}, True).hex() == (
+    assert thrift.encode_reply(b"serve", 7, b"hi", {b"unchanged": b"1"}, is_well=True).hex() == (
         "0000003e"
         "80010002"
         "00000005" + b"serve".hex() + "00000007"
@@ -89,10 +90,10 @@
         "00"
         "00"
     )
-    assert thrift.thrown(7, 1, {}).hex() == "0000001f8001000200000005" + b"serve".hex() + (
-        "000000070c00010d00010b0b000000000000"
-    )
-    assert thrift.exception(b"x", 7, 1, "no").hex() == (
+    assert thrift.encode_declared_exception(
+        b"serve", 7, 1, {}
+    ).hex() == "0000001f8001000200000005" + b"serve".hex() + ("000000070c00010d00010b0b000000000000")
+    assert thrift.encode_exception(b"x", 7, 1, "no").hex() == (
         "0000001e8001000300000001" + b"x".hex() + "000000070b000100000002" + b"no".hex() + "0800020000000100"
     )
 
@@ -102,7 +103,7 @@
 
 @pytest.mark.parametrize("size", [1, 2, 7, 1000])
 def test_answers_in_any_pieces(size):
-    answers = cachewire.Answers()
+    answers = cachewire.AnswerSplitter()
     assert [a for piece in pieces(ANSWERS, size) for a in answers.feed(piece)] == [
         (b"a1", b"data", {b"n": b"hit", b"l": b"util:0.5"}, b"ab\r\nc"),
         (b"a2", b"absent", {}, b""),
@@ -121,8 +122,8 @@
     ],
 )
 def test_an_answer_that_cannot_be_read(line):
-    with pytest.raises(cachewire.Unreadable):
-        cachewire.Answers().feed(line)
+    with pytest.raises(cachewire.UnreadableError):
+        cachewire.AnswerSplitter().feed(line)
 
 
 def test_results_notes_and_load():
@@ -146,24 +147,28 @@
         "moot",
     ]
     for word, fields in ((b"maybe", {}), (b"data", {b"first": b"soon"}), (b"data", {b"l": b"util:x"})):
-        with pytest.raises(cachewire.Unreadable):
+        with pytest.raises(cachewire.UnreadableError):
             read(word, fields, [b"util"])
 
 
 def test_what_a_cache_is_sent():
-    assert cachewire.pull(
-        b"9b1f", b"page", b"7f3a", b"03", 1.2345, "s-11", 2, 0.5004, True, True, True, b"4be0", b"x"
+    assert cachewire.encode_pull(
+        b"9b1f", Fetch(b"page", b"7f3a", b"03", "s-11", 2, 0.5004, True, True, True, b"4be0", b"x"), 1.2345
     ) == (
         b"PULL 9b1f sort=page,asset=7f3a,slice=03,patience=1234,parent=s-11,shelf=2,accept=500,"
         b"hints=merge+local+revalidate,got=4be0 1\r\nx\r\n"
     )
-    assert cachewire.pull(
-        b"9b1f", b"page", b"7f3a", b"3", 0.0, None, 0, 0.0, False, False, False, None, b""
+    assert cachewire.encode_pull(
+        b"9b1f", Fetch(b"page", b"7f3a", b"3", None, 0, 0.0, False, False, False, None, b""), 0.0
     ) == (b"PULL 9b1f sort=page,asset=7f3a,slice=3,patience=1 0\r\n\r\n")
-    assert b",patience=1,op=1ff975 0\r\n" in cachewire.pull(
-        b"9b1f", b"order", b"7f3a", b"3", 0.0, None, 0, 0.0, False, False, False, None, b"", mark=b"1ff975"
+    assert b",patience=1,op=1ff975 0\r\n" in cachewire.encode_pull(
+        b"9b1f",
+        Fetch(
+            b"order", b"7f3a", b"3", None, 0, 0.0, False, False, False, None, b"", idempotency_key=b"1ff975"
+        ),
+        0.0,
     )
-    assert cachewire.kill(b"9b1f") + cachewire.echo(b"t") == b"KILL 9b1f\r\nECHO t\r\n"
+    assert cachewire.encode_kill(b"9b1f") + cachewire.encode_echo(b"t") == b"KILL 9b1f\r\nECHO t\r\n"
 
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
@@ -180,16 +185,16 @@
     ],
 )
 def test_an_answer_of_the_channel_in_any_pieces(wire, kept, size):
-    answer = http.Answer()
+    answer = http.ResponseParser()
     assert [done for piece in pieces(wire, size) if (done := answer.feed(piece))] == [(200, b"{...}", kept)]
 
 
 def test_an_answer_without_a_length_ends_with_its_connection():
-    answer = http.Answer()
+    answer = http.ResponseParser()
     assert answer.feed(HEAD + b"\r\n{..") is None
-    assert answer.ended() == (200, b"{..", False)
-    with pytest.raises(http.Unreadable):
-        http.Answer().ended()
+    assert answer.end() == (200, b"{..", False)
+    with pytest.raises(http.UnreadableError):
+        http.ResponseParser().end()
 
 
 @pytest.mark.parametrize(
@@ -205,8 +210,8 @@
     ],
 )
 def test_an_answer_of_the_channel_that_cannot_be_read(wire):
-    with pytest.raises(http.Unreadable):
-        http.Answer().feed(wire)
+    with pytest.raises(http.UnreadableError):
+        http.ResponseParser().feed(wire)
 
 
 @pytest.mark.parametrize(
@@ -218,6 +223,6 @@
 
 
 def test_the_request_to_the_channel():
-    assert http.request("h:1", 41, 2000) == (
+    assert http.encode_poll("h:1", 41, 2000) == (
         b"GET /cmd/next?resume=41&block=2000 HTTP/1.1\r\nHost: h:1\r\nAccept: application/json\r\n\r\n"
     )
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,7 +14,7 @@
 import pytest
 from helpers import Caller, Commands, Machine, Town, host, listed
 
-from brookhinge.net import front, service, thrift
+from brookhinge.net import front, graceful_shutdown, thrift
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -111,7 +111,7 @@
         for bad in (
             b"\0\0\0\x05hello",
             b"\x7f\0\0\0",
-            thrift.INT.pack(20) + thrift.message(b"serve", 1, 9)[4:20] + b"\r" * 4,
+            thrift.INT32.pack(20) + thrift.encode_message(b"serve", 1, 9)[4:20] + b"\r" * 4,
         ):
             other = await Caller.connect(t.address)
             other.writer.write(bad)
@@ -224,7 +224,7 @@
 
     async def scene(t):
         t.service.reducer.router.retries = 10.0
-        t.service.caches.say = lambda event, **values: said.append(event)
+        t.service.upstream_connections.say = lambda event, **values: said.append(event)
         first, said = [], []
         for machine in t.machines.values():
             machine.act = lambda line: first.append(line) or spoilt if not first else DATA
@@ -290,7 +290,7 @@
         t.caller.ask(1)
         heard = [await t.caller.hear()]
         t.caller.ask(2)
-        return heard + [await t.caller.hear()], len(lines), t.service.caches.where
+        return heard + [await t.caller.hear()], len(lines), t.service.upstream_connections.where
 
     assert played(scene, tmp_path) == ([(1, "satisfied 3"), (2, "satisfied 3")], 3, {})
 
@@ -333,20 +333,28 @@
             await asyncio.sleep(0.01)
             out = [q for q in t.service.reducer.queries.values() if q.out]
             if not t.service.rounds.events:  # what has ended and is not reduced yet
-                agreed.append(sum(router.fleet.inflight) == len(out) == len(t.service.caches.where))
+                agreed.append(
+                    sum(router.fleet.inflight) == len(out) == len(t.service.upstream_connections.where)
+                )
         await until(lambda: not t.service.reducer.queries)
-        return set(agreed), sum(router.fleet.inflight), router.fills, router.queries, t.service.caches.where
+        return (
+            set(agreed),
+            sum(router.fleet.inflight),
+            router.fills,
+            router.queries,
+            t.service.upstream_connections.where,
+        )
 
     assert played(scene, tmp_path) == ({True}, 0, 0, {}, {})
 
 
 def test_a_server_without_a_connection_gets_one_at_the_share_of_descriptors(tmp_path):
     async def scene(t):
-        t.service.caches.sockets, heard = 3, set()
+        t.service.upstream_connections.sockets, heard = 3, set()
         for n in range(30):
             t.caller.ask(n, lookup=f"{n:016x}")
             heard.add((await t.caller.hear())[1])
-        return heard, len(t.service.caches.all) <= 3, {line[:4] for line in t.pulled()}
+        return heard, len(t.service.upstream_connections.all) <= 3, {line[:4] for line in t.pulled()}
 
     assert played(scene, tmp_path) == ({"satisfied 19"}, True, {"s-21", "s-22", "s-23"})
 
@@ -428,7 +436,7 @@
 
     async def scene(t):
         others = [await Caller.connect(t.address) for _ in range(20)]
-        await until(lambda: len(t.service.front.clients) == 21)
+        await until(lambda: len(t.service.client_connections.clients) == 21)
         used = len(os.listdir("/proc/self/fd"))
         waiting = [asyncio.ensure_future(Caller.connect(t.address)) for _ in range(4)]
         resource.setrlimit(resource.RLIMIT_NOFILE, (used + 4, hard))
@@ -450,18 +458,18 @@
 
 def test_a_client_that_reads_nothing_is_given_up_and_delays_no_other(tmp_path):
     async def scene(t):
-        t.service.front.most_held = 500_000
+        t.service.client_connections.most_held = 500_000
         made = socket.socket()
         made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         made.connect(t.address)
         slow = Caller(*await asyncio.open_connection(sock=made, limit=4096))
         for n in range(100, 132):
             slow.ask(n, lookup=f"{n:016x}", room="1")
-        await until(lambda: len(t.service.front.clients) == 1 and not t.service.reducer.queries)
+        await until(lambda: len(t.service.client_connections.clients) == 1 and not t.service.reducer.queries)
         t.caller.ask(1)
         return (
             await t.caller.hear(),
-            t.service.front.unread,
+            t.service.client_connections.unread,
             any("bytes not read" in line for line in t.lines),
         )
 
@@ -563,7 +571,7 @@
         t.caller.ask(1)
         heard = [await t.caller.hear()]
         silent, half = await Caller.connect(t.address), await Caller.connect(t.address)
-        half.writer.write(thrift.INT.pack(200_000) + b"\x80\x01")
+        half.writer.write(thrift.INT32.pack(200_000) + b"\x80\x01")
         heard += [await silent.hear(), await half.hear()]
         t.caller.ask(2)
         heard.append(await t.caller.hear())
@@ -577,7 +585,7 @@
     """Clients that ask once and hold their connection must not keep others out."""
 
     async def scene(t):
-        t.service.front.sockets, held, heard = 20, [], []
+        t.service.client_connections.sockets, held, heard = 20, [], []
         for n in range(60):
             held.append(await Caller.connect(t.address))
             if n % 2:
@@ -585,7 +593,7 @@
                 heard.append((await held[-1].hear())[1])
         return (
             set(heard),
-            len(t.service.front.clients) <= 20,
+            len(t.service.client_connections.clients) <= 20,
             any("not accepting" in line for line in t.lines),
         )
 
@@ -594,7 +602,7 @@
 
 def test_a_frame_that_goes_on_after_its_message_is_not_taken(tmp_path):
     async def scene(t):
-        call = thrift.message(b"isWell", thrift.CALL, 1, b"\0more")
+        call = thrift.encode_message(b"isWell", thrift.CALL, 1, b"\0more")
         t.caller.writer.write(call)
         return await t.caller.hear()
 
@@ -611,7 +619,7 @@
 
 
 def test_told_to_end_it_errors_what_is_open_before_it_may_be_killed(tmp_path, monkeypatch):
-    monkeypatch.setattr(service, "LONGEST_S", 0.3)
+    monkeypatch.setattr(graceful_shutdown, "MAX_FINISH_S", 0.3)
 
     async def scene(t):
         t.caller.ask(1)
@@ -644,7 +652,7 @@
         await asyncio.sleep(0.2)
         time.sleep(0.4)
         await until(lambda: any(line.startswith("stalled 0.") for line in t.lines))
-        return t.service.watch.stalls, t.service.counts()["stalls"]
+        return t.service.watch.stalls, t.service.metrics.counts()["stalls"]
 
     stalls, counted = played(scene, tmp_path)
     assert stalls == counted >= 1
@@ -654,7 +662,7 @@
     async def scene(t):
         await one_cancels_and_one_leaves(t)
         await until(lambda: not t.service.reducer.queries)
-        return t.service.reasons()["withdrawals"]
+        return t.service.metrics.reasons()["withdrawals"]
 
     machines = caches(act="silent")
     assert played(scene, tmp_path, machines=machines) == {"cancelled": 1, "client_gone": 1}
