--- a/brookhinge/box/service.py
+++ b/brookhinge/box/service.py
@@ -3,18 +3,18 @@
 import asyncio
 import time
 
-from brookhinge import rules
 from brookhinge.box import judge as j
 from brookhinge.box import wire
 from brookhinge.box.lines import LineServer
 from brookhinge.box.orders import Orders
+from brookhinge.decisions import rules
 from brookhinge.engine.effects import CancelAttempt, RetireServer, SendAttempt
 from brookhinge.engine.endpoints import ServerInstance
 from brookhinge.engine.events import EndpointsListed, ObjectsPurged
 from brookhinge.net.caches import Caches
 from brookhinge.store import Copy, DiskTier, Store
 from brookhinge.store.files import Files
-from brookhinge.store.ledger import GROUP, OBJECT
+from brookhinge.store.purge_ledger import GROUP, OBJECT
 from brookhinge.store.records import ANY_GROUP
 
 MB = 1024 * 1024
@@ -359,10 +359,10 @@
                 max_age_s=bound,
                 joins_fill=pull.merge,
                 cached_only=pull.local,
-                renews=False,
-                etag=tag,
+                revalidates=False,
+                known_version=tag,
                 body=b"",
-                leaves_no_copy=pull.skip,
+                skips_cache=pull.skip,
             )
         )
         return fill
@@ -377,7 +377,7 @@
                 event.body,
                 event.is_unchanged,
                 event.dated_at,
-                event.etag,
+                event.version,
                 event.purge_group,
             )
 
--- a/brookhinge/engine/effects.py
+++ b/brookhinge/engine/effects.py
@@ -32,10 +32,10 @@
     max_age_s: float  # the oldest copy that will do; 0: the fresh time of the class
     joins_fill: bool  # wait for a fill of the object that is under way
     cached_only: bool
-    renews: bool  # the server asks its source whether its copy still holds
-    etag: bytes | None
+    revalidates: bool  # the server asks its source whether its copy still holds
+    known_version: bytes | None  # tag of the copy that the client has
     body: bytes
-    leaves_no_copy: bool = False
+    skips_cache: bool = False
     idempotency_key: bytes | None = None
 
 
--- a/brookhinge/engine/events.py
+++ b/brookhinge/engine/events.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from brookhinge.decisions.rules import AttemptResult
 from brookhinge.engine.endpoints import ListedEndpoint
 
 
@@ -45,7 +46,7 @@
     purge_group: int
     size_kb: float  # 0: not told
     timeout_s: float
-    etag: bytes | None  # of the copy that the client holds
+    known_version: bytes | None  # tag of the copy that the client has
     body: bytes
     received_at: float
     idempotency_key: bytes | None = None
@@ -66,15 +67,15 @@
 
     request_id: int
     attempt: int
-    result: str  # 'satisfied', 'miss', 'full', 'errored', 'moot', 'unreachable', 'broken' or 'unsent'
+    result: AttemptResult
     note: int  # how the server came by its copy, as numbered by `net/cachewire.py`; 0: not told
     source_wait_s: float  # what the server waited for its fill source
-    load: list[float] | None  # the load report
+    load_report: list[float] | None
     body: bytes
     is_unchanged: bool  # the copy that the client holds is the response
     received_at: float
     dated_at: float | None = None  # when the copy left the origin
-    etag: bytes | None = None
+    version: bytes | None = None  # tag of the copy
     purge_group: bytes | None = None
 
 
--- a/brookhinge/engine/reducer.py
+++ b/brookhinge/engine/reducer.py
@@ -10,43 +10,13 @@
 import heapq
 import traceback
 
-from brookhinge import rules
-from brookhinge.engine.effects import (
-    CancelAttempt,
-    CloseClient,
-    FailRequest,
-    NotifyPeers,
-    RefuseCall,
-    RejectRequest,
-    Respond,
-    RetireServer,
-    SendAttempt,
-    WriteLog,
-    WriteTrace,
-)
+from brookhinge.decisions import messages, rules
+from brookhinge.decisions.rules import AttemptResult, HeldBack, Ran, Refusal, Withdrawal
+from brookhinge.decisions.settings import Idempotency
+from brookhinge.engine import effects, events
 from brookhinge.engine.endpoints import ServerInstance
-from brookhinge.engine.events import (
-    AttemptEnded,
-    ClientConnected,
-    ClientDisconnected,
-    CommandSkipped,
-    CopyRuleChanged,
-    EndpointsListed,
-    Event,
-    ObjectsPurged,
-    OutlierVerdictsChanged,
-    PeerNoticeReceived,
-    PurgeLogEntryRead,
-    QuotasAssigned,
-    RequestCancelled,
-    RequestReceived,
-    RouterCountChanged,
-    ShutdownBegan,
-    WarmStartReceived,
-)
 from brookhinge.engine.invariants import Attempt, Invariant, Invariants, RuleBroken
 from brookhinge.engine.scores import Outcome
-from brookhinge.rules import HeldBack, Ran, Refusal, Withdrawal
 
 OPEN = 32  # queries on one connection, by the protocol
 WAIT_END_S = 0.02  # who waits beside a query is told that nothing came so long before its time is over
@@ -120,7 +90,7 @@
     def __init__(self, router, tracks, zones, lineage=None, tight=None, scores=None, traced=False):
         """traced: each step of each query comes out as an effect `trace`."""
         self.scores, self.traced = scores, traced
-        self.invariants = Invariants(router.purge_gone_s + PURGES_KEPT_S, router.slow_start_bound)
+        self.invariants = Invariants(router.purge_settled_s + PURGES_KEPT_S, router.slow_start_bound)
         self.refusals, self.retries = collections.Counter(), collections.Counter()  # by reason
         self.withdrawals = collections.Counter()
         self.router, self.lineage, self.tight = router, lineage, tight
@@ -145,22 +115,22 @@
         self.newest_known = {}  # of each purge known at the start, by number: the newest stamp from it on
         self.effects, self.inbox, self.current = [], [], None
         self.handlers = {
-            RequestReceived: self.query,
-            RequestCancelled: self.forgotten,
-            ClientConnected: self.connected,
-            ClientDisconnected: self.client_gone,
-            AttemptEnded: self.ended,
-            EndpointsListed: self.listed,
-            ObjectsPurged: self.purged,
-            CommandSkipped: self.skipped,
-            PeerNoticeReceived: self.notice,
-            PurgeLogEntryRead: self.logged,
-            CopyRuleChanged: self.copy_rule,
-            RouterCountChanged: self.peers,
-            QuotasAssigned: self.parts,
-            OutlierVerdictsChanged: self.verdicts,
-            WarmStartReceived: self.remember,
-            ShutdownBegan: self.closing,
+            events.RequestReceived: self.query,
+            events.RequestCancelled: self.forgotten,
+            events.ClientConnected: self.connected,
+            events.ClientDisconnected: self.client_gone,
+            events.AttemptEnded: self.ended,
+            events.EndpointsListed: self.listed,
+            events.ObjectsPurged: self.purged,
+            events.CommandSkipped: self.skipped,
+            events.PeerNoticeReceived: self.notice,
+            events.PurgeLogEntryRead: self.logged,
+            events.CopyRuleChanged: self.copy_rule,
+            events.RouterCountChanged: self.peers,
+            events.QuotasAssigned: self.parts,
+            events.OutlierVerdictsChanged: self.verdicts,
+            events.WarmStartReceived: self.remember,
+            events.ShutdownBegan: self.closing,
         }
         self.facts = []  # what was told in this pass: the decisions hear of it before all queries and ends of it
         self.counts = dict.fromkeys(
@@ -179,15 +149,17 @@
             0,
         )
 
-    def reduce(self, now, events, knows_all=True):
-        """One pass: the events, then the pushes whose time is over, then one round. knows_all: whether purges may be taken to
+    def reduce(self, now, posted, knows_all=True):
+        """One pass: the posted events, then the pushes whose time is over, then one round. knows_all: whether purges may be taken to
         be known that were told before this moment; else no copy of the router's own is an answer."""
         self.router.knows_all = knows_all
         self.now, self.effects, self.inbox, self.shut, self.served = now, [], [], set(), {}
         self.facts = []
         if not self.begun:
-            self.newest_known = newest_stamps([event for event in events if isinstance(event, ObjectsPurged)])
-        for self.current in events:
+            self.newest_known = newest_stamps(
+                [event for event in posted if isinstance(event, events.ObjectsPurged)]
+            )
+        for self.current in posted:
             try:
                 self.handlers[type(self.current)](self.current)
             except Exception as fault:
@@ -197,7 +169,7 @@
         inbox = iter(self.facts + self.inbox)
         while True:  # a fault of the decisions costs the query that it came up with, not the router
             try:
-                self.router.round(now, self.handed(inbox), self)
+                self.router.process(now, self.handed(inbox), self)
                 break
             except Exception as fault:
                 self.faulted(fault)
@@ -212,31 +184,38 @@
         self.current = None
 
     def faulted(self, fault):
-        if isinstance(self.current, Event):
-            method = type(self.current).__name__
-            query = self.current.request_id if isinstance(self.current, AttemptEnded) else None
-        else:
-            method, values = self.current or ("round", ())
-            query = values[0] if method in ("query", "ended", "left") else None
+        method, query = self.current_step()
         if isinstance(fault, RuleBroken):
             self.say_violation(query, fault.violation)
         else:
             where = traceback.extract_tb(fault.__traceback__)[-1]
-            self.say(f"{type(fault).__name__}: {fault} ({where.name}, line {where.lineno}) in {method}")
+            self.log(f"{type(fault).__name__}: {fault} ({where.name}, line {where.lineno}) in {method}")
         if query in self.queries:
             if not self.end_out(query):  # else the decisions still have to count what was out
                 self.router.queries.pop(query, None)
-            self.error(query, Refusal.FAULT)
+            self.fail(query, Refusal.FAULT)
+
+    def current_step(self):
+        """What is being handled, and the query that it is of, or None."""
+        if self.current is None:
+            return "round", None
+        if isinstance(
+            self.current, (messages.RequestArrived, messages.AttemptEnded, messages.RequestWithdrawn)
+        ):
+            return type(self.current).__name__, self.current.request_id
+        if isinstance(self.current, events.AttemptEnded):
+            return type(self.current).__name__, self.current.request_id
+        return type(self.current).__name__, None
 
     def say_violation(self, query, violation):
         q = self.queries.get(query)
         told = {"invariant": violation.invariant, "detail": violation.detail}
-        self.effects.append(WriteLog("violation", {"ref": q.name.decode() if q else None, **told}))
+        self.effects.append(effects.WriteLog("violation", {"ref": q.name.decode() if q else None, **told}))
 
     def trace(self, step, q, **values):
         """A step of a query, for who follows it by its id."""
         if self.traced:
-            self.effects.append(WriteTrace(step, q.name.decode(), values))
+            self.effects.append(effects.WriteTrace(step, q.name.decode(), values))
 
     def next_at(self):
         """When the next push runs out of time, or who waits beside one, or None."""
@@ -261,7 +240,7 @@
         kind, key, group, size_kb = event.class_name, event.object_key, event.purge_group, event.size_kb
         track = self.tracks.get(kind)
         if track is None:
-            return self.effects.append(RefuseCall(client, number, "service: no such class"))
+            return self.effects.append(effects.RefuseCall(client, number, "service: no such class"))
         if client in self.shut:
             return
         if number <= self.numbers.get(
@@ -274,18 +253,27 @@
         if name in self.names:
             if self.queries[self.names[name]].client == client:
                 return self.close(client, "an id that is open")
-            return self.effects.append(RefuseCall(client, number, "ref: still open"))
+            return self.effects.append(effects.RefuseCall(client, number, "ref: still open"))
         if name in self.past:
-            return self.effects.append(RefuseCall(client, number, "ref: used before"))
+            return self.effects.append(effects.RefuseCall(client, number, "ref: used before"))
         if self.closed:  # it was read after the end began: it never ran, nor will it
             self.counts["queries"] += 1
             self.counts["nacked"] += 1
             self.refusals[Refusal.STOPPING] += 1
-            return self.effects.append(RejectRequest(client, number, 0.0))
+            return self.effects.append(effects.RejectRequest(client, number, 0.0))
         query, self.serial = self.serial, self.serial + 1
         until = came + event.timeout_s
         q = self.queries[query] = Open(
-            client, number, name, kind, key, event.part, event.etag, event.body, until, event.idempotency_key
+            client,
+            number,
+            name,
+            kind,
+            key,
+            event.part,
+            event.known_version,
+            event.body,
+            until,
+            event.idempotency_key,
         )
         q.track, q.group, q.text_key, q.came = track, group, key.decode("ascii"), came
         self.names[name] = query
@@ -294,11 +282,21 @@
         if self.scores is not None:
             q.seen = track, size_kb, came
         self.trace("taken", q, client=client, number=number, kind=kind.decode(), left_s=until - self.now)
-        call = track, q.text_key, event.part_number, group, size_kb, False, False
+        call = messages.RequestArrived(
+            query,
+            track,
+            q.text_key,
+            event.part_number,
+            group,
+            size_kb,
+            is_write=False,
+            timeout_s=until - self.now,
+        )
         if (
-            self.lineage is None or self.router.tracks[track].effect != "replayable"
+            self.lineage is None
+            or self.router.request_classes[track].idempotency is not Idempotency.REPEATABLE
         ):  # an effect is asked for anew
-            self.inbox.append(("query", (query, *call, until - self.now)))
+            self.inbox.append(call)
         else:
             self.known_again(query, call)
 
@@ -308,7 +306,9 @@
         q = self.queries[query]
         q.call = call
         address = self.addresses.get(q.client, q.client)
-        seen = self.lineage.asked(self.now, query, address, q.client, call[:3])
+        seen = self.lineage.asked(
+            self.now, query, address, q.client, (call.request_class, call.key, call.part)
+        )
         first = self.queries.get(seen.beside)
         if first is not None and self.would_do(first, q):
             q.beside = seen.beside
@@ -319,9 +319,10 @@
             self.counts["again"] += seen.kind == "again"
             who = self.lineage.who(address, q.client)  # a place is told to who can be known when they come
             self.inbox.append(
-                (
-                    "query",
-                    (query, *call, q.until - self.now, seen.since, who if who[0] == "address" else None),
+                call._replace(
+                    timeout_s=q.until - self.now,
+                    retry_age_s=seen.since,
+                    retry_client=who if who[0] == "address" else None,
                 )
             )
 
@@ -337,7 +338,7 @@
         q = self.queries[query]
         q.beside = None
         if q.until - self.now <= WAIT_END_S:
-            self.error(query, Refusal.NO_TIME)
+            self.fail(query, Refusal.NO_TIME)
         else:
             self.known_again(query, q.call)
 
@@ -370,7 +371,7 @@
         """A connection that breaks the protocol: nothing on it is answered, nor taken in the rest of this pass."""
         self.forget_client(client)
         self.shut.add(client)
-        self.effects.append(CloseClient(client, why))
+        self.effects.append(effects.CloseClient(client, why))
 
     def closing(self, event):
         """The process ends: what is open gets its error now, and nothing more is decided; what is read later is refused."""
@@ -379,7 +380,7 @@
         self.waiting.clear()  # each has its own error
         for query in list(self.queries):
             self.end_out(query)
-            self.error(query, Refusal.STOPPING)
+            self.fail(query, Refusal.STOPPING)
 
     def ended(self, event):
         """What a cache server answered, or what became of a push; one that is out no more counts no more."""
@@ -394,30 +395,19 @@
         self.note_end(q, result)
         copy = None
         if over and not same and dated is not None and rules.stamp_is_plausible(came, dated):
-            copy = dated, len(body)
+            copy = messages.StoredCopy(dated, len(body))
+        took_s = came - q.sent_at
         self.inbox.append(
-            (
-                "ended",
-                (
-                    query,
-                    push,
-                    q.server,
-                    result,
-                    came - q.sent_at,
-                    over,
-                    event.note,
-                    event.source_wait_s,
-                    event.load,
-                    copy,
-                ),
+            messages.AttemptEnded(
+                query, q.server, result, took_s, over, event.note, event.source_wait_s, copy
             )
         )
         if over:
-            self.served[query] = body, event.etag
+            self.served[query] = body, event.version
             self.counts["satisfied"] += 1
             self.trace("served", q, of=q.server)
             self.withdrawn.pop(q.client, None)
-            self.effects.append(Respond(q.client, q.number, body, same))
+            self.effects.append(effects.Respond(q.client, q.number, body, same))
             self.satisfy_beside(query, body, same)
             self.settle(query)
 
@@ -435,7 +425,7 @@
             if other in self.queries:
                 q = self.queries[other]
                 self.counts["satisfied"] += 1
-                self.effects.append(Respond(q.client, q.number, body, same))
+                self.effects.append(effects.Respond(q.client, q.number, body, same))
                 self.settle(other)
 
     def listed(self, event):
@@ -445,11 +435,11 @@
         self.cursor, rows, seen = event.number, [], set()
         for server, address, zone, kind, cell, health, weight, born in event.endpoints:
             seen.add(server)
-            row = server, health, weight, born, cell, kind, self.zones.get(zone, -1)
+            row = messages.Endpoint(server, health, weight, born, cell, kind, self.zones.get(zone, -1))
             if self.tight is not None:
                 row, notice = self.tight.receive_row(row)
                 if notice is not None:
-                    self.effects.append(NotifyPeers(notice[0], notice[1:]))
+                    self.effects.append(effects.NotifyPeers(notice[0], notice[1:]))
             rows.append(row)
             self.invariants.listed(server, row[1], row[6], cell)
             self.redial(server, (address, born) if row[1] != "gone" else None)
@@ -458,14 +448,16 @@
                 self.redial(server, None)
             self.invariants.absent(seen)
             if self.tight is not None:
-                self.effects += [NotifyPeers(notice[0], notice[1:]) for notice in self.tight.absent(seen)]
-        self.facts.append(("roster", ("full" if event.is_complete else "changes", rows)))
+                self.effects += [
+                    effects.NotifyPeers(notice[0], notice[1:]) for notice in self.tight.absent(seen)
+                ]
+        self.facts.append(messages.EndpointsListed(event.is_complete, rows))
 
     def redial(self, server, dial):
         """Connections belong to a server's id and start: those to an earlier start are used no more."""
         old = self.dials.get(server)
         if old is not None and old != dial:
-            self.effects.append(RetireServer(ServerInstance(server, *old)))
+            self.effects.append(effects.RetireServer(ServerInstance(server, *old)))
         if dial is None:
             self.dials.pop(server, None)
         else:
@@ -477,7 +469,7 @@
             self.cursor = number
             if self.tight is not None:
                 stamp = round((moment + self.tight.start) * 1000)
-                self.effects.append(NotifyPeers("purge", (group, key, stamp)))
+                self.effects.append(effects.NotifyPeers("purge", (group, key, stamp)))
                 if not self.tight.purge_is_new(group, key, stamp):
                     return
             self.take_purge(group, self.purge_age(moment, self.newest_known.get(number, moment)), key)
@@ -485,7 +477,7 @@
     def take_purge(self, group, age, key):
         """A purge of so many seconds ago is known from now on."""
         self.invariants.purges.add(self.now, group, key, self.now - age)
-        self.facts.append(("purged", (group, age, key)))
+        self.facts.append(messages.ObjectsPurged(group, age, key))
 
     def purge_age(self, stamped, newest):
         """Seconds since a purge, by its stamp. Of those known at the start nothing but their stamps and order is known.
@@ -510,8 +502,8 @@
             self.invariants.listed(row[0], row[1], row[6], row[4])
             if row[1] == "gone":
                 self.redial(row[0], None)
-            self.facts.append(("roster", ("changes", [row])))
-            self.effects.append(WriteLog("notice", {"server": row[0], "health": row[1]}))
+            self.facts.append(messages.EndpointsListed(False, [row]))
+            self.effects.append(effects.WriteLog("notice", {"server": row[0], "health": row[1]}))
 
     def logged(self, event):
         """An entry of the purge log. A purge counts from now on by this router's own clock, whatever others' clocks say."""
@@ -523,11 +515,11 @@
 
     def copy_rule(self, event):
         """What this router may do with copies that it holds itself, as far as it knows all purges."""
-        self.facts.append(("copy_rule", (event.rule, event.missed_purges)))
+        self.facts.append(messages.CopyRuleChanged(event.rule, event.missed_purges))
 
     def peers(self, event):
         """By how many routers this place's limits and the whole fleet's are divided from here on."""
-        self.facts.append(("peers", (event.here, event.everywhere)))
+        self.facts.append(messages.RouterCountChanged(event.here, event.everywhere))
 
     def parts(self, event):
         """What this router may use of limits that the fleet shares: (kind, server, start in ms, part or None) each."""
@@ -536,7 +528,7 @@
             row = self.tight.rows.get(server)
             if kind == "own" or row is not None and self.tight.stamp(row[3]) == start:
                 told.append((kind, server, row and row[3], part))
-        self.facts.append(("parts", (told,)))
+        self.facts.append(messages.QuotasAssigned(told))
 
     def demand(self):
         """What was asked of limits that the fleet shares, starts in ms; it begins anew."""
@@ -552,12 +544,12 @@
             row = self.tight.rows.get(server)
             if row is not None and self.tight.stamp(row[3]) == start:
                 told.append((server, how, seconds))
-        self.facts.append(("verdicts", (told,)))
+        self.facts.append(messages.OutlierVerdictsChanged(told))
 
     def remember(self, event):
         """What a peer knows that has run for longer."""
-        self.inbox.append(("remember", (event.rows,)))
-        self.effects.append(WriteLog("remembered", {"rows": len(event.rows)}))
+        self.inbox.append(messages.WarmStartReceived(event.rows))
+        self.effects.append(effects.WriteLog("remembered", {"rows": len(event.rows)}))
 
     def seen(self):
         """{(server, start in ms): (tries, failed)} of caches, totals of this process."""
@@ -568,7 +560,9 @@
 
     def skipped(self, event):
         self.cursor = max(self.cursor, event.number)
-        self.effects.append(WriteLog("command skipped", {"cursor": event.number, "why": event.reason}))
+        self.effects.append(
+            effects.WriteLog("command skipped", {"cursor": event.number, "why": event.reason})
+        )
 
     # time
 
@@ -583,8 +577,9 @@
             self.give_up(query)
             self.note_end(q, "timeout")
             self.counts["timeouts"] += 1
+            took_s = self.now - q.sent_at
             self.inbox.append(
-                ("ended", (query, push, q.server, "timeout", self.now - q.sent_at, False, 0, 0.0, None))
+                messages.AttemptEnded(query, q.server, AttemptResult.TIMEOUT, took_s, False, 0, 0.0)
             )
 
     def expire_waiting(self):
@@ -592,13 +587,13 @@
         while self.ends and self.ends[0][0] <= self.now:
             _, query = heapq.heappop(self.ends)
             if query in self.queries and self.queries[query].beside is not None:
-                self.error(query, Refusal.NO_TIME)
+                self.fail(query, Refusal.NO_TIME)
 
     def give_up(self, query):
         q = self.queries[query]
         if q.out:
             q.out = False
-            self.effects.append(CancelAttempt(query, q.pushes))
+            self.effects.append(effects.CancelAttempt(query, q.pushes))
 
     def end_out(self, query):
         """A query is over with a push out: that is given up, and the decisions count it no more."""
@@ -608,8 +603,10 @@
         self.give_up(query)
         self.note_end(q, "cancelled")
         self.inbox += [
-            ("left", (query,)),
-            ("ended", (query, q.pushes, q.server, "cancelled", self.now - q.sent_at, True, 0, 0.0, None)),
+            messages.RequestWithdrawn(query),
+            messages.AttemptEnded(
+                query, q.server, AttemptResult.CANCELLED, self.now - q.sent_at, True, 0, 0.0
+            ),
         ]
         return True
 
@@ -619,15 +616,16 @@
         at = next(
             (
                 i
-                for i, (method, values) in enumerate(self.inbox)
-                if method in ("query", "ended") and values[0] == query
+                for i, message in enumerate(self.inbox)
+                if isinstance(message, (messages.RequestArrived, messages.AttemptEnded))
+                and message.request_id == query
             ),
             None,
         )
         if at is not None:
-            method, values = self.inbox.pop(at)
-            if method == "ended":
-                self.inbox.append((method, (*values[:5], True, *values[6:])))
+            message = self.inbox.pop(at)
+            if isinstance(message, messages.AttemptEnded):
+                self.inbox.append(message._replace(is_final=True))
         else:
             self.end_out(query)
         self.counts["left"] += 1
@@ -659,13 +657,14 @@
         if not numbers:
             del self.clients[q.client]
 
-    # the writer
+    # the sink of the decisions
 
-    def push(self, query, cache, until, source, rank, age_s, join, held_only, renew):
+    def forward(self, query, decided):
+        cache, until, source, rank, age_s, join, held_only, renew = decided
         q = self.queries.get(query)
         if q is None or self.closed:
             raise RuleBroken(self.invariants.violated(Invariant.AFTER_END, f"a push of query {query}"))
-        track, work = self.router.tracks[q.track], self.router.sending[q.track]
+        track, work = self.router.request_classes[q.track], self.router.sending[q.track]
         attempt = Attempt(cache, source, q.until - self.now, until - self.now, age_s, work)
         violation = self.invariants.of_attempt(self.now, q, track, attempt)
         if violation is not None:
@@ -688,7 +687,7 @@
         self.counts["pushes"] += 1
         heapq.heappush(self.timers, (until, query, q.pushes))
         self.effects.append(
-            SendAttempt(
+            effects.SendAttempt(
                 request_id=query,
                 attempt=q.pushes,
                 server=ServerInstance(cache, *self.dials[cache]),
@@ -702,10 +701,10 @@
                 max_age_s=age_s,
                 joins_fill=join,
                 cached_only=held_only,
-                renews=renew,
-                etag=q.tag,
+                revalidates=renew,
+                known_version=q.tag,
                 body=q.body,
-                leaves_no_copy=False,
+                skips_cache=False,
                 idempotency_key=q.mark,
             )
         )
@@ -732,45 +731,45 @@
             raise RuleBroken(self.invariants.violated(Invariant.ONE_ANSWER, f"a second one to query {query}"))
         return q
 
-    def nack(self, query, retry_after_s, reason=None):
+    def reject(self, query, retry_after_s, reason=None):
         q = self.owed(query)
-        if not rules.may_invite_repeat(self.router.tracks[q.track], q.ran):
-            detail = f"a repeat of {self.router.tracks[q.track].effect} is invited"
+        if not rules.may_invite_repeat(self.router.request_classes[q.track], q.ran):
+            detail = f"a repeat of {self.router.request_classes[q.track].idempotency} is invited"
             self.say_violation(query, self.invariants.violated(Invariant.EFFECT_TWICE, detail))
-            return self.error(query, reason)
+            return self.fail(query, reason)
         self.counts["nacked"] += 1
         self.refusals[reason] += 1
         self.trace("refused", q, reason=reason, retry_after_s=retry_after_s)
-        self.effects.append(RejectRequest(q.client, q.number, retry_after_s))
+        self.effects.append(effects.RejectRequest(q.client, q.number, retry_after_s))
         for other in self.waiting.pop(query, ()):  # the same answer, and the same time to come back
-            self.nack(other, retry_after_s, reason)
+            self.reject(other, retry_after_s, reason)
         self.settle(query, "refused")
 
-    def error(self, query, reason=None):
+    def fail(self, query, reason=None):
         q = self.owed(query)
         self.counts["errored"] += 1
         self.refusals[reason] += 1
         self.trace("failed", q, reason=reason)
-        self.effects.append(FailRequest(q.client, q.number))
+        self.effects.append(effects.FailRequest(q.client, q.number))
         self.settle(query, "failed")
 
-    def keep(self, query, name):
+    def keep_copy(self, query, name):
         """The answer that this query has just had stays in memory under that name."""
         self.copies[name] = self.served[query]
 
-    def drop(self, name):
+    def drop_copy(self, name):
         del self.copies[name]
 
-    def own(self, query, name):
+    def respond_from_copy(self, query, name):
         """The final answer is a copy kept; where the client holds the same one, it is told so."""
         q, (body, tag) = self.owed(query), self.copies[name]
         same = tag is not None and tag == q.tag
         self.counts["satisfied"] += 1
         self.counts["own"] += 1
         self.trace("served", q, of="own copy")
-        self.effects.append(Respond(q.client, q.number, b"" if same else body, same))
+        self.effects.append(effects.Respond(q.client, q.number, b"" if same else body, same))
         self.satisfy_beside(query, b"" if same else body, same)
         self.settle(query)
 
-    def say(self, text):
-        self.effects.append(WriteLog("decisions", {"text": text}))
+    def log(self, text):
+        self.effects.append(effects.WriteLog("decisions", {"text": text}))
--- a/brookhinge/engine/scores.py
+++ b/brookhinge/engine/scores.py
@@ -3,7 +3,7 @@
 import enum
 from collections.abc import Sequence
 
-from brookhinge.interface import Track
+from brookhinge.decisions.settings import RequestClass
 
 
 class Outcome(enum.Enum):
@@ -23,7 +23,7 @@
             class's late share after it; the names of the figures are those of the log.
     """
 
-    def __init__(self, classes: Sequence[Track], flow_kb_s: float) -> None:
+    def __init__(self, classes: Sequence[RequestClass], flow_kb_s: float) -> None:
         """Count for these request classes; `flow_kb_s` is the pace of one transfer to a client, 0: unknown."""
         self.classes = classes
         self.flow_kb_s = flow_kb_s
@@ -35,7 +35,7 @@
             return
         settings = self.classes[request_class]
         sending_s = size_kb / self.flow_kb_s if self.flow_kb_s else 0.0
-        objective_s = settings.contract_s + settings.stretch * sending_s
+        objective_s = settings.latency_objective_s + settings.objective_stretch * sending_s
         satisfied = outcome is Outcome.SATISFIED
         in_time = took_s <= objective_s
         worth = 0.0
--- a/brookhinge/membership/memory.py
+++ b/brookhinge/membership/memory.py
@@ -9,7 +9,8 @@
 import xxhash
 
 from brookhinge.decision_records import Doc
-from brookhinge.engine.events import WarmStartReceived
+from brookhinge.decisions.messages import WarmStartReceived
+from brookhinge.engine import events
 from brookhinge.membership.view import ALIVE
 
 AGAIN_S, TRIES = 0.5, 6
@@ -35,7 +36,7 @@
                     writer.post_to(place, "memory", (at, len(told)), told[at : at + ROWS])
             elif method == "memory" and self.tries and rows:
                 self.done = True
-                writer.post_event(WarmStartReceived([tuple(row) for row in rows]))
+                writer.post_event(events.WarmStartReceived([tuple(row) for row in rows]))
         if not self.done and now >= self.at:
             self.ask(now, writer)
 
@@ -63,7 +64,7 @@
 
 
 class Remembering:
-    """Goes before Router: beside its calls it takes `remember`, and `memory()` tells what a peer may want."""
+    """Goes before Router: beside its messages it takes `WarmStartReceived`, and `memory()` tells what a peer may want."""
 
     def memory(self):
         rows = [
@@ -73,7 +74,7 @@
         ]
         rows += [
             ("takes", track.name, 0, "", mean, count)
-            for track, mean, count in zip(self.tracks, self.sending, self.known)
+            for track, mean, count in zip(self.request_classes, self.sending, self.known)
         ]
         hot = sorted(
             (doc for doc in self.docs.values() if self.holders(doc) and len(doc.key) <= 64),
@@ -85,6 +86,12 @@
             for c in doc.holders
         ]
 
+    def handle(self, message):
+        if isinstance(message, WarmStartReceived):
+            self.remember(message.rows)
+        else:
+            super().handle(message)
+
     def remember(self, rows):
         """What it has learnt itself by now goes before what it is told."""
         for kind, name, number, other, one, two in rows:
@@ -97,7 +104,7 @@
                     ):
                         ends[:-1] = [one, two][: number - 1]
             elif kind == "takes":
-                for t, track in enumerate(self.tracks):
+                for t, track in enumerate(self.request_classes):
                     if track.name == name and two > self.known[t] and one > 0.0:
                         self.sending[t], self.known[t] = one, two
             elif kind == "holder":
--- a/tests/membership/test_memory.py
+++ b/tests/membership/test_memory.py
@@ -5,7 +5,8 @@
 from helpers import Bench
 
 from brookhinge.decide import Router
-from brookhinge.engine.events import WarmStartReceived
+from brookhinge.decisions.messages import ObjectsPurged, WarmStartReceived
+from brookhinge.engine import events
 from brookhinge.membership.memory import Memory, Remembering
 from brookhinge.membership.view import ALIVE, LOST, View
 from brookhinge.standin.rig import Rig
@@ -20,7 +21,7 @@
 
 
 def told(old, new):
-    new.router.round(new.now, [("remember", (old.router.memory(),))], new.trace)
+    new.router.process(new.now, [WarmStartReceived(old.router.memory())], new.trace)
 
 
 def test_sub_ranges_sending_times_and_holders_are_taken_over():
@@ -48,8 +49,8 @@
     for _ in range(60):
         new.serve("c")
     mean = new.router.sending[0]
-    new.call("purged", 5, 0.0, "")
-    new.call("purged", -1, 0.0, "a")
+    new.call(ObjectsPurged(5, 0.0, ""))
+    new.call(ObjectsPurged(-1, 0.0, "a"))
     told(old, new)
     assert (
         new.router.sending[0] == mean and ("a", 0) not in new.router.docs and ("b", 0) not in new.router.docs
@@ -66,7 +67,7 @@
         ("holder", "x", 0, 99, 0, 9.0),
         ("song", "x", 0, "", 0, 0),
     ]
-    new.router.round(new.now, [("remember", (rows,))], new.trace)
+    new.router.process(new.now, [WarmStartReceived(rows)], new.trace)
     assert [ends for _, ends, _ in new.router.rings.rings] == before and not new.router.docs
 
 
@@ -95,7 +96,7 @@
     assert {row[0] for row in writer.posted} == {1, 2} and [row[1] for row in writer.posted] == ["recall"] * 4
     memory.round(2.0, [(2, "memory", (0, 1), [("takes", "page", 0, "", 0.1, 9.0)])], writer)
     assert writer.events == [
-        WarmStartReceived([("takes", "page", 0, "", 0.1, 9.0)])
+        events.WarmStartReceived([("takes", "page", 0, "", 0.1, 9.0)])
     ] and memory.next_at() == float("inf")
     memory.round(2.1, [(3, "recall", (0, 0), ())], writer)  # from now on it answers, in pieces
     assert [len(row[3]) for row in writer.posted[4:]] == [10, 10, 3]
