--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.limits --keep benchmarks/results/limits
 
-In simulated time: the daemon's reducer, decisions and cores, routers with uneven traffic (lognormal), the same seeds with
+In simulated time: the daemon's state, decisions and cores, routers with uneven traffic (lognormal), the same seeds with
 sharing on and off. Days: all boxes restart cold; the same with the fleet's talk cut in halves; one box fails one answer in
 three; one router's pushes break on the way, and every box fails one in fifty. Then real routers as processes. Last line: one
 JSON object."""
@@ -111,8 +111,8 @@
     fleet.at(0.0, fleet.arrive)
     for k in range(int(seconds)):
         fleet.play(k + 1.0)
-        for reducer in fleet.routers[1:]:
-            health = reducer.router.health
+        for state in fleet.routers[1:]:
+            health = state.decisions.health
             resting += sum(until > fleet.now for until in health.rest_until.values()) + sum(
                 how in ("rest", "trial") for how, _ in getattr(health, "how", {}).values()
             )
--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -16,7 +16,7 @@
     from brookhinge.engine.invariants import Invariants
     from brookhinge.net.write_guard import WriteGuard
 
-    Invariants.of_attempt = lambda self, now, query, track, attempt: None
+    Invariants.check_attempt = lambda self, now, request, request_class, attempt: None
     WriteGuard.hold_reason = lambda self, decided: None
 
 
@@ -86,12 +86,12 @@
 
 def sent_after_end():
     """A cancel, and a client's end, are not heeded."""
-    from brookhinge.engine.reducer import Reducer
+    from brookhinge.engine.client_events import ClientEvents
     from brookhinge.net.front import Front
 
     Front.held_back = lambda self, client, number: None
-    Reducer.forgotten = lambda self, client, number: None
-    Reducer.client_gone = lambda self, client: None
+    ClientEvents.on_request_cancelled = lambda self, event: None
+    ClientEvents.on_disconnected = lambda self, event: None
 
 
 def effect_twice():
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -1,4 +1,4 @@
-"""A storm after a cut, in simulated time: the daemon's reducer and decisions among modelled boxes and clients.
+"""A storm after a cut, in simulated time: the daemon's state and decisions among modelled boxes and clients.
 
     python -m benchmarks.storm --short          # under a minute
     python -m benchmarks.storm --keep benchmarks/results/storm
@@ -27,7 +27,7 @@
     SlowStart,
 )
 from brookhinge.engine.events import ClientConnected, ClientDisconnected, RequestCancelled, RequestReceived
-from brookhinge.engine.reducer import Reducer
+from brookhinge.engine.router_state import RouterState
 from brookhinge.standin.model import Model
 from brookhinge.storm.lineage import Lineage
 from brookhinge.storm.plan import Returns
@@ -127,8 +127,11 @@
             reports=[],
             returns=returns,
         )
-        return Reducer(
-            router, [t.name.encode() for t in TRACKS], ["hub", "edge"], Lineage() if self.storm else None
+        return RouterState(
+            router,
+            [t.name.encode() for t in TRACKS],
+            ["hub", "edge"],
+            lineage=Lineage() if self.storm else None,
         )
 
     # clients
--- a/brookhinge/engine/__init__.py
+++ b/brookhinge/engine/__init__.py
@@ -1,9 +1,19 @@
-"""What runs queries of any front: the reducer that holds all state, rounds of it on a loop, phases from start to exit.
+"""What runs the requests of any front end: state, its scheduler on a loop, and the log.
 
-    commands.py   the command channel's commands as events
-    reducer.py    queries, pushes, servers' addresses: (now, events) -> effects; no I/O, no clock
-    rounds.py     sources of events and takers of effects join it by name; one round a pass of the loop
-    phases.py     starting, ready, leaving, finishing, ended
-    log.py        one JSON line an event
+    events.py           what sources report; effects.py: what is to be done; endpoints.py: servers in both
+    scheduler.py        sources post events, registered handlers carry effects out; a round a pass of the loop
+    router_state.py     (now, events) -> effects; joins the modules below; no I/O, no clock
+    round_context.py    what the current round has gathered
+    client_events.py    connections, requests and withdrawals; clients.py, open_requests.py: their records
+    coalescing.py       a client's retry waits for the response to its first try
+    attempts.py         attempts that are out; responses.py: the final response of each request
+    command_events.py   the command channel; endpoint_list.py, purges.py: what its commands change
+    fleet_events.py     peers, quotas, verdicts, the purge log
+    decision_sink.py    decisions become effects; invariants.py: checks of each just before
+    totals.py           totals since the start; scores.py: outcomes by request class
+    commands.py         the command channel's words, decoded to events
+    lifecycle.py        phases of the process; loop_watch.py: stalls of the loop
+    log.py, trace.py    JSON lines of events, and of each step of each request
 
-Fronts, upstreams and talk among peers join it; it imports none of them. Times are seconds since the start."""
+Fronts, upstreams and the fleet join it; it imports none of them. Times are seconds since the start.
+"""
--- /dev/null
+++ b/brookhinge/engine/client_events.py
@@ -0,0 +1,149 @@
+"""Handlers of clients' events: connections, requests and withdrawals."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
+
+from brookhinge.decisions.messages import RequestArrived
+from brookhinge.decisions.rules import Refusal, Withdrawal
+from brookhinge.decisions.settings import Idempotency
+from brookhinge.engine.clients import ClientTable
+from brookhinge.engine.coalescing import RequestCoalescer
+from brookhinge.engine.effects import CloseClient, RefuseCall, RejectRequest
+from brookhinge.engine.events import ClientConnected, ClientDisconnected, RequestCancelled, RequestReceived
+from brookhinge.engine.open_requests import OpenRequest, RequestTable
+from brookhinge.engine.responses import FinalResponses
+from brookhinge.engine.round_context import RoundContext
+from brookhinge.engine.totals import Totals
+
+if TYPE_CHECKING:
+    from brookhinge.decide import Router
+
+
+class ClientEvents:
+    """Opens requests, or refuses the calls that cannot be taken."""
+
+    def __init__(
+        self,
+        *,
+        context: RoundContext,
+        decisions: Router,
+        class_names: Sequence[bytes],
+        requests: RequestTable,
+        clients: ClientTable,
+        coalescer: RequestCoalescer,
+        responses: FinalResponses,
+        totals: Totals,
+    ) -> None:
+        self.context = context
+        self.decisions = decisions
+        self.class_indexes = {name: i for i, name in enumerate(class_names)}
+        self.requests = requests
+        self.clients = clients
+        self.coalescer = coalescer
+        self.responses = responses
+        self.totals = totals
+
+    def on_connected(self, event: ClientConnected) -> None:
+        """Note the address of a new connection."""
+        self.coalescer.connected(event.client, event.address)
+
+    def on_disconnected(self, event: ClientDisconnected) -> None:
+        """Withdraw all that is open on a connection."""
+        self.forget(event.client)
+
+    def on_request_cancelled(self, event: RequestCancelled) -> None:
+        """Withdraw a request."""
+        request_id = self.clients.request(event.client, event.number)
+        if request_id is None:
+            return
+        self.responses.withdraw(self.requests.open[request_id], Withdrawal.CANCELLED)
+        breach = self.clients.count_withdrawal(event.client)
+        if breach is not None:
+            self.close(event.client, breach)
+
+    def on_request_received(self, call: RequestReceived) -> None:
+        """Open a request, refuse it or close its connection."""
+        request_class = self.class_indexes.get(call.class_name)
+        if request_class is None:
+            self.refuse(call, "service: no such class")
+            return
+        if call.client in self.clients.closed:
+            return
+        breach = self.clients.take_number(call.client, call.number)
+        if breach is not None:
+            self.close(call.client, breach)
+        elif call.client_request_id in self.requests.by_client_request_id:
+            self.refuse_repeated(call)
+        elif call.client_request_id in self.requests.finished:
+            self.refuse(call, "ref: used before")
+        elif self.context.is_shutting_down:
+            self.reject_at_shutdown(call)
+        else:
+            self.open_request(call, request_class)
+
+    def refuse(self, call: RequestReceived, reason: str) -> None:
+        """Refuse a call that cannot be taken."""
+        self.context.emit(RefuseCall(call.client, call.number, reason))
+
+    def refuse_repeated(self, call: RequestReceived) -> None:
+        """Refuse an id that is open; a client that repeats its own breaks the protocol."""
+        first = self.requests.open[self.requests.by_client_request_id[call.client_request_id]]
+        if first.call.client == call.client:
+            self.close(call.client, "an id that is open")
+        else:
+            self.refuse(call, "ref: still open")
+
+    def reject_at_shutdown(self, call: RequestReceived) -> None:
+        """Reject a request that was read after the shutdown began: it never ran, nor will it."""
+        self.totals.counts["queries"] += 1
+        self.totals.counts["nacked"] += 1
+        self.totals.refusals[Refusal.STOPPING] += 1
+        self.context.emit(RejectRequest(call.client, call.number, 0.0))
+
+    def open_request(self, call: RequestReceived, request_class: int) -> None:
+        """Open a request and pass it to the decisions, or let it follow the one that it repeats."""
+        request = self.requests.add(call, request_class)
+        self.clients.add_request(call.client, call.number, request.request_id)
+        self.totals.counts["queries"] += 1
+        left_s = request.deadline - self.context.now
+        self.context.trace(
+            "taken",
+            request,
+            client=call.client,
+            number=call.number,
+            kind=call.class_name.decode(),
+            left_s=left_s,
+        )
+        arrival = RequestArrived(
+            request_id=request.request_id,
+            request_class=request_class,
+            key=request.key,
+            part=call.part_number,
+            group=call.purge_group,
+            size_kb=call.size_kb,
+            is_write=False,
+            timeout_s=left_s,
+        )
+        if self.may_be_retry(request):
+            self.coalescer.admit(request, arrival)
+        else:
+            self.context.inbox.append(arrival)
+
+    def may_be_retry(self, request: OpenRequest) -> bool:
+        """Whether to look for the try that a request repeats: an effect is asked for anew each time."""
+        request_class = self.decisions.request_classes[request.request_class]
+        return self.coalescer.lineage is not None and request_class.idempotency is Idempotency.REPEATABLE
+
+    def close(self, client: int, reason: str) -> None:
+        """Close a connection that breaks the protocol: nothing more on it is answered or taken."""
+        self.forget(client)
+        self.clients.closed.add(client)
+        self.context.emit(CloseClient(client, reason))
+
+    def forget(self, client: int) -> None:
+        """Withdraw all that is open on a connection and forget it."""
+        for request_id in self.clients.open_requests(client):
+            self.responses.withdraw(self.requests.open[request_id], Withdrawal.CLIENT_GONE)
+        self.coalescer.disconnected(self.clients.forget(client))
--- /dev/null
+++ b/brookhinge/engine/command_events.py
@@ -0,0 +1,60 @@
+"""Handlers of the command channel's events; commands that were applied before are ignored."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from brookhinge.engine.effects import NotifyPeers
+from brookhinge.engine.endpoint_list import EndpointList
+from brookhinge.engine.events import CommandSkipped, EndpointsListed, ObjectsPurged
+from brookhinge.engine.purges import PurgeRecorder
+from brookhinge.engine.round_context import RoundContext
+
+if TYPE_CHECKING:
+    from brookhinge.membership.tight import Tight
+
+
+class CommandEvents:
+    """Applies commands in their order.
+
+    Attributes:
+        cursor: The number of the last command.
+    """
+
+    def __init__(
+        self,
+        *,
+        context: RoundContext,
+        endpoints: EndpointList,
+        purges: PurgeRecorder,
+        safety_notices: Tight | None,
+    ) -> None:
+        self.context = context
+        self.endpoints = endpoints
+        self.purges = purges
+        self.safety_notices = safety_notices
+        self.cursor = 0
+
+    def on_endpoints_listed(self, event: EndpointsListed) -> None:
+        """Apply a list of servers, or the changes of one."""
+        if event.number > self.cursor:
+            self.cursor = event.number
+            self.endpoints.apply(event.endpoints, is_complete=event.is_complete)
+
+    def on_objects_purged(self, event: ObjectsPurged) -> None:
+        """Record a purge and notify the peers; one that a peer was quicker to notify is known already."""
+        if event.number <= self.cursor:
+            return
+        self.cursor = event.number
+        if self.safety_notices is not None:
+            stamp_ms = round((event.purged_at + self.safety_notices.start) * 1000)
+            purge = event.purge_group, event.object_key, stamp_ms
+            self.context.emit(NotifyPeers("purge", purge))
+            if not self.safety_notices.purge_is_new(*purge):
+                return
+        self.purges.record_command(event)
+
+    def on_command_skipped(self, event: CommandSkipped) -> None:
+        """Log a command that cannot be read."""
+        self.cursor = max(self.cursor, event.number)
+        self.context.log("command skipped", cursor=event.number, why=event.reason)
--- /dev/null
+++ b/brookhinge/engine/endpoint_list.py
@@ -0,0 +1,101 @@
+"""The endpoint list: which servers there are, and to which start of each connections belong."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
+
+from brookhinge.decisions import messages
+from brookhinge.engine.effects import NotifyPeers, RetireServer
+from brookhinge.engine.endpoints import ListedEndpoint, ServerInstance
+from brookhinge.engine.invariants import Invariants
+from brookhinge.engine.round_context import RoundContext
+
+if TYPE_CHECKING:
+    from brookhinge.membership.tight import Tight
+
+UNKNOWN_ZONE = -1
+
+
+class EndpointList:
+    """Applies lists of servers.
+
+    Attributes:
+        instances: The start of each server to which attempts go.
+    """
+
+    def __init__(
+        self,
+        *,
+        context: RoundContext,
+        invariants: Invariants,
+        zones: Sequence[str],
+        safety_notices: Tight | None,
+    ) -> None:
+        self.context = context
+        self.invariants = invariants
+        self.zones = {name: i for i, name in enumerate(zones)}
+        self.safety_notices = safety_notices
+        self.instances: dict[str, ServerInstance] = {}
+
+    def apply(self, endpoints: Sequence[ListedEndpoint], *, is_complete: bool) -> None:
+        """Apply a list of the command channel; what a complete one leaves out is gone."""
+        rows = [self.apply_endpoint(endpoint) for endpoint in endpoints]
+        if is_complete:
+            self.remove_absent({endpoint.server for endpoint in endpoints})
+        self.context.facts.append(messages.EndpointsListed(is_complete, rows))
+
+    def apply_endpoint(self, endpoint: ListedEndpoint) -> messages.Endpoint:
+        """Apply one row; the row as it is to be used, after what peers have notified."""
+        row = messages.Endpoint(
+            server=endpoint.server,
+            state=endpoint.health,
+            weight=endpoint.weight,
+            started_at=endpoint.started_at,
+            cell=endpoint.cell,
+            kind=endpoint.kind,
+            zone=self.zones.get(endpoint.zone, UNKNOWN_ZONE),
+        )
+        if self.safety_notices is not None:
+            row, notice = self.safety_notices.receive_row(row)
+            if notice is not None:
+                self.notify_peers(notice)
+        self.invariants.note_server(row.server, row.state, row.zone, row.cell)
+        if row.state == "gone":
+            self.set_instance(row.server, None)
+        else:
+            instance = ServerInstance(endpoint.server, endpoint.address, endpoint.started_at)
+            self.set_instance(row.server, instance)
+        return row
+
+    def remove_absent(self, present: set[str]) -> None:
+        """Remove servers that a complete list leaves out."""
+        for server in [server for server in self.instances if server not in present]:
+            self.set_instance(server, None)
+        self.invariants.note_complete_list(present)
+        if self.safety_notices is not None:
+            for notice in self.safety_notices.absent(present):
+                self.notify_peers(notice)
+
+    def apply_notice(self, row: messages.Endpoint) -> None:
+        """Apply a row that a peer's notice has tightened."""
+        self.invariants.note_server(row.server, row.state, row.zone, row.cell)
+        if row.state == "gone":
+            self.set_instance(row.server, None)
+        self.context.facts.append(messages.EndpointsListed(False, [row]))
+        self.context.log("notice", server=row.server, health=row.state)
+
+    def set_instance(self, server: str, instance: ServerInstance | None) -> None:
+        """Set the start of a server to connect to; connections to an earlier start are used no more."""
+        before = self.instances.get(server)
+        if before is not None and before != instance:
+            self.context.emit(RetireServer(before))
+        if instance is None:
+            self.instances.pop(server, None)
+        else:
+            self.instances[server] = instance
+
+    def notify_peers(self, notice: tuple) -> None:
+        """Notify the peers of something that tightens a rule."""
+        kind, *values = notice
+        self.context.emit(NotifyPeers(kind, tuple(values)))
--- a/brookhinge/engine/scheduler.py
+++ b/brookhinge/engine/scheduler.py
@@ -1,6 +1,7 @@
-"""Schedules events and effects on an asyncio loop: sources post events, registered handlers carry effects out.
+"""Schedules events and effects on an asyncio loop.
 
-Nothing here knows what an event or an effect means; effects find their handlers by class.
+Sources post events, registered handlers carry effects out. Nothing here knows what an event or an effect
+means; effects find their handlers by class.
 """
 
 import asyncio
@@ -35,18 +36,17 @@
     """What carries out the effects of one class."""
 
     handle: Callable[[Effect], None]
-    on_failed: Callable[[Effect], None] | None = None  # called after `handle` has raised
-    on_stale: Callable[[Effect], bool] | None = (
-        None  # whether a stale effect is dealt with; else it is handled
-    )
+    on_failed: Callable[[Effect], None] | None  # called after `handle` has raised
+    on_stale: Callable[[Effect], bool] | None  # returns whether it has dealt with a stale effect
 
 
 class EventScheduler:
     """Runs one round of the state a pass of the loop.
 
-    What is posted during one pass is one round. Before `open` events are kept for the first one. After a stall
-    nothing is decided until what lay unread has been read: a response that is read first is not the last word.
-    Responses that are due go out then; what needs to know what others notified waits for `is_caught_up`.
+    What is posted during one pass is one round. Before `open` events are kept for the first one. After a
+    stall nothing is decided until what lay unread has been read: a response that is read first is not the
+    last word. Responses that are due go out then; what needs to know what others notified waits for
+    `is_caught_up`.
 
     Attributes:
         events: Events that wait for their round.
@@ -129,7 +129,10 @@
     # when a round may run
 
     def start_round(self) -> None:
-        """Run the round that is due, later where the loop stood still: a client may have gone, a list changed."""
+        """Run the round that is due.
+
+        Where the loop stood still it waits: a client may have gone, a list changed.
+        """
         self.watch.turned()
         if self.now() - self.posted_at > LATE_S:
             self.run_round_after(READ_PASSES)
@@ -137,7 +140,7 @@
             self.run_round_unless_catching_up()
 
     def run_round_after(self, passes: int) -> None:
-        """Run a round once what has come by now on any socket is read: that takes its reader so many passes."""
+        """Run a round once what has come by now on any socket is read: in so many passes."""
         if passes:
             asyncio.get_running_loop().call_soon(self.run_round_after, passes - 1)
         else:
@@ -150,7 +153,10 @@
             self.run_round()
 
     def is_catching_up(self) -> bool:
-        """Whether the loop stood still and not all that lay there is read: no expired timer means anything yet."""
+        """Whether the loop stood still and not all that lay there is read.
+
+        Until then no expired timer means anything.
+        """
         self.watch.turned()
         return self.catching_up_since is not None
 
@@ -169,7 +175,7 @@
             self.catch_up(READ_PASSES, stall.ended_at)
 
     def catch_up(self, passes: int, since: float) -> None:
-        """Wait until what lay unread at `since` has been read; begin again if the loop stood still once more."""
+        """Wait until what lay unread at `since` is read; begin again if the loop stood still once more."""
         self.watch.turned()
         if since != self.catching_up_since:
             self.catch_up(READ_PASSES, self.catching_up_since)
@@ -198,7 +204,7 @@
         self.set_timer()
 
     def carry_out(self, effect: Effect, decided_at: float) -> None:
-        """Carry out one effect; one that fails is logged and costs its request or client, never the router."""
+        """Carry out an effect; one that fails is logged and costs its request or client alone."""
         handler = self.handlers[type(effect)]
         try:
             if (
--- a/brookhinge/engine/scores.py
+++ b/brookhinge/engine/scores.py
@@ -1,36 +1,27 @@
 """Outcomes of requests by class, as totals since the start, for comparing routers. No I/O, no clock."""
 
-import enum
 from collections.abc import Sequence
 
 from brookhinge.decisions.settings import RequestClass
-
-
-class Outcome(enum.Enum):
-    """How a request ended."""
-
-    SATISFIED = enum.auto()
-    REJECTED = enum.auto()
-    FAILED = enum.auto()
-    WITHDRAWN = enum.auto()  # by its client: counts for nothing
+from brookhinge.engine.open_requests import Outcome
 
 
 class Scores:
     """Totals by figure.
 
     Attributes:
-        totals: {figure: (requests, sum)}. "worth" counts 1 for a response within the latency objective and the
-            class's late share after it; the names of the figures are those of the log.
+        totals: {figure: (requests, sum)}. "worth" counts 1 for a response within the latency objective and
+            the class's late share after it; the names of the figures are those of the log.
     """
 
     def __init__(self, classes: Sequence[RequestClass], flow_kb_s: float) -> None:
-        """Count for these request classes; `flow_kb_s` is the pace of one transfer to a client, 0: unknown."""
+        """Count for these classes; `flow_kb_s` is the pace of a transfer to a client, 0: unknown."""
         self.classes = classes
         self.flow_kb_s = flow_kb_s
         self.totals: dict[str, tuple[int, float]] = {}
 
     def ended(self, request_class: int, size_kb: float, took_s: float, outcome: Outcome) -> None:
-        """Count a request of the class with that index that ended."""
+        """Count a request of the class with that index that ended; a withdrawn one counts for nothing."""
         if outcome is Outcome.WITHDRAWN:
             return
         settings = self.classes[request_class]
--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -14,7 +14,7 @@
 from brookhinge.decide import Router
 from brookhinge.engine.effects import NotifyPeers
 from brookhinge.engine.events import Event
-from brookhinge.engine.reducer import Reducer
+from brookhinge.engine.router_state import RouterState
 from brookhinge.startup import Site
 
 if TYPE_CHECKING:
@@ -72,7 +72,7 @@
         controls: dict[str, Control],
         *,
         site: Site,
-        reducer: Reducer,
+        state: RouterState,
         post: Callable[[Event], None],
         log: Callable[..., None],
     ) -> None:
@@ -81,7 +81,7 @@
         place = site.decisions["location"]
         configured_sizes = (place.routers_here, place.routers)
         self._fleet = fleet
-        self._reducer = reducer
+        self._state = state
         self._log = log
         self._talk: Talk = Talk(fleet, site.seed, configured_sizes, post, log)
         self._purge_log: LogClient | None = None
@@ -105,7 +105,7 @@
                 self._fleet.zone,
                 talk.peer.version,
                 lambda: talk.counted,
-                self._reducer.demand,
+                self._state.fleet.demand,
                 now,
             )
         )
@@ -119,7 +119,7 @@
                 self._fleet.name,
                 self._fleet.zone,
                 talk.peer.version,
-                self._reducer.router.memory,
+                self._state.decisions.memory,
                 now,
             )
         )
@@ -127,7 +127,7 @@
     def _share_outlier_evidence(self) -> None:
         from brookhinge.verdicts.verdicts import Verdicts
 
-        servers = self._reducer.router.fleet
+        servers = self._state.decisions.fleet
         self._talk.add(
             lambda talk, now: Verdicts(
                 talk.peer.view,
@@ -135,7 +135,7 @@
                 self._fleet.zone,
                 talk.peer.version,
                 lambda: talk.counted[0],
-                self._reducer.seen,
+                self._state.fleet.seen,
                 lambda: len(servers.own),
                 now,
             )
--- a/brookhinge/net/metrics_report.py
+++ b/brookhinge/net/metrics_report.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from brookhinge.engine.loop_watch import LoopWatch
-from brookhinge.engine.reducer import Reducer
+from brookhinge.engine.router_state import RouterState
 from brookhinge.net.caches import Caches
 from brookhinge.net.front import Front
 
@@ -20,14 +20,14 @@
         *,
         now: Callable[[], float],
         log: Callable[..., None],
-        reducer: Reducer,
+        state: RouterState,
         watch: LoopWatch,
         client_connections: Front,
         upstream_connections: Caches,
     ) -> None:
         self._now = now
         self._log = log
-        self._reducer = reducer
+        self._state = state
         self._watch = watch
         self._client_connections = client_connections
         self._upstream_connections = upstream_connections
@@ -35,7 +35,7 @@
     def counts(self) -> dict[str, float]:
         """Return totals since the start: of requests, and of the stalls of the event loop."""
         return {
-            **self._reducer.counts,
+            **self._state.totals.counts,
             "stalls": self._watch.stalls,
             "stalled_s": round(self._watch.stalled_s, 3),
         }
@@ -43,13 +43,13 @@
     def reasons(self) -> dict[str, collections.Counter[str]]:
         """Return totals by reason: of rejects, retries, withdrawals, holds, closes and violations."""
         counters = {
-            "refusals": self._reducer.refusals,
-            "retries": self._reducer.retries,
-            "withdrawals": self._reducer.withdrawals,
+            "refusals": self._state.totals.refusals,
+            "retries": self._state.totals.retries,
+            "withdrawals": self._state.totals.withdrawals,
             "held_back": self._upstream_connections.holds,
             "client_closes": self._client_connections.closes,
             "server_closes": self._upstream_connections.closes,
-            "violations": self._reducer.invariants.violations,
+            "violations": self._state.invariants.violations,
         }
         return {
             name: collections.Counter({str(reason): count for reason, count in counter.items()})
@@ -68,7 +68,7 @@
             self._log(
                 "figures",
                 **{name: round(count - counts_before[name], 3) for name, count in counts.items()},
-                open=len(self._reducer.queries),
+                open=len(self._state.requests.open),
                 clients=len(self._client_connections.clients),
                 caches=len(self._upstream_connections.all),
                 unread=self._client_connections.unread,
@@ -82,4 +82,4 @@
         """Log the scores of requests every `interval_s` seconds, until cancelled."""
         while True:
             await asyncio.sleep(interval_s)
-            self._log("scores", totals=self._reducer.scores.totals)
+            self._log("scores", totals=self._state.scores.totals)
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -30,7 +30,7 @@
 from brookhinge.engine.lifecycle import Lifecycle, Phase
 from brookhinge.engine.log import Log
 from brookhinge.engine.loop_watch import LoopWatch, Stall
-from brookhinge.engine.reducer import Reducer
+from brookhinge.engine.router_state import RouterState
 from brookhinge.engine.scheduler import EventScheduler
 from brookhinge.net.caches import Caches
 from brookhinge.net.channel import Channel
@@ -89,8 +89,8 @@
         self.watch = LoopWatch(self.now)
         self.watch.listeners.append(self._log_stall)
         self.lifecycle = Lifecycle(self.log)
-        self.reducer = self._build_reducer(fleet)
-        self.scheduler = EventScheduler(self.reducer, self.watch, self.log, self.is_current)
+        self.state = self._build_state(fleet)
+        self.scheduler = EventScheduler(self.state, self.watch, self.log, self.is_current)
         self.post = self.scheduler.post
         self.gate = None
         upstream_sockets = site.bounds.sockets // 3
@@ -106,7 +106,7 @@
         )
         self.write_guard = WriteGuard(
             now=self.now,
-            reducer=self.reducer,
+            state=self.state,
             scheduler=self.scheduler,
             command_channel=self.command_channel,
             client_connections=self.client_connections,
@@ -115,7 +115,7 @@
         self.metrics = MetricsReport(
             now=self.now,
             log=self.log,
-            reducer=self.reducer,
+            state=self.state,
             watch=self.watch,
             client_connections=self.client_connections,
             upstream_connections=self.upstream_connections,
@@ -139,7 +139,7 @@
 
     # construction
 
-    def _build_reducer(self, fleet: Fleet | None) -> Reducer:
+    def _build_state(self, fleet: Fleet | None) -> RouterState:
         decisions = self.site.decisions
         request_classes = decisions["request_classes"]
         scores = lineage = returns = None
@@ -154,14 +154,14 @@
             lineage = Lineage()
             returns = Returns(decisions["limits"].max_retry_after_s)
         router = router_class(fleet)(self.site.seed, machine=self.site.bounds, returns=returns, **decisions)
-        return Reducer(
+        return RouterState(
             router,
             [request_class.name.encode() for request_class in request_classes],
             self.site.zones,
-            lineage,
-            safety_notices(self.start) if fleet is not None else None,
-            scores,
-            self.tracer is not None,
+            lineage=lineage,
+            safety_notices=safety_notices(self.start) if fleet is not None else None,
+            scores=scores,
+            is_traced=self.tracer is not None,
         )
 
     def _build_gate(self, client_sockets: int) -> Gate:
@@ -206,7 +206,7 @@
         )
 
     def _build_fleet_link(self, fleet: Fleet, controls: dict[str, Control]) -> FleetLink:
-        link = FleetLink(fleet, controls, site=self.site, reducer=self.reducer, post=self.post, log=self.log)
+        link = FleetLink(fleet, controls, site=self.site, state=self.state, post=self.post, log=self.log)
         self.scheduler.before_round.extend(link.before_round)
         self.scheduler.register({NotifyPeers: link.spread})
         return link
@@ -247,7 +247,7 @@
 
     def has_open_requests(self, client: int) -> bool:
         """Return whether a client has requests open, those included that the next round takes."""
-        return client in self.reducer.clients or any(
+        return self.state.clients.has_open_requests(client) or any(
             isinstance(event, RequestReceived) and event.client == client for event in self.scheduler.events
         )
 
@@ -256,10 +256,12 @@
 
         As the process ends nothing is sent any more, so nothing needs to be known.
         """
-        return self.reducer.closed or self.command_channel.is_current()
+        return self.state.context.is_shutting_down or self.command_channel.is_current()
 
     def _has_open_work(self) -> bool:
-        return bool(self.scheduler.events or self.reducer.queries or self.client_connections.listener.open)
+        return bool(
+            self.scheduler.events or self.state.requests.open or self.client_connections.listener.open
+        )
 
     # effects
 
@@ -279,7 +281,7 @@
         )
 
     def _record_violation(self, invariant: Invariant, detail: str) -> None:
-        self.reducer.invariants.violated(invariant, detail)
+        self.state.invariants.violated(invariant, detail)
         self.log("violation", invariant=invariant, detail=detail)
 
     def _log_loop_exception(self, _loop: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
@@ -349,7 +351,7 @@
                 self._detect_overload(due)
 
     def _detect_overload(self, due: float) -> None:
-        counts = self.reducer.counts
+        counts = self.state.totals.counts
         now = self.now()
         change = self.gate.look(now, now - due, counts["queries"], counts["again"] + counts["beside"])
         if change is not None:
--- a/brookhinge/net/write_guard.py
+++ b/brookhinge/net/write_guard.py
@@ -4,7 +4,7 @@
 
 from brookhinge.decisions.rules import HeldBack
 from brookhinge.engine.events import EndpointsListed, ObjectsPurged
-from brookhinge.engine.reducer import Reducer
+from brookhinge.engine.router_state import RouterState
 from brookhinge.engine.scheduler import EventScheduler
 from brookhinge.net.caches import Decided
 from brookhinge.net.channel import Channel
@@ -25,13 +25,13 @@
         self,
         *,
         now: Callable[[], float],
-        reducer: Reducer,
+        state: RouterState,
         scheduler: EventScheduler,
         command_channel: Channel,
         client_connections: Front,
     ) -> None:
         self._now = now
-        self._reducer = reducer
+        self._state = state
         self._scheduler = scheduler
         self._command_channel = command_channel
         self._client_connections = client_connections
@@ -40,11 +40,11 @@
         """Return why the attempt may not be written at this very moment, or None if it may."""
         if decided.until - self._now() < MIN_TIME_LEFT_S:
             return HeldBack.NO_TIME
-        reason = self._reducer.held_back(decided.query, decided.push)
+        reason = self._state.hold_reason(decided.query, decided.push)
         if reason is not None:
             return reason
         if not self._scheduler.is_caught_up():
             return HeldBack.STALLED
         if self._command_channel.has_unread() or self._scheduler.has_posted(EndpointsListed, ObjectsPurged):
             return HeldBack.LIST_UNREAD
-        return self._client_connections.held_back(*self._reducer.asker(decided.query))
+        return self._client_connections.held_back(*self._state.client_and_number(decided.query))
--- a/brookhinge/purgelog/client.py
+++ b/brookhinge/purgelog/client.py
@@ -1,4 +1,4 @@
-"""The router's end of the purge log: joins a Subscriber to UDP, and hands entries and rules to the reducer."""
+"""The router's end of the purge log: joins a Subscriber to UDP, and hands entries and rules to the router's state."""
 
 import math
 import random
--- a/brookhinge/standin/model.py
+++ b/brookhinge/standin/model.py
@@ -1,4 +1,4 @@
-"""Routers among modelled boxes in simulated time: the daemon's own reducer and decisions, no sockets, no real time, all by
+"""Routers among modelled boxes in simulated time: the daemon's own state and decisions, no sockets, no real time, all by
 one seed. What asks, and what goes wrong, a subclass says. Written for this project's measurements; figures that come of it
 are simulated."""
 
@@ -61,7 +61,7 @@
 
 
 class Model:
-    """routers: their reducers, by number, set by the subclass; fill_s: what a parent takes for a fill while few are out."""
+    """routers: the state of each, by number, set by the subclass; fill_s: what a parent takes for a fill while few are out."""
 
     FILL_S, FILLS = 0.08, 40
 
@@ -101,12 +101,12 @@
             work(*args)
 
     def hear(self, n, *events):
-        reducer = self.routers[n]
-        for effect in reducer.reduce(self.now, list(events)):
+        state = self.routers[n]
+        for effect in state.reduce(self.now, list(events)):
             work = self.handlers.get(type(effect))
             if work:
                 work(n, effect)
-        at = reducer.next_at()
+        at = state.next_at()
         if at is not None:
             self.at(max(at, self.now) + 1e-6, self.timed, n)
 
--- a/brookhinge/standin/sharing.py
+++ b/brookhinge/standin/sharing.py
@@ -1,4 +1,4 @@
-"""A fleet of routers that share limits and verdicts, or nothing, among modelled boxes in simulated time: the daemon's reducer,
+"""A fleet of routers that share limits and verdicts, or nothing, among modelled boxes in simulated time: the daemon's state,
 decisions and cores; wires and the news of the view are stood in for."""
 
 from brookhinge.decide import Router
@@ -14,7 +14,7 @@
     SlowStart,
 )
 from brookhinge.engine.events import ClientDisconnected, RequestReceived
-from brookhinge.engine.reducer import Reducer
+from brookhinge.engine.router_state import RouterState
 from brookhinge.limits.limits import Limits
 from brookhinge.limits.shared import Sharing
 from brookhinge.membership.tight import Tight
@@ -72,7 +72,7 @@
         kinds = (Sharing, Judging, Router) if share else (Router,)
         kind = type("Router", kinds, {})
         self.routers = [
-            Reducer(
+            RouterState(
                 kind(
                     seed + n,
                     request_classes=(PAGES,),
@@ -87,8 +87,7 @@
                 ),
                 [b"pages"],
                 ["hub", "edge"],
-                None,
-                Tight(0.0),
+                safety_notices=Tight(0.0),
             )
             for n in range(routers)
         ]
@@ -97,19 +96,19 @@
             view = View(600.0)
             for k in range(routers):
                 view.take(0.0, (f"n{k}", k + 1, 1, 1, ALIVE, "h", k + 1, "z", 1, 0.0), "n0")
-            reducer, own = self.routers[n], self.routers[n].router.fleet
+            state, own = self.routers[n], self.routers[n].decisions.fleet
             self.views.append(view)
             self.writers.append(Writer(self, n))
             self.cores.append(
                 [
-                    Limits(view, f"n{n}", "z", 1, lambda: (routers, routers), reducer.demand, -60.0),
+                    Limits(view, f"n{n}", "z", 1, lambda: (routers, routers), state.fleet.demand, -60.0),
                     Verdicts(
                         view,
                         f"n{n}",
                         "z",
                         1,
                         lambda: routers,
-                        reducer.seen,
+                        state.fleet.seen,
                         lambda own=own: len(own.own),
                         0.0,
                     ),
--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -72,7 +72,7 @@
             await asyncio.sleep(0.1)
             asking.cancel()
             await asyncio.sleep(0.1)
-            left = t.service.reducer.counts["left"]
+            left = t.service.state.totals.counts["left"]
             asking = asyncio.ensure_future(client.fetch(X))
             await asyncio.sleep(0.05)
             for client in list(t.service.client_connections.clients.values()):
--- a/tests/crossings/test_rare.py
+++ b/tests/crossings/test_rare.py
@@ -14,7 +14,7 @@
 from brookhinge.engine.commands import read_commands
 from brookhinge.engine.endpoints import ListedEndpoint
 from brookhinge.engine.events import EndpointsListed, ObjectsPurged, RequestReceived
-from brookhinge.engine.reducer import Reducer
+from brookhinge.engine.router_state import RouterState
 from brookhinge.net import caches as net_caches
 from brookhinge.net import front, listener, thrift
 from brookhinge.net.request_validation import MAX_BODY_BYTES
@@ -273,7 +273,7 @@
     for group, key in ((0, "aa"), (4, "")):
         desk = Desk(tmp_path)
         tracks = [track.name.encode() for track in desk.router.request_classes]
-        desk.reducer = Reducer(desk.router, tracks, list(desk.reducer.zones), Lineage())
+        desk.state = RouterState(desk.router, tracks, list(desk.state.endpoints.zones), lineage=Lineage())
         desk.hear(*read_commands(configuration()["known"], 0.0)[1])
         assert any("pull" in line for line in desk.ask(allow=3.0))
         desk.hear(ObjectsPurged(4, group, desk.now, key))
@@ -337,8 +337,8 @@
     """The query was read first; a copy from before the purge, or the server that drains, must not be asked for. Nor may it
     cost the query its answer."""
     desk, asked = Desk(tmp_path), []
-    real = desk.reducer.forward
-    desk.reducer.forward = lambda query, attempt: (
+    real = desk.state.sink.forward
+    desk.state.sink.forward = lambda query, attempt: (
         asked.append((attempt.server, attempt.max_age_s)),
         real(query, attempt),
     )
@@ -351,7 +351,7 @@
     query = (1, 9, b"r9", b"page", b"aa", b"0", 0, 4, 100.0, 1.0, None, b"", desk.now)
     desk.hear(RequestReceived(*query), event)
     ((to, oldest_s),) = asked
-    assert dict(desk.reducer.invariants.violations) == {}
+    assert dict(desk.state.invariants.violations) == {}
     assert (to != server) if fact == "drain" else 0.0 < oldest_s < 0.1
 
 
--- a/tests/crossings/test_sockets.py
+++ b/tests/crossings/test_sockets.py
@@ -85,7 +85,7 @@
         t.caller.ask(9)
         heard = await t.caller.hear()
         await asyncio.sleep(0.1)
-        return heard[1], len(pulls(t)), t.service.reducer.queries
+        return heard[1], len(pulls(t)), t.service.state.requests.open
 
     assert played(scene, tmp_path) == ("satisfied 19", 1, {})
 
@@ -108,17 +108,17 @@
 
     async def scene(t):
         await warm(t)
-        t.service.reducer.router.retries = 10.0
+        t.service.state.decisions.retries = 10.0
         for machine in t.machines.values():
             machine.act = "silent"
         raw = Raw(t.address).asks(2, allow="1600", lookup=f"{1000:016x}").send()
         await until(lambda: len(pulls(t)) == 1)
-        due = t.service.reducer.next_at()
+        due = t.service.state.next_at()
         assert due - t.service.now() < 1.0  # time is left then for a further push
         raw.close()
         time.sleep(due - t.service.now() + 0.05)
         await asyncio.sleep(0.1)
-        return len(pulls(t)), t.service.reducer.queries
+        return len(pulls(t)), t.service.state.requests.open
 
     assert played(scene, tmp_path) == (1, {})
 
@@ -126,7 +126,7 @@
 def test_no_further_push_on_an_answer_that_lay_there_with_the_clients_end(tmp_path):
     async def scene(t):
         await warm(t)
-        t.service.reducer.router.retries = 10.0
+        t.service.state.decisions.retries = 10.0
         first = []
         for machine in t.machines.values():
             machine.act = lambda line: first.append(line) or "silent"
@@ -140,7 +140,7 @@
         os.write(writer.get_extra_info("socket").fileno(), b"%b failed - 0\r\n\r\n" % name)
         raw.close()
         await asyncio.sleep(0.2)
-        return len(pulls(t)), t.service.reducer.queries
+        return len(pulls(t)), t.service.state.requests.open
 
     assert played(scene, tmp_path) == (1, {})
 
@@ -252,7 +252,7 @@
     assert desk.ask()[0][:4] == "pull"
     assert [line.split()[0] for line in desk.hear(ShutdownBegan())] == ["kill", "error"]
     assert desk.ask(key=b"bb") == ["nack 1 2 0.0"]
-    assert not desk.reducer.queries and not desk.router.queries
+    assert not desk.state.requests.open and not desk.router.queries
 
 
 def test_told_to_end_before_it_is_ready_it_ends(tmp_path):
@@ -299,7 +299,7 @@
     async def scene(t, server):
         row = host(server, t.machines[server].port, health=health)
         t.commands.answers.append(Commands.reply(4, listed(4, [row], whole=False)))
-        await until(lambda: t.service.reducer.cursor == 4)
+        await until(lambda: t.service.state.commands.cursor == 4)
         await asyncio.sleep(0.1)
         Held.gate.set()
         return await t.caller.hear(), [line for line in pulls(t) if line.startswith(server)]
@@ -311,10 +311,10 @@
     lines = []
 
     async def scene(t, server):
-        t.service.reducer.router.among = 1
+        t.service.state.decisions.among = 1
         rows = [host(s, t.machines[s].port, health="draining") for s in ("s-11", "s-12")]
         t.commands.answers.append(Commands.reply(4, listed(4, rows, whole=False)))
-        await until(lambda: t.service.reducer.cursor == 4)
+        await until(lambda: t.service.state.commands.cursor == 4)
         await asyncio.sleep(0.1)
         Held.gate.set()
         return await t.caller.hear(), [("parent=s-11" in line[2], "parent=s-12" in line[2]) for line in lines]
@@ -328,9 +328,9 @@
 
     async def scene(t, server):
         drop = {"cursor": 4, "drop": {"id": "ab" * 8, "when": int(time.time() * 1000)}}
-        t.service.reducer.router.purge_settled_s = 6.0
+        t.service.state.decisions.purge_settled_s = 6.0
         t.commands.answers.append(Commands.reply(4, drop))
-        await until(lambda: t.service.reducer.cursor == 4)
+        await until(lambda: t.service.state.commands.cursor == 4)
         await asyncio.sleep(0.1)
         Held.gate.set()
         await t.caller.hear()
@@ -343,7 +343,7 @@
 def test_a_push_that_waits_is_not_written_once_its_client_went(tmp_path, monkeypatch):
     async def scene(t, server):
         t.caller.writer.transport.abort()
-        await until(lambda: not t.service.reducer.queries)
+        await until(lambda: not t.service.state.requests.open)
         Held.gate.set()
         await asyncio.sleep(0.1)
         return pulls(t), t.service.upstream_connections.where
@@ -356,7 +356,7 @@
 
     async def scene(t, server):
         Held.gate.set()
-        return await t.caller.hear(), t.service.reducer.counts["pushes"], len(pulls(t))
+        return await t.caller.hear(), t.service.state.totals.counts["pushes"], len(pulls(t))
 
     assert held(scene, tmp_path, monkeypatch) == ((1, "satisfied 19"), 1, 1)
 
--- a/tests/engine/test_invariants.py
+++ b/tests/engine/test_invariants.py
@@ -18,13 +18,15 @@
 
 
 def violations(desk):
-    return dict(desk.reducer.invariants.violations)
+    return dict(desk.state.invariants.violations)
 
 
 def push(desk, query, server="s-21", source="s-21", until=None, oldest_s=0.0):
     """Makes the decisions send this, whatever they would have sent."""
     until = desk.now + 0.5 if until is None else until
-    desk.reducer.forward(query, Attempt(server, until, source, Retention.NONE, oldest_s, False, False, False))
+    desk.state.sink.forward(
+        query, Attempt(server, until, source, Retention.NONE, oldest_s, False, False, False)
+    )
 
 
 @pytest.fixture
@@ -85,15 +87,15 @@
 
 def test_a_refusal_that_invites_a_second_effect(desk):
     desk.ask(kind=b"order")
-    desk.router.again = lambda query, q, result: desk.reducer.reject(query, 0.0, Refusal.CROWDED)
+    desk.router.again = lambda query, q, result: desk.state.sink.reject(query, 0.0, Refusal.CROWDED)
     lines = desk.end(0, 1, "broken")
     assert violations(desk) == {"effect_twice": 1} and [line.split()[0] for line in lines] == ["say", "error"]
 
 
 def test_a_second_answer(desk):
     def act(query):
-        desk.reducer.reject(query, 0.0, Refusal.CROWDED)
-        desk.reducer.reject(query, 0.0, Refusal.CROWDED)
+        desk.state.sink.reject(query, 0.0, Refusal.CROWDED)
+        desk.state.sink.reject(query, 0.0, Refusal.CROWDED)
 
     lines, counted = planted(desk, act)
     assert counted == {"one_answer": 1} and [line.split()[0] for line in lines] == ["nack", "say"]
@@ -101,7 +103,7 @@
 
 def test_an_attempt_after_the_answer(desk):
     def act(query):
-        desk.reducer.reject(query, 0.0, Refusal.CROWDED)
+        desk.state.sink.reject(query, 0.0, Refusal.CROWDED)
         push(desk, query)
 
     lines, counted = planted(desk, act)
@@ -116,7 +118,7 @@
     for number in range(30):
         desk.ask(key=b"%x" % number)
     assert violations(desk).keys() == {"slow_start"}
-    calls = desk.reducer.counts["pushes"]
+    calls = desk.state.totals.counts["pushes"]
     assert calls + violations(desk)["slow_start"] == 30
     allowed = 0.1 * 4.0 / desk.router.sending[0]  # of the mean work
     assert calls <= allowed + 3.0 * allowed**0.5 + 3.0
@@ -131,10 +133,10 @@
 
 def test_a_push_that_waited_is_not_written_to_a_server_told_to_drain(desk):
     desk.ask()
-    q = desk.reducer.queries[0]
-    assert desk.reducer.held_back(0, 1) is None
-    desk.reducer.invariants.listed(q.server, "draining", 1, 0)
-    assert desk.reducer.held_back(0, 1) is HeldBack.CHANGED
+    q = desk.state.requests.open[0]
+    assert desk.state.hold_reason(0, 1) is None
+    desk.state.invariants.note_server(q.server, "draining", 1, 0)
+    assert desk.state.hold_reason(0, 1) is HeldBack.CHANGED
 
 
 @pytest.mark.parametrize("group, window_s", [("all", 0.2), ("zone", 9.0), ("cell", 9.0)])
@@ -165,7 +167,7 @@
         client = t.service.client_connections.clients[1]
         t.service.client_connections.satisfy(Respond(1, 7, b"never asked", False))
         t.service.client_connections.drop(client, CloseReason.IDLE)
-        return await t.caller.hear(), dict(t.service.reducer.invariants.violations)
+        return await t.caller.hear(), dict(t.service.state.invariants.violations)
 
     assert played(scene, tmp_path, machines=caches(delay=0.3)) == (None, {"one_answer": 1, "close": 1})
 
@@ -178,7 +180,7 @@
         t.service.client_connections.cancel(client, 1)
         t.service.client_connections.satisfy(Respond(1, 1, b"late", False))
         t.caller.ask(2)
-        return await t.caller.hear(), dict(t.service.reducer.invariants.violations)
+        return await t.caller.hear(), dict(t.service.state.invariants.violations)
 
     assert played(scene, tmp_path, machines=caches(delay=0.1)) == ((2, "satisfied 19"), {})
 
@@ -189,7 +191,7 @@
 
     async def scene(t):
         t.service.tracer = t.service.client_connections.trace = t.service.upstream_connections.trace = trace
-        t.service.reducer.traced = True
+        t.service.state.context.is_traced = True
         acts = iter(["absent", "data"])
         for machine in t.machines.values():
             machine.act = lambda line: next(acts)
@@ -252,7 +254,7 @@
 def test_refusals_are_counted_by_reason(tmp_path):
     async def scene(t):
         t.caller.ask(1)
-        return await t.caller.hear(), dict(t.service.reducer.refusals)
+        return await t.caller.hear(), dict(t.service.state.totals.refusals)
 
     answer, refusals = played(scene, tmp_path, machines=caches(act="full"))
     assert answer == (1, "nack") and sum(refusals.values()) == 1 and set(refusals) <= set(Refusal)
--- a/tests/test_reducer.py
+++ b/tests/engine/test_router_state.py
@@ -1,4 +1,4 @@
-"""The reducer: events in, effects out, as printed traces."""
+"""The router's state: events in, effects out, as printed traces."""
 
 from helpers import Desk, host, listed
 
@@ -22,7 +22,11 @@
     assert d.ask() == ["pull q0.1 r1 s-21 from s-12 rank 1 for 0.999"]
     assert d.end(0, 1, "full") == ["pull q0.2 r1 s-21 from s-11 rank 1 for 0.989"]
     assert d.end(0, 2, "satisfied", b"all of it") == ["satisfy 1 1 b'all of it' False"]
-    assert (d.reducer.queries, d.reducer.names, d.reducer.clients) == ({}, {}, {})
+    assert (d.state.requests.open, d.state.requests.by_client_request_id, d.state.clients.requests) == (
+        {},
+        {},
+        {},
+    )
 
 
 def test_a_push_whose_time_is_over_is_killed_before_the_next(tmp_path):
@@ -48,9 +52,9 @@
 def test_next_time_is_that_of_a_push_still_out(tmp_path):
     d = Desk(tmp_path)
     d.ask(allow=0.5)
-    assert abs(d.reducer.next_at() - d.now - 0.499) < 1e-6
+    assert abs(d.state.next_at() - d.now - 0.499) < 1e-6
     d.end(0, 1, "satisfied")
-    assert d.reducer.next_at() is None
+    assert d.state.next_at() is None
 
 
 def test_a_client_that_forgets_or_goes_is_owed_nothing(tmp_path):
@@ -60,7 +64,7 @@
     assert d.hear(RequestCancelled(1, 1)) == []
     assert d.hear(ClientDisconnected(1)) == ["kill q1.1"]
     assert d.end(0, 1, "satisfied") + d.end(1, 1, "satisfied") == []
-    assert list(d.reducer.queries) == [2] and list(d.router.queries) == [2]
+    assert list(d.state.requests.open) == [2] and list(d.router.queries) == [2]
 
 
 def test_a_client_that_goes_in_the_pass_of_its_query_or_of_a_failed_push(tmp_path):
@@ -82,7 +86,7 @@
     assert d.ask(kind=b"tune") == ["reject 1 3 service: no such class"]
     assert d.end(0, 1, "satisfied", b"all of it") == ["satisfy 1 1 b'all of it' False"]
     assert d.ask(name=b"r") == ["reject 1 4 ref: used before"]
-    assert d.reducer.queries == {} and d.router.queries == {}
+    assert d.state.requests.open == {} and d.router.queries == {}
 
 
 def test_a_connection_that_breaks_the_protocol_ends_with_all_that_is_open_on_it(tmp_path):
@@ -106,15 +110,17 @@
         d = Desk(tmp_path)
         assert d.hear(call(1, b"other", 2)) == ["pull q0.1 other s-21 from s-12 rank 1 for 0.979"]
         assert d.hear(*bad) == [f"shut 1 {why}"]
-        assert list(d.reducer.queries) == list(d.router.queries) == [0] and sum(d.router.fleet.inflight) == 1
-        assert list(d.reducer.numbers) == [2] and d.reducer.withdrawn == {}
+        assert (
+            list(d.state.requests.open) == list(d.router.queries) == [0] and sum(d.router.fleet.inflight) == 1
+        )
+        assert list(d.state.clients.last_numbers) == [2] and d.state.clients.withdrawn == {}
 
 
 def test_what_is_open_at_the_end_gets_its_error(tmp_path):
     d = Desk(tmp_path)
     d.ask(), d.ask()
     assert d.hear(ShutdownBegan()) == ["kill q0.1", "error 1 1", "kill q1.1", "error 1 2"]
-    assert d.reducer.queries == {} and sum(d.router.fleet.inflight) == 0
+    assert d.state.requests.open == {} and sum(d.router.fleet.inflight) == 0
 
 
 def test_unchanged_only_where_a_tag_was_passed_on(tmp_path):
@@ -132,7 +138,7 @@
     assert d.end(0, 1, "satisfied", b"all of it", came=0.0, tag=b"4be0") == ["satisfy 1 1 b'all of it' False"]
     assert d.ask(allow=0.15) == ["satisfy 1 2 b'all of it' False"]
     assert d.ask(allow=0.15, tag=b"4be0") == ["satisfy 1 3 b'' True"]
-    assert d.hear(ObjectsPurged(4, 4, 0.05, "aa")) == [] and d.reducer.copies == {}
+    assert d.hear(ObjectsPurged(4, 4, 0.05, "aa")) == [] and d.state.sink.copies == {}
 
 
 def test_single_use_that_may_have_run_ends_in_error(tmp_path):
@@ -152,7 +158,7 @@
     assert d.hear(*commands({"cursor": 5, "play": 1})) == [
         "say command skipped {'cursor': 5, 'why': \"KeyError 'drop': {'cursor': 5, 'play': 1}\"}"
     ]
-    assert d.reducer.cursor == 5
+    assert d.state.commands.cursor == 5
 
 
 def test_a_start_or_an_address_makes_another_server(tmp_path):
@@ -161,7 +167,7 @@
     assert d.hear(*commands(listed(4, [host("s-21", born_ms=5000)], whole=False), start=3.0)) == [
         "retire s-21"
     ]
-    assert d.reducer.dials["s-21"] == (("127.0.0.1", 9), 2.0)
+    assert d.state.endpoints.instances["s-21"][1:] == (("127.0.0.1", 9), 2.0)
     assert d.hear(*commands(listed(5, [host("s-21", health="removed")], whole=False))) == ["retire s-21"]
     assert d.hear(*commands(listed(6, [host("s-22")]))) == [
         "retire s-01",
@@ -169,7 +175,7 @@
         "retire s-12",
         "retire s-23",
     ]
-    assert list(d.reducer.dials) == ["s-22"]
+    assert list(d.state.endpoints.instances) == ["s-22"]
 
 
 def test_a_purge_is_told_with_its_age(tmp_path):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -41,7 +41,7 @@
     WriteTrace,
 )
 from brookhinge.engine.lifecycle import Phase
-from brookhinge.engine.reducer import Reducer
+from brookhinge.engine.router_state import RouterState
 from brookhinge.net import thrift
 from brookhinge.net.service import Service
 from brookhinge.startup import read_site
@@ -255,12 +255,12 @@
 
 
 class Desk:
-    """A reducer with its router, called by events; effects come back as printed lines."""
+    """A router's state with its decisions, called by events; effects come back as printed lines."""
 
     def __init__(self, folder, **other):
         site = read(configuration(**other), folder)
         self.router = Router(site.seed, machine=site.bounds, **site.decisions)
-        self.reducer = Reducer(
+        self.state = RouterState(
             self.router, [t.name.encode() for t in site.decisions["request_classes"]], site.zones
         )
         self.now, self.asked = 0.0, 0
@@ -268,7 +268,7 @@
 
     def hear(self, *posted, at=None):
         self.now = self.now + 0.01 if at is None else at
-        return [self.printed(effect) for effect in self.reducer.reduce(self.now, posted)]
+        return [self.printed(effect) for effect in self.state.reduce(self.now, posted)]
 
     def ask(self, key=b"aa", kind=b"page", name=None, client=1, number=None, at=None, allow=1.0, tag=None):
         self.asked += 1
--- a/tests/standstill/stoppable.py
+++ b/tests/standstill/stoppable.py
@@ -105,10 +105,10 @@
 def decided(reached):
     """A round has decided on an attempt that is not written yet."""
     from brookhinge.engine.effects import SendAttempt
-    from brookhinge.engine.reducer import Reducer
+    from brookhinge.engine.router_state import RouterState
 
     after(
-        Reducer,
+        RouterState,
         "reduce",
         lambda effects, _: any(isinstance(effect, SendAttempt) for effect in effects),
         reached,
--- a/tests/standstill/test_every_point.py
+++ b/tests/standstill/test_every_point.py
@@ -81,7 +81,7 @@
     async def play(self, at, seconds):
         """(the steps, how many attempts came after the client's end)."""
         town, clients = self.town, self.town.service.client_connections.clients
-        town.service.reducer.router.retries = 10.0
+        town.service.state.decisions.retries = 10.0
         others, raw = set(clients), Raw(town.address)
         await until(lambda: set(clients) - others)
         self.asked += 1
@@ -94,7 +94,7 @@
         self.steps = Steps(at, leave)
         raw.asks(self.asked).send()
         try:
-            await until(lambda: name in self.begun and not town.service.reducer.queries)
+            await until(lambda: name in self.begun and not town.service.state.requests.open)
         finally:
             self.steps.end()
         raw.close()
--- a/tests/standstill/test_held_back.py
+++ b/tests/standstill/test_held_back.py
@@ -4,7 +4,7 @@
 import time
 
 from brookhinge.decisions.rules import HeldBack
-from brookhinge.engine.endpoints import ListedEndpoint, ServerInstance
+from brookhinge.engine.endpoints import ListedEndpoint
 from brookhinge.engine.events import EndpointsListed, ObjectsPurged
 from brookhinge.net import caches as net_caches
 from tests.crossings.test_sockets import Raw
@@ -15,12 +15,12 @@
 async def one_out(t):
     """A query that is out at a silent server, its client's socket, and its attempt as it was decided."""
     raw = Raw(t.address).asks(1).send()
-    await until(lambda: t.service.reducer.queries)
-    (query, q), now = next(iter(t.service.reducer.queries.items())), t.service.now()
+    await until(lambda: t.service.state.requests.open)
+    (query, q), now = next(iter(t.service.state.requests.open.items())), t.service.now()
     await asyncio.sleep(0.05)  # its connection was read empty longer ago than a moment
     t.service.watch.tick()
-    server = ServerInstance(q.server, *t.service.reducer.dials[q.server])
-    return raw, net_caches.Decided(query, q.pushes, server, q.name, now + 1.0, now, None)
+    server = t.service.state.endpoints.instances[q.server]
+    return raw, net_caches.Decided(query, q.attempts, server, q.call.client_request_id, now + 1.0, now, None)
 
 
 def reason_after(tmp_path, change):
@@ -79,7 +79,7 @@
 def test_its_server_drains_by_now(tmp_path):
     def drain(t, raw, decided):
         row = host(decided.server[0], health="draining")
-        t.service.reducer.reduce(
+        t.service.state.reduce(
             t.service.now(),
             [
                 EndpointsListed(
--- a/tests/storm/test_lineage.py
+++ b/tests/storm/test_lineage.py
@@ -23,7 +23,7 @@
 
 def desk(folder, *places):
     d = Desk(folder)
-    d.reducer.lineage = Lineage()
+    d.state.coalescer.lineage = Lineage()
     for client, place in enumerate(places, 1):
         d.hear(ClientConnected(client, place))
     return d
@@ -42,7 +42,11 @@
         "satisfy 1 2 b'x' False",
         "satisfy 2 3 b'x' False",
     ]
-    assert not d.reducer.queries and not d.reducer.waiting and not d.reducer.lineage.of_query
+    assert (
+        not d.state.requests.open
+        and not d.state.coalescer.followers
+        and not d.state.coalescer.lineage.of_query
+    )
 
 
 def test_what_is_no_retry_runs_by_itself(tmp_path):
@@ -54,7 +58,7 @@
     assert (
         len(d.ask(client=1, kind=b"order", key=b"cc")) == len(d.ask(client=1, kind=b"order", key=b"cc")) == 1
     )
-    assert d.reducer.counts["beside"] == 0
+    assert d.state.totals.counts["beside"] == 0
 
 
 def test_behind_an_address_with_many_connections_only_the_connection_tells(tmp_path):
@@ -72,17 +76,17 @@
     assert [line.split()[0] for line in lines] == ["kill", "pull"] and " q1.1 " in lines[
         1
     ]  # one of both, not two
-    assert d.reducer.queries[2].beside == 1
+    assert d.state.requests.open[2].leader == 1
     assert kinds(d.end(1, 1, "broken")) == ["pull q1.2 r2 s-22 from s-12 rank 1"]
-    assert d.end(1, 2, "broken") == ["nack 2 2 0.0", "nack 3 3 0.0"] and not d.reducer.waiting
+    assert d.end(1, 2, "broken") == ["nack 2 2 0.0", "nack 3 3 0.0"] and not d.state.coalescer.followers
 
 
 def test_who_waits_has_its_error_before_its_time_is_over(tmp_path):
     d = desk(tmp_path, A, A)
     d.ask(client=1, allow=1.0)
     d.ask(client=2, allow=0.2)
-    at = d.reducer.queries[1].until
-    assert d.reducer.next_at() <= at and d.hear(at=at - 0.015) == ["error 2 2"]
+    at = d.state.requests.open[1].deadline
+    assert d.state.next_at() <= at and d.hear(at=at - 0.015) == ["error 2 2"]
     assert d.end(0, 1, "satisfied", b"x") == ["satisfy 1 1 b'x' False"]
 
 
@@ -90,9 +94,9 @@
     d = desk(tmp_path, A, A)
     d.ask(client=1)
     d.ask(client=2)
-    d.reducer.effects = []
-    d.reducer.reject(0, 0.25)
-    assert [d.printed(e) for e in d.reducer.effects] == ["nack 1 1 0.25", "nack 2 2 0.25"]
+    d.state.context.effects = []
+    d.state.sink.reject(0, 0.25)
+    assert [d.printed(e) for e in d.state.context.effects] == ["nack 1 1 0.25", "nack 2 2 0.25"]
 
 
 def test_a_retry_has_its_first_tries_time_and_is_forgotten_by_itself():
@@ -147,7 +151,7 @@
     def advance(self, by=0.01):
         """Plays what is due before a moment; what comes at that moment comes after it."""
         end = self.now + by
-        while (at := self.d.reducer.next_at()) is not None and at < end:
+        while (at := self.d.state.next_at()) is not None and at < end:
             self.now = max(self.now, at)
             self.take(self.d.hear(at=self.now))
         self.now = end
@@ -182,7 +186,7 @@
 
     @rule(result=st.sampled_from(["satisfied", "miss", "full", "errored", "broken", "unreachable"]))
     def answer(self, result):
-        out = [(n, q.pushes) for n, q in self.d.reducer.queries.items() if q.out]
+        out = [(n, q.attempts) for n, q in self.d.state.requests.open.items() if q.has_attempt_out]
         if out:
             query, push = self.chance.choice(out)
             self.step(
@@ -218,17 +222,21 @@
     def alone(self):
         if not hasattr(self, "d"):
             return
-        reducer = self.d.reducer
-        out = [(reducer.addresses[q.client], q.key) for q in reducer.queries.values() if q.out]
+        state = self.d.state
+        out = [
+            (state.clients.addresses[q.call.client], q.call.object_key)
+            for q in state.requests.open.values()
+            if q.has_attempt_out
+        ]
         assert len(out) == len(set(out))
-        assert {(q.client, q.number) for q in reducer.queries.values()} == set(self.owed)
-        waiting = [n for peers in reducer.waiting.values() for n in peers]
-        assert sorted(waiting) == sorted(n for n, q in reducer.queries.items() if q.beside is not None)
+        assert {(q.call.client, q.call.number) for q in state.requests.open.values()} == set(self.owed)
+        waiting = [n for peers in state.coalescer.followers.values() for n in peers]
+        assert sorted(waiting) == sorted(n for n, q in state.requests.open.items() if q.leader is not None)
 
     def teardown(self):
         if hasattr(self, "d"):
             self.take(self.d.hear(ShutdownBegan()))
-            assert not self.owed and not self.d.reducer.queries
+            assert not self.owed and not self.d.state.requests.open
 
 
 TestAnswers = Answers.TestCase
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -11,10 +11,10 @@
 
 
 def listening_desk(folder, **other):
-    """A reducer, and the oldest copies that it asks for, as they are asked for."""
+    """A desk, and the oldest copies that it asks for, as they are asked for."""
     desk, asked = Desk(folder, **other), []
-    real = desk.reducer.forward
-    desk.reducer.forward = lambda query, attempt: (asked.append(attempt.max_age_s), real(query, attempt))
+    real = desk.state.sink.forward
+    desk.state.sink.forward = lambda query, attempt: (asked.append(attempt.max_age_s), real(query, attempt))
     return desk, asked
 
 
@@ -23,7 +23,7 @@
     settings = configuration()["settings"]
     settings["Specifics"]["GoneEverywhereNs"] = 5e9
     desk, asked = listening_desk(folder, settings=settings)
-    desk.reducer.begun = False
+    desk.state.purges.is_first_round = True
     return desk, asked
 
 
@@ -81,7 +81,7 @@
     desk.hear(AttemptEnded(0, 1, "miss", 0, 0.0, None, b"", False, 10.1), at=10.1)
     desk.hear(AttemptEnded(0, 2, "satisfied", 2, 0.0, None, b"bytes", False, 10.2, 10.1, b"t", None), at=10.2)
     query = (1, 9, b"r9", b"page", b"aa", b"0", 0, 4, 100.0, 0.2, None, b"", 10.3)
-    effects = desk.reducer.reduce(10.3, [RequestReceived(*query)], knows_all)
+    effects = desk.state.reduce(10.3, [RequestReceived(*query)], knows_all)
     assert [PRINTED_AS[type(effect)] for effect in effects] == [answer]
 
 
@@ -96,7 +96,7 @@
     desk.hear(
         AttemptEnded(0, 2, "satisfied", 2, 0.0, None, b"bytes", False, 10.2, dated, b"t", None), at=10.2
     )
-    assert bool(desk.reducer.copies) is kept
+    assert bool(desk.state.sink.copies) is kept
 
 
 def test_events_are_told_late_but_not_that_late():
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -137,7 +137,7 @@
         await one_cancels_and_one_leaves(t)
         await until(lambda: len(t.pulled()) == 4)
         t.caller.call(b"isWell")
-        return await t.caller.hear(), sorted(line[5:9] for line in t.pulled()), t.service.reducer.queries
+        return await t.caller.hear(), sorted(line[5:9] for line in t.pulled()), t.service.state.requests.open
 
     assert played(scene, tmp_path, machines=caches(act="silent")) == (
         (3, "well True"),
@@ -150,7 +150,7 @@
     """Open connections of a machine that vanished stay open: its pushes must not wait for their whole time."""
 
     async def scene(t):
-        t.service.reducer.router.retries = 10.0
+        t.service.state.decisions.retries = 10.0
         t.caller.ask(1)
         await until(t.pulled)
         home = t.pulled()[0][:4]
@@ -168,7 +168,7 @@
     """A single-use query goes on to another cache; after a reset it may have run and ends in error."""
 
     async def scene(t):
-        t.service.reducer.router.retries = 10.0
+        t.service.state.decisions.retries = 10.0
         for machine in list(t.machines.values())[3:5]:
             await machine.stop()
         heard = []
@@ -223,7 +223,7 @@
     also while new pushes go on being written."""
 
     async def scene(t):
-        t.service.reducer.router.retries = 10.0
+        t.service.state.decisions.retries = 10.0
         t.service.upstream_connections.say = lambda event, **values: said.append(event)
         first, said = [], []
         for machine in t.machines.values():
@@ -259,7 +259,7 @@
     a calm day was nacked."""
 
     async def scene(t):
-        router, sizes = t.service.reducer.router, []
+        router, sizes = t.service.state.decisions, []
         on_request = router.on_request
         router.on_request = lambda request: sizes.append(request.size_kb) or on_request(request)
         t.caller.ask(1, room=None)
@@ -314,7 +314,7 @@
     ]
 
     async def scene(t):
-        router, seen, agreed = t.service.reducer.router, [], []
+        router, seen, agreed = t.service.state.decisions, [], []
         for machine in t.machines.values():
             machine.act = lambda line: seen.append(line) or ends[len(seen) % len(ends)]
         other = await Caller.connect(t.address)
@@ -331,12 +331,12 @@
                     Commands.reply(4, listed(4, [host("s-21", health="removed")], whole=False))
                 )
             await asyncio.sleep(0.01)
-            out = [q for q in t.service.reducer.queries.values() if q.out]
+            out = [q for q in t.service.state.requests.open.values() if q.has_attempt_out]
             if not t.service.scheduler.events:  # what has ended and is not reduced yet
                 agreed.append(
                     sum(router.fleet.inflight) == len(out) == len(t.service.upstream_connections.where)
                 )
-        await until(lambda: not t.service.reducer.queries)
+        await until(lambda: not t.service.state.requests.open)
         return (
             set(agreed),
             sum(router.fleet.inflight),
@@ -398,9 +398,13 @@
         rest = [host(s, t.machines[s].port) for s in ("s-01", "s-11", "s-12")]
         made = t.machines["s-21"].made
         t.commands.answers.append(Commands.reply(4, listed(4, rest + [host("s-22", port)])))
-        await until(lambda: t.service.reducer.cursor == 4)
+        await until(lambda: t.service.state.commands.cursor == 4)
         t.caller.ask(2)
-        return await t.caller.hear(), t.machines["s-21"].made - made >= 1, "s-21" in t.service.reducer.dials
+        return (
+            await t.caller.hear(),
+            t.machines["s-21"].made - made >= 1,
+            "s-21" in t.service.state.endpoints.instances,
+        )
 
     assert played(scene, tmp_path) == ((2, "satisfied 19"), True, False)
 
@@ -465,7 +469,9 @@
         slow = Caller(*await asyncio.open_connection(sock=made, limit=4096))
         for n in range(100, 132):
             slow.ask(n, lookup=f"{n:016x}", room="1")
-        await until(lambda: len(t.service.client_connections.clients) == 1 and not t.service.reducer.queries)
+        await until(
+            lambda: len(t.service.client_connections.clients) == 1 and not t.service.state.requests.open
+        )
         t.caller.ask(1)
         return (
             await t.caller.hear(),
@@ -661,7 +667,7 @@
 def test_the_figures_tell_how_queries_were_withdrawn(tmp_path):
     async def scene(t):
         await one_cancels_and_one_leaves(t)
-        await until(lambda: not t.service.reducer.queries)
+        await until(lambda: not t.service.state.requests.open)
         return t.service.metrics.reasons()["withdrawals"]
 
     machines = caches(act="silent")
