--- a/brookhinge/cli/demo.py
+++ b/brookhinge/cli/demo.py
@@ -32,7 +32,9 @@
 
             async def round_(what):
                 nonlocal wrong
-                began, asked, filled = time.monotonic(), len(objects), town.origin.counts["queries"]
+                began = time.monotonic()
+                asked = len(objects)
+                filled = town.origin.counts["queries"]
                 answers = await asyncio.gather(
                     *(after(n * PACE_S, caller.ask(o, lot=group_of(o))) for n, o in enumerate(objects))
                 )
--- a/brookhinge/cli/fleet.py
+++ b/brookhinge/cli/fleet.py
@@ -91,7 +91,8 @@
     from rich.live import Live
     from rich.table import Table
 
-    block, done = block_of(file, "fleet", router)[1], 0
+    block = block_of(file, "fleet", router)[1]
+    done = 0
 
     def drawn():
         rows, digest = ask(block)
--- a/brookhinge/cli/standin.py
+++ b/brookhinge/cli/standin.py
@@ -72,7 +72,8 @@
         peer = CommandChannel(hosts)
         click.echo("command channel listens at %s:%d" % (await peer.listen(*listen)))
         async for words in spoken():
-            verb, name = words[0], words[1] if len(words) == 2 else ""
+            verb = words[0]
+            name = words[1] if len(words) == 2 else ""
             if verb == "drain" and name in peer.hosts:
                 peer.list(name, health="draining")
             elif verb == "remove" and name in peer.hosts:
--- a/brookhinge/cli/store.py
+++ b/brookhinge/cli/store.py
@@ -15,7 +15,8 @@
 
     if not os.path.isfile(os.path.join(folder, "store")):
         refuse(f"{folder}: expected a folder with a store in it")
-    sizes, heads = [], []
+    sizes = []
+    heads = []
     for name in os.listdir(folder):
         if name.endswith(".seg"):
             path = os.path.join(folder, name)
@@ -65,7 +66,8 @@
             "share": "",
         }
     )
-    parts, purges = tier.index.parts, len(tier.ledger.objects) + len(tier.ledger.groups)
+    parts = tier.index.parts
+    purges = len(tier.ledger.objects) + len(tier.ledger.groups)
     tier.abandon()
     table(rows, ["segment", "bytes", "alive", "share"], as_json)
     if not as_json:
--- a/brookhinge/client/client.py
+++ b/brookhinge/client/client.py
@@ -137,8 +137,12 @@
     run, is asked again. One connection is kept, another made when it has ended."""
 
     def __init__(self, address, tries=3, replayable=True, chance=None):
-        self.address, self.tries, self.replayable = address, tries, replayable
-        self.chance, self.connection, self.making = chance or random.Random(), None, asyncio.Lock()
+        self.address = address
+        self.tries = tries
+        self.replayable = replayable
+        self.chance = chance or random.Random()
+        self.connection = None
+        self.making = asyncio.Lock()
 
     async def __aenter__(self):
         return self
@@ -155,7 +159,9 @@
 
     async def fetch(self, object_, part=0, track="page", patience_s=2.9, group=0, size_kb=50.0, tag=None):
         """One part of an object. Comes back in patience_s, whatever happens; a retry has what is left of it."""
-        first, tries, answer = time.monotonic(), 0, GONE
+        first = time.monotonic()
+        tries = 0
+        answer = GONE
         while True:
             left = patience_s - (time.monotonic() - first)
             if left <= 0.001:
--- a/brookhinge/client/returns.py
+++ b/brookhinge/client/returns.py
@@ -5,7 +5,8 @@
 else spreads those who come back. What can't be answered in the time that is left is not asked for again."""
 
 BREATH_S = 0.02  # after a told time: the clocks of both ends are not one
-FIRST_S, LONGEST_S = 0.05, 1.0
+FIRST_S = 0.05
+LONGEST_S = 1.0
 LEAST_S = 0.05  # of the time left, under which another try is of no use
 
 
--- a/brookhinge/operator/capacity.py
+++ b/brookhinge/operator/capacity.py
@@ -161,7 +161,8 @@
 
 def read_controls(block, capacity, settings, take):
     """Control machines; each stands at a site of the layout."""
-    sites, regions = set(capacity.sites()), {zone.region for zone in capacity.zones}
+    sites = set(capacity.sites())
+    regions = {zone.region for zone in capacity.zones}
     for inner in (one for one in block.blocks if one.kind == "control"):
         values = take(inner, settings)
         if values["site"] not in sites:
--- a/brookhinge/operator/hcl.py
+++ b/brookhinge/operator/hcl.py
@@ -14,8 +14,12 @@
     """One block: its type, labels, line, values by key, the line of each key, and the blocks within."""
 
     def __init__(self, kind, labels, line):
-        self.kind, self.labels, self.line = kind, labels, line
-        self.values, self.lines, self.blocks = {}, {}, []
+        self.kind = kind
+        self.labels = labels
+        self.line = line
+        self.values = {}
+        self.lines = {}
+        self.blocks = []
 
     def title(self):
         return " ".join([self.kind, *(f'"{label}"' for label in self.labels)])
@@ -46,7 +50,8 @@
                 raise OperatorError(
                     f"line {child.meta.line}: {key} stands twice, first in line {block.lines[key]}"
                 )
-            block.values[key], block.lines[key] = values[key], child.meta.line
+            block.values[key] = values[key]
+            block.lines[key] = child.meta.line
         elif getattr(child, "data", None) == "block":
             kind, labels, inner = head(child)
             place = seen.get(kind, 0)
@@ -60,7 +65,8 @@
 
 def head(tree):
     """(type, labels, the body's tree) of a block's tree."""
-    words, inner = [], None
+    words = []
+    inner = None
     for child in tree.children:
         data = getattr(child, "data", None)
         if data == "identifier":
--- a/brookhinge/operator/schema.py
+++ b/brookhinge/operator/schema.py
@@ -302,7 +302,12 @@
     for key, line in top.lines.items():
         raise OperatorError(f"line {line}: {key}: expected a block, got a key outside of any")
     check_blocks(top, BLOCKS)
-    boxes, fleet, control, level, metrics, capacity = {}, {}, {}, "info", None, None
+    boxes = {}
+    fleet = {}
+    control = {}
+    level = "info"
+    metrics = None
+    capacity = None
     for block in top.blocks:
         if block.kind == "capacity":
             capacity = read_capacity(block, BLOCKS["capacity"], take)
--- a/brookhinge/purgelog/backfill.py
+++ b/brookhinge/purgelog/backfill.py
@@ -30,9 +30,15 @@
     """ranges: [source, position reached, end] each. order: control machines by preference."""
 
     def __init__(self, order, choice, now):
-        self.order, self.choice, self.due_at = order, choice, now
-        self.ranges, self.pieces = deque(), []
-        self.number, self.unanswered, self.refusals, self.lost = 0, 0, set(), False
+        self.order = order
+        self.choice = choice
+        self.due_at = now
+        self.ranges = deque()
+        self.pieces = []
+        self.number = 0
+        self.unanswered = 0
+        self.refusals = set()
+        self.lost = False
 
     def extend(self, missed):
         """More to fetch: (source, position held, position to reach) each."""
@@ -86,4 +92,5 @@
         self.lost = len(self.refusals) == len(self.order)
 
     def ask_next(self):
-        self.choice, self.unanswered = (self.choice + 1) % len(self.order), 0
+        self.choice = (self.choice + 1) % len(self.order)
+        self.unanswered = 0
--- a/brookhinge/purgelog/batching.py
+++ b/brookhinge/purgelog/batching.py
@@ -12,9 +12,12 @@
 
 def split(batches, room):
     """Lists of batches in order, each at most `room` bytes when encoded; an entry longer than that goes by itself."""
-    datagrams, current, left = [], [], room
+    datagrams = []
+    current = []
+    left = room
     for batch in batches:
-        entries, index = [], batch.after_index
+        entries = []
+        index = batch.after_index
         epoch_before = batch.after_epoch
         left -= BATCH_BYTES
         for entry in batch.entries:
@@ -22,9 +25,12 @@
             if size > left and (entries or current):
                 if entries:
                     current.append(Batch(batch.source, batch.epoch, epoch_before, index, entries))
-                    index, epoch_before = index + len(entries), batch.epoch
+                    index = index + len(entries)
+                    epoch_before = batch.epoch
                 datagrams.append(current)
-                entries, current, left = [], [], room - BATCH_BYTES
+                entries = []
+                current = []
+                left = room - BATCH_BYTES
             entries.append(entry)
             left -= size
         if entries or not batch.entries:
--- a/brookhinge/purgelog/client.py
+++ b/brookhinge/purgelog/client.py
@@ -29,7 +29,8 @@
         self.block, self.event, self.machines = block, event, machines_of(controls)
         self.proof_s = min(control.proof_s for control in controls.values())
         self.fed = any(control.channel for control in controls.values())
-        self.subscriber, self.machine = None, None
+        self.subscriber = None
+        self.machine = None
 
     async def start(self):
         """Binds and begins to read; (host, port)."""
--- a/brookhinge/purgelog/codec.py
+++ b/brookhinge/purgelog/codec.py
@@ -35,7 +35,10 @@
     REASONS = ("sent", "received", "torn", "forged", "repeated", "unreadable")
 
     def __init__(self, site, key, sender):
-        self.key, self.sender, self.sequence, self.guard = key, sender, 0, Guard()
+        self.key = key
+        self.sender = sender
+        self.sequence = 0
+        self.guard = Guard()
         self.person = hashlib.blake2b(site.encode(), digest_size=16).digest()
         self.encoder = msgspec.msgpack.Encoder()
         self.decoder = msgspec.msgpack.Decoder(Envelope)
--- a/brookhinge/purgelog/control.py
+++ b/brookhinge/purgelog/control.py
@@ -33,11 +33,15 @@
     proof_s: how long a router uses its own copies on one proof."""
 
     def __init__(self, machine, machines, boot, proof_s, now):
-        self.machine, self.machines, self.boot = machine, machines, boot
+        self.machine = machine
+        self.machines = machines
+        self.boot = boot
         self.replication = Replication(machine, len(machines), boot, now)
         self.distributor = Distributor(machine, boot, self.replication.logs, proof_s + MARGIN_S, now)
         self.tracker = Tracker(self.replication, [m.name for m in machines], proof_s, now)
-        self.sync_at, self.serve_at, self.serving = now, now, False
+        self.sync_at = now
+        self.serve_at = now
+        self.serving = False
         self.told = collections.OrderedDict()
 
     # what a program asks
--- a/brookhinge/purgelog/copies.py
+++ b/brookhinge/purgelog/copies.py
@@ -11,7 +11,9 @@
 
     def __init__(self, *rest, **named):
         super().__init__(*rest, **named)
-        self.proven, self.aside_until, self.readmitted = False, -math.inf, {}
+        self.proven = False
+        self.aside_until = -math.inf
+        self.readmitted = {}
 
     def copy_rule(self, rule, purges):
         """rule: a CopyRule; purges: with READMIT the PurgeSet of what was missed, else None."""
@@ -20,9 +22,11 @@
         elif rule is CopyRule.PROVEN:
             self.proven = True
         elif rule is CopyRule.ASIDE:
-            self.aside_until, self.readmitted = self.now, {}
+            self.aside_until = self.now
+            self.readmitted = {}
         elif rule is CopyRule.RESET:
-            self.aside_until, self.readmitted = self.now, {}
+            self.aside_until = self.now
+            self.readmitted = {}
             self.drop_aside(lambda doc: True)
         elif rule is CopyRule.READMIT:
             self.drop_aside(lambda doc: purges.covers(doc.key, doc.group))
--- a/brookhinge/purgelog/distributor.py
+++ b/brookhinge/purgelog/distributor.py
@@ -20,18 +20,19 @@
 from brookhinge.purgelog.roundtrip import smoothed
 
 PUSH_GAP_S = 0.05  # between two pushes to a reader of what is new
-FIRST_RETRY_S, SHORTEST_RETRY_S, LONGEST_RETRY_S = (
-    0.3,
-    0.06,
-    0.4,
-)  # till a push that is not acknowledged is sent again
+# till a push that is not acknowledged is sent again
+FIRST_RETRY_S = 0.3
+SHORTEST_RETRY_S = 0.06
+LONGEST_RETRY_S = 0.4
 FORGET_S = 60.0  # how long a lost reader is reported
 FROZEN_S = 1.0  # between two ticks: this process stood still, and leases did not run meanwhile
 MOST_BEHIND = (
     512  # entries that a reader is led on over; one further behind goes on from the heads and backfills
 )
 PUSH_BYTES = 1100
-NAMES_TOLD, NAME_BYTES_TOLD = 4, 120  # names of each kind in a report
+# names of each kind in a report
+NAMES_TOLD = 4
+NAME_BYTES_TOLD = 120
 MOVED_TOLD = 8  # readers told to the other machines in one sync
 BACKOFF = 1.5  # of the round trip, when a retry was due
 
@@ -40,16 +41,22 @@
     """One router that reads here."""
 
     def __init__(self, name, process, session, address, positions, fresh, now):
-        self.name, self.process, self.session, self.address = name, process, session, address
+        self.name = name
+        self.process = process
+        self.session = session
+        self.address = address
         self.positions = positions  # acknowledged
         self.fresh = fresh  # it has just started: it needs the heads and no history
-        self.sent, self.sent_at = list(positions), -math.inf
+        self.sent = list(positions)
+        self.sent_at = -math.inf
         self.sent_again = [False] * len(positions)
         self.waits_since = [None] * len(
             positions
         )  # for each source: since when an acknowledgement is waited for
         self.heard_at = now
-        self.echo, self.owed = 0, False  # its last message, and whether that waits for an answer
+        # its last message, and whether that waits for an answer
+        self.echo = 0
+        self.owed = False
         self.rtt_s = None
         self.caught_up = False
 
@@ -74,9 +81,11 @@
         if position < self.sent[source]:
             self.waits_since[source] = now
             return
-        self.sent[source], waited = position, self.waits_since[source]
+        self.sent[source] = position
+        waited = self.waits_since[source]
         self.waits_since[source] = None
-        again, self.sent_again[source] = self.sent_again[source], False
+        again = self.sent_again[source]
+        self.sent_again[source] = False
         if waited is not None and not again and self.sent_at == waited:
             self.measure(now)
 
@@ -87,7 +96,8 @@
     def send_again(self, source):
         """From the last acknowledged position on."""
         if self.sent[source] > self.positions[source]:
-            self.sent[source], self.sent_again[source] = self.positions[source], True
+            self.sent[source] = self.positions[source]
+            self.sent_again[source] = True
         self.waits_since[source] = None
 
     def retry_late(self, now):
@@ -115,14 +125,22 @@
     """A reader whose lease ended."""
 
     def __init__(self, reader, now):
-        self.process, self.positions, self.at = reader.process, reader.positions, now
+        self.process = reader.process
+        self.positions = reader.positions
+        self.at = now
 
 
 class Distributor:
     def __init__(self, machine, boot, logs, lease_s, now):
-        self.machine, self.boot, self.logs, self.lease_s = machine, boot, logs, lease_s
-        self.readers, self.lost, self.moved = {}, {}, {}
-        self.last_tick_at, self.number = now, 0
+        self.machine = machine
+        self.boot = boot
+        self.logs = logs
+        self.lease_s = lease_s
+        self.readers = {}
+        self.lost = {}
+        self.moved = {}
+        self.last_tick_at = now
+        self.number = 0
         self.implausible = 0
 
     def heads(self):
@@ -272,7 +290,8 @@
         """The reader goes on from the heads; a retry rate keeps this from being sent with each entry."""
         if now - reader.sent_at < FIRST_RETRY_S and not reader.owed:
             return
-        reader.sent_at, reader.owed = now, False
+        reader.sent_at = now
+        reader.owed = False
         writer.send(reader.address, self.message(now, reader, quorum, True, []))
 
     def message(self, now, reader, quorum, restart, batches):
@@ -288,7 +307,8 @@
         """What this machine vouches for now."""
         self.number += 1
         heads = self.heads()
-        floors, lost_floors = list(heads), []
+        floors = list(heads)
+        lost_floors = []
         for reader in self.readers.values():
             floors = [min(pair) for pair in zip(floors, reader.positions)]
         for lost in self.lost.values():
@@ -314,7 +334,8 @@
 
 def few(names):
     """Some names, few enough for a datagram."""
-    told, room = [], NAME_BYTES_TOLD
+    told = []
+    room = NAME_BYTES_TOLD
     for name in names:
         room -= len(name.encode())
         if len(told) == NAMES_TOLD or room < 0:
--- a/brookhinge/purgelog/endpoint.py
+++ b/brookhinge/purgelog/endpoint.py
@@ -14,10 +14,12 @@
     `next_at(now)`; times are seconds of a clock that goes on while the machine sleeps."""
 
     def __init__(self, site, key, process, log):
-        self.log, self.process = log, process
+        self.log = log
+        self.process = process
         self.codec = Codec(site, key, process)
         self.transport = self.timer = None
-        self.dropped, self.log_at = {}, 0.0
+        self.dropped = {}
+        self.log_at = 0.0
 
     async def open(self, listen):
         """Binds the socket; (host, port)."""
--- a/brookhinge/purgelog/intake.py
+++ b/brookhinge/purgelog/intake.py
@@ -15,7 +15,8 @@
     """names: of all control machines; name: of this one."""
 
     def __init__(self, name, names):
-        self.name, self.names = name, names
+        self.name = name
+        self.names = names
         self.waiting = collections.OrderedDict()
 
     def receive(self, now, entry):
--- a/brookhinge/purgelog/log.py
+++ b/brookhinge/purgelog/log.py
@@ -51,8 +51,11 @@
     Indexes are contiguous; `chain` tells which epoch each belongs to."""
 
     def __init__(self, source, recent=RECENT, segments=SEGMENTS):
-        self.source, self.limit, self.segments = source, recent, segments
-        self.entries, self.digests = collections.deque(), collections.deque()
+        self.source = source
+        self.limit = recent
+        self.segments = segments
+        self.entries = collections.deque()
+        self.digests = collections.deque()
         self.restart(START)
 
     def restart(self, position):
@@ -61,7 +64,8 @@
         self.chain = [EpochStart(position.epoch, position)]
         self.entries.clear()
         self.digests.clear()
-        self.gathering, self.gathered_after = [], position
+        self.gathering = []
+        self.gathered_after = position
 
     def append(self, batch):
         """Takes what is new of a batch; those entries. None: the batch does not follow on what is held, or its epoch is
@@ -115,7 +119,8 @@
             self.gathering.append(fingerprint(self.entries.popleft()))
             if len(self.gathering) == SEGMENT:
                 self.digests.append(Digest(self.gathered_after, self.base, b"".join(self.gathering)))
-                self.gathering, self.gathered_after = [], self.base
+                self.gathering = []
+                self.gathered_after = self.base
         while len(self.digests) > self.segments:
             self.origin = self.digests.popleft().through
             while len(self.chain) > 1 and self.chain[1].after.index < self.origin.index:
@@ -129,7 +134,8 @@
         known = self.on_chain(position)
         if known is None or known.index < self.base.index:
             return None
-        batches, room = [], most
+        batches = []
+        room = most
         for k, start in enumerate(self.chain):
             if start.epoch < known.epoch:
                 continue
--- a/brookhinge/purgelog/metrics.py
+++ b/brookhinge/purgelog/metrics.py
@@ -57,7 +57,8 @@
 
     def collect(self):
         node = self.server.node
-        replication, distributor = node.replication, node.distributor
+        replication = node.replication
+        distributor = node.distributor
         yield gauge("serving", "1: routers are served", int(node.serving))
         yield gauge("recovered", "1: counts in majorities", int(replication.recovered()))
         yield gauge("epoch", "of the own log; 0: none is open", replication.epoch)
--- a/brookhinge/purgelog/progress.py
+++ b/brookhinge/purgelog/progress.py
@@ -44,9 +44,11 @@
     """Keeps the reports of all machines for one source. proof_s: how long a router may use copies on a proof."""
 
     def __init__(self, replication, names, proof_s, now):
-        self.replication, self.names = replication, names
+        self.replication = replication
+        self.names = names
         self.settle_s = proof_s + MARGIN_S
-        self.known, self.retired = {}, set()
+        self.known = {}
+        self.retired = set()
         self.started_at = now
 
     def receive(self, now, report, direct):
@@ -97,7 +99,8 @@
             return Progress(Outcome.LOST, [])
         if self.replication.accepted() < position:
             return Progress(Outcome.PENDING, [(self.names[self.replication.machine], Why.NOT_ACCEPTED)])
-        pending, excused = [], []
+        pending = []
+        excused = []
         for machine, name in enumerate(self.names):
             self.look(now, machine, name, position, pending, excused)
         if pending:
@@ -105,7 +108,8 @@
         return Progress(Outcome.IN_FORCE_EXCEPT if excused else Outcome.IN_FORCE, excused)
 
     def look(self, now, machine, name, position, pending, excused):
-        known, source = self.known.get(machine), self.replication.machine
+        known = self.known.get(machine)
+        source = self.replication.machine
         lost_floors = known.report.lost_floors if known is not None else []
         if lost_floors and not self.at_least(lost_floors, source, position):
             excused += [(router, Why.LEASE_ENDED) for router in known.report.lost or [name]]
--- a/brookhinge/purgelog/replication.py
+++ b/brookhinge/purgelog/replication.py
@@ -54,10 +54,14 @@
     """What one machine knows of another."""
 
     def __init__(self, machines, boot=0, retired=()):
-        self.boot, self.number, self.heard_at = boot, 0, -math.inf
+        self.boot = boot
+        self.number = 0
+        self.heard_at = -math.inf
         self.recovered = False
-        self.echoed_number, self.echoed_at = 0, -math.inf
-        self.positions, self.promises = [START] * machines, [0] * machines
+        self.echoed_number = 0
+        self.echoed_at = -math.inf
+        self.positions = [START] * machines
+        self.promises = [0] * machines
         self.silence_s = [0.0] * machines
         self.behind_since = [None] * machines
         self.retired = frozenset(retired)  # process ids that stood here before
@@ -69,15 +73,21 @@
 
 class Replication:
     def __init__(self, machine, machines, boot, now):
-        self.machine, self.machines, self.boot = machine, machines, boot
+        self.machine = machine
+        self.machines = machines
+        self.boot = boot
         self.majority = machines // 2 + 1
         self.others = machines - self.majority + 1  # so many others share a machine with every majority
-        self.recovered_at, self.begun_at = None, None
+        self.recovered_at = None
+        self.begun_at = None
         self.logs = [SourceLog(source) for source in range(machines)]
         self.promises = [0] * machines
         self.peers = {m: PeerState(machines) for m in range(machines) if m != machine}
-        self.epoch, self.opening = 0, None  # of the own log; 0: none is open
-        self.number, self.sent_at = 0, {}
+        # of the own log; 0: none is open
+        self.epoch = 0
+        self.opening = None
+        self.number = 0
+        self.sent_at = {}
         self.started_at = now
 
     # sending
@@ -124,13 +134,15 @@
             peer = self.peers[sync.machine] = peer.succeeded_by(sender)
         if sync.number <= peer.number:
             return False
-        peer.number, peer.heard_at = sync.number, now
+        peer.number = sync.number
+        peer.heard_at = now
         peer.recovered = sync.recovered
         peer.positions = unflatten(sync.positions)
         peer.promises = list(sync.promises)
         peer.silence_s = [ms / 1000.0 for ms in sync.silence_ms]
         if sync.echo in self.sent_at and sync.echo > peer.echoed_number:
-            peer.echoed_number, peer.echoed_at = sync.echo, self.sent_at[sync.echo]
+            peer.echoed_number = sync.echo
+            peer.echoed_at = self.sent_at[sync.echo]
         self.promises = [max(pair) for pair in zip(self.promises, sync.promises)]
         return True
 
@@ -153,7 +165,8 @@
             over = message.epochs[batch.source] < self.promises[batch.source]
             if over and (batch.source != self.machine or self.epoch):
                 continue
-            log, after = self.logs[batch.source], batch.after
+            log = self.logs[batch.source]
+            after = batch.after
             if not batch.entries:
                 if after > log.head and self.plausible(log, after):
                     log.restart(after)
@@ -198,7 +211,8 @@
         fresh = [m for m in self.fresh(now) if self.peers[m].recovered]
         if not self.recovered() or len(fresh) + 1 < self.majority:
             return None
-        heads, boots = self.positions(), [0] * self.machines
+        heads = self.positions()
+        boots = [0] * self.machines
         boots[self.machine] = self.boot
         for m in fresh:
             heads = merged(heads, self.peers[m].positions)
@@ -233,7 +247,8 @@
         log = self.logs[self.machine]
         if len(promised) < self.others or any(peer.positions[self.machine] > log.head for peer in promised):
             return
-        self.epoch, self.opening = epoch, None
+        self.epoch = epoch
+        self.opening = None
         self.submit(Entry(Kind.OPENED, "", epoch, 0))
 
     def submit(self, entry):
--- a/brookhinge/purgelog/server.py
+++ b/brookhinge/purgelog/server.py
@@ -26,7 +26,9 @@
         self.node = self.channel = self.following = None
         self.figures = None  # the server of its figures
         self.intake = Intake(name, sorted(controls))
-        self.started_at, self.serving, self.epoch = time.time(), False, 0
+        self.started_at = time.time()
+        self.serving = False
+        self.epoch = 0
 
     async def start(self):
         """Binds and begins to serve; (host, port)."""
--- a/brookhinge/purgelog/submit.py
+++ b/brookhinge/purgelog/submit.py
@@ -21,7 +21,9 @@
 
     def __init__(self, block):
         self.codec = Codec(block.site, block.key, 1 + secrets.randbits(31))
-        self.answers, self.number, self.transport = asyncio.Queue(), 0, None
+        self.answers = asyncio.Queue()
+        self.number = 0
+        self.transport = None
 
     def datagram_received(self, data, address):
         received = self.codec.read(data)
--- a/brookhinge/purgelog/subscriber.py
+++ b/brookhinge/purgelog/subscriber.py
@@ -29,7 +29,10 @@
 from brookhinge.purgelog.roundtrip import smoothed
 
 POLL_S = 0.3  # after the sending of what was echoed last the machine is asked for a newer proof
-FIRST_ANSWER_S, SHORTEST_ANSWER_S, LONGEST_ANSWER_S = 0.4, 0.25, 0.5  # for an answer; after that a retry
+# for an answer; after that a retry
+FIRST_ANSWER_S = 0.4
+SHORTEST_ANSWER_S = 0.25
+LONGEST_ANSWER_S = 0.5
 CHANGES_REMEMBERED_S = 10.0  # each change of machine within so long doubles the wait for an answer,
 LONGEST_WAIT_S = 1.5  # up to this: machines that are all late are not to be changed all the time
 RETURN_S = 20.0  # between two tries of the preferred machine, on the mean
@@ -71,16 +74,29 @@
     is reached, or None for where its datagrams come from."""
 
     def __init__(self, name, machines, proof_s, chance, now, region="", reached=None):
-        self.name, self.machines, self.proof_s, self.chance = name, machines, proof_s, chance
+        self.name = name
+        self.machines = machines
+        self.proof_s = proof_s
+        self.chance = chance
         self.reached = reached or ("", 0)
         self.order = preference(name, region, machines)
-        self.choice, self.previous, self.session, self.number = 0, -1, 1, 0
-        self.positions, self.boots = None, [0] * len(machines)
-        self.sent_at, self.answered, self.echoed_at, self.rtt_s = {}, 0, -math.inf, None
+        self.choice = 0
+        self.previous = -1
+        self.session = 1
+        self.number = 0
+        self.positions = None
+        self.boots = [0] * len(machines)
+        self.sent_at = {}
+        self.answered = 0
+        self.echoed_at = -math.inf
+        self.rtt_s = None
         self.pending = []  # (proven moment, heads, boots): proofs whose entries have not all come
-        self.proven_at, self.stale = -math.inf, True
+        self.proven_at = -math.inf
+        self.stale = True
         self.backfill = None
-        self.subscribed, self.asked_at, self.tries = False, None, 0
+        self.subscribed = False
+        self.asked_at = None
+        self.tries = 0
         self.changed_at = []  # when it changed its machine lately, for want of an answer
         self.due_at, self.return_at = now + 0.05 * chance.random(), now + self.pause()
         self.refused = dict.fromkeys(Refused, 0)
@@ -134,9 +150,12 @@
         """The machine read at is there."""
         if self.asked_at is not None and self.sent_at.get(echo) == self.asked_at:
             self.rtt_s = smoothed(self.rtt_s, now - self.asked_at)
-        self.subscribed, self.asked_at, self.tries = True, None, 0
+        self.subscribed = True
+        self.asked_at = None
+        self.tries = 0
         if echo > self.answered and echo in self.sent_at:
-            self.answered, self.echoed_at = echo, self.sent_at[echo]
+            self.answered = echo
+            self.echoed_at = self.sent_at[echo]
 
     def answer_s(self):
         """How long an answer is waited for."""
@@ -171,7 +190,8 @@
 
     def append(self, batch, writer):
         """Applies what is new of a batch. Entries behind a gap are applied too: they only tighten; the position stays."""
-        held, after = self.positions[batch.source], batch.after
+        held = self.positions[batch.source]
+        after = batch.after
         if batch.epoch < held.epoch:
             self.refused[Refused.OLD_EPOCH] += 1
             return
@@ -307,13 +327,16 @@
             self.change_machine(now, (self.choice + 1) % len(self.order), writer)
 
     def change_machine(self, now, choice, writer):
-        self.previous, self.choice, self.session = self.machine(), choice, self.session + 1
+        self.previous = self.machine()
+        self.choice = choice
+        self.session = self.session + 1
         self.return_at = now + self.pause()
         self.changes_of_machine += 1
         self.subscribe(now, writer)
 
     def subscribe(self, now, writer):
-        self.subscribed, self.tries = False, 0
+        self.subscribed = False
+        self.tries = 0
         positions = [] if self.positions is None else flatten(self.positions)
         number = self.stamp(now)
         self.asked_at = now
