--- a/brookhinge/cli/control.py
+++ b/brookhinge/cli/control.py
@@ -49,7 +49,7 @@
 def purge(file, name, key, group, wait):
     """Purges an object or a group, and waits until that is in force at every router, or names who is missing."""
     from brookhinge.purgelog.progress import Outcome
-    from brookhinge.purgelog.submit import NotAppended, submit
+    from brookhinge.purgelog.submit import NotAppendedError, submit
 
     if (key is None) == (group is None):
         refuse("expected either --object or --group")
@@ -58,7 +58,7 @@
     _, block = block_of(file, "control", name)
     try:
         took, status = asyncio.run(submit(block, key or "", -1 if key else group, wait))
-    except NotAppended as fault:
+    except NotAppendedError as fault:
         refuse(f"{block.name}: {fault}", 1)
     for missing, why in status.missing:
         click.echo(f"{missing}: {why}")
--- a/brookhinge/purgelog/__init__.py
+++ b/brookhinge/purgelog/__init__.py
@@ -1,4 +1,6 @@
-"""A replicated purge log: purges reach every router of a fleet from a few control machines, and their source knows it.
+"""A replicated purge log.
+
+Purges reach every router of a fleet from a few control machines, and their source knows it.
 
     positions.py     (epoch, index) of an entry in the log of one source; vectors of them
     messages.py      the datagrams, typed
@@ -15,4 +17,6 @@
     copies.py        the decisions where a router must prove that it is up to date to use its own copies
     endpoint.py      UDP on an asyncio loop; client.py and server.py join the cores to it
 
-The cores have no I/O, no clock and no chance of their own. Design, proofs and sources: docs/design/purgelog.md."""
+The cores have no I/O, no clock and no chance of their own. Design, proofs and sources:
+docs/design/purgelog.md.
+"""
--- a/brookhinge/purgelog/batching.py
+++ b/brookhinge/purgelog/batching.py
@@ -1,17 +1,21 @@
 """Batches cut to the size of datagrams."""
 
-from brookhinge.purgelog.messages import Batch
+from brookhinge.purgelog.messages import Batch, Entry
 
 ENTRY_BYTES = 24  # of an entry beside its text, and of a batch beside its entries, at most
 BATCH_BYTES = 40
 
 
-def entry_bytes(entry):
+def entry_bytes(entry: Entry) -> int:
+    """Return an upper bound of an entry's encoded size in bytes."""
     return ENTRY_BYTES + 4 * len(entry.text) if not entry.text.isascii() else ENTRY_BYTES + len(entry.text)
 
 
-def split(batches, room):
-    """Lists of batches in order, each at most `room` bytes when encoded; an entry longer than that goes by itself."""
+def split(batches: list[Batch], room: int) -> list[list[Batch]]:
+    """Divide batches into datagrams of at most `room` encoded bytes, in order.
+
+    An entry longer than that goes by itself.
+    """
     datagrams = []
     current = []
     left = room
--- a/brookhinge/purgelog/client.py
+++ b/brookhinge/purgelog/client.py
@@ -1,19 +1,29 @@
-"""The router's end of the purge log: joins a Subscriber to UDP, and hands entries and rules to the reducer."""
+"""The router's end of the purge log: joins a Subscriber to UDP and to the router's engine."""
+
+from __future__ import annotations
 
 import math
 import random
 import secrets
+from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from brookhinge.clock import steady
 from brookhinge.purgelog.control import Machine
 from brookhinge.purgelog.endpoint import Endpoint
 from brookhinge.purgelog.subscriber import CopyRule, Subscriber
 
+if TYPE_CHECKING:
+    from brookhinge.operator.schema import Control, Fleet
+    from brookhinge.purgelog.backfill import PurgeSet
+    from brookhinge.purgelog.interfaces import Address, LogFunction
+    from brookhinge.purgelog.messages import Entry, Message
+
 PROCESS_BITS = 31  # five bytes in a datagram
 
 
-def machines_of(controls):
-    """The control machines that an operator's file names, in the order in which every process numbers them."""
+def machines_of(controls: dict[str, Control]) -> list[Machine]:
+    """Return the control machines of an operator's file, as every process numbers them."""
     return [
         Machine(name, block.advertise or block.listen, block.region, block.serves)
         for name, block in sorted(controls.items())
@@ -21,10 +31,19 @@
 
 
 class LogClient(Endpoint):
-    """block: `fleet` of the operator's file; controls: its blocks `control` by name; event(method, values) takes `logged`
-    (kind, text, number, stamp_ms) and `copy_rule` (CopyRule, PurgeSet or None); log(event, **values)."""
-
-    def __init__(self, block, controls, event, log):
+    """A router's reader of the purge log."""
+
+    def __init__(
+        self, block: Fleet, controls: dict[str, Control], event: Callable[..., None], log: LogFunction
+    ):
+        """Prepare a client.
+
+        Args:
+            block: the block `fleet` of the operator's file.
+            controls: its blocks `control` by name.
+            event: takes what the log says for the router's next round.
+            log: called as log(event, **values).
+        """
         super().__init__(block.site, block.key, 1 + secrets.randbits(PROCESS_BITS), log)
         self.block, self.event, self.machines = block, event, machines_of(controls)
         self.proof_s = min(control.proof_s for control in controls.values())
@@ -32,8 +51,8 @@
         self.subscriber = None
         self.machine = None
 
-    async def start(self):
-        """Binds and begins to read; (host, port)."""
+    async def start(self) -> Address:
+        """Bind the socket and begin to read; return its address."""
         address = await self.open(self.block.log_listen or (self.block.listen[0], 0))
         chance = random.Random(self.process)
         self.subscriber = Subscriber(
@@ -45,40 +64,45 @@
             self.block.region,
             self.block.log_advertise,
         )
-        self.log("purge log", change="listening", address="%s:%d" % address)
+        self.log("purge log", change="listening", address=f"{address[0]}:{address[1]}")
         self.turn()
         return address
 
-    def receive(self, now, sender, address, message):
+    def receive(self, now: float, sender: int, address: Address, message: Message) -> None:
+        """Hand a message to the subscriber."""
         self.subscriber.receive(now, message, self)
 
-    def tick(self, now):
+    def tick(self, now: float) -> None:
+        """Let the subscriber do what is due, and log a change of machine."""
         self.subscriber.tick(now, self)
         if self.subscriber.subscribed and self.machine != self.subscriber.machine():
             self.machine = self.subscriber.machine()
             self.log("purge log", change="reads at", machine=self.machines[self.machine].name)
 
-    def next_at(self, now):
+    def next_at(self, now: float) -> float:
+        """Return when a tick is due."""
         return self.subscriber.next_at()
 
-    def replaces_notices(self):
-        """Whether peers need not be told of the command channel's purges: all read them in the log, proven complete."""
+    def replaces_notices(self) -> bool:
+        """Whether peers need not be notified of purges: all read them in the log, proven complete."""
         if self.block.purge_notices or not self.fed or self.subscriber is None:
             return False
         return not self.subscriber.stale
 
-    def stop(self):
-        """Tells the control machine that this router ends, and closes."""
+    def stop(self) -> None:
+        """Tell the control machine that this router ends, and close."""
         if self.subscriber is not None:
             self.subscriber.leave(self)
         self.close()
 
     # the subscriber's writer, beside send
 
-    def entry(self, entry):
+    def entry(self, entry: Entry) -> None:
+        """Post a new entry to the engine."""
         self.event("logged", (entry.kind, entry.text, entry.number, entry.stamp_ms))
 
-    def copies(self, rule, purges):
+    def copies(self, rule: CopyRule, purges: PurgeSet | None) -> None:
+        """Post a rule for the router's own copies to the engine."""
         self.event("copy_rule", (rule, purges))
         first = self.subscriber.proven_at == -math.inf
         if not (first and rule is CopyRule.RESET):
@@ -86,7 +110,7 @@
 
     # before a round of the decisions
 
-    def before(self):
-        """A proof that has ended ends before the decisions that would use it."""
+    def before(self) -> None:
+        """End an expired proof before the round that would use it."""
         if self.subscriber is not None and not self.closed():
             self.subscriber.end_proof(steady(), self)
--- a/brookhinge/purgelog/log.py
+++ b/brookhinge/purgelog/log.py
@@ -1,12 +1,14 @@
-"""The bounded log of one source as a control machine holds it: recent entries in full, older ones as fingerprints.
-No I/O, no clock."""
+"""The bounded log of one source as a control machine holds it. No I/O, no clock.
+
+Recent entries are held in full, older ones as fingerprints.
+"""
 
 import collections
 from typing import NamedTuple
 
 import xxhash
 
-from brookhinge.purgelog.messages import Batch, Kind
+from brookhinge.purgelog.messages import Batch, Entry, Kind
 from brookhinge.purgelog.positions import START, Position
 
 RECENT = 4096  # entries held in full
@@ -30,16 +32,18 @@
     after: Position
 
 
-def object_fingerprint(key):
+def object_fingerprint(key: str) -> int:
+    """Return the 32-bit fingerprint of an object's key."""
     return xxhash.xxh32_intdigest(b"o" + key.encode())
 
 
-def group_fingerprint(group):
+def group_fingerprint(group: int) -> int:
+    """Return the 32-bit fingerprint of a group."""
     return xxhash.xxh32_intdigest(b"g%d" % group)
 
 
-def fingerprint(entry):
-    """Four bytes that stand for what an entry purges; b"" for an entry that purges nothing."""
+def fingerprint(entry: Entry) -> bytes:
+    """Return four bytes that stand for what an entry purges; none for an entry that purges nothing."""
     if entry.kind != Kind.PURGE:
         return b""
     value = object_fingerprint(entry.text) if entry.text else group_fingerprint(entry.number)
@@ -47,10 +51,16 @@
 
 
 class SourceLog:
-    """origin: nothing is held of what came before; base: what came before is not held in full; head: the last position.
-    Indexes are contiguous; `chain` tells which epoch each belongs to."""
+    """The log of one source. Indexes are contiguous.
+
+    Attributes:
+        origin: nothing is held of what came before.
+        base: what came before is not held in full.
+        head: the last position.
+        chain: which epoch each index belongs to.
+    """
 
-    def __init__(self, source, recent=RECENT, segments=SEGMENTS):
+    def __init__(self, source: int, recent: int = RECENT, segments: int = SEGMENTS):
         self.source = source
         self.limit = recent
         self.segments = segments
@@ -58,8 +68,8 @@
         self.digests = collections.deque()
         self.restart(START)
 
-    def restart(self, position):
-        """Goes on from a position; no history is held from here on."""
+    def restart(self, position: Position) -> None:
+        """Go on from a position without any history."""
         self.origin = self.base = self.head = position
         self.chain = [EpochStart(position.epoch, position)]
         self.entries.clear()
@@ -67,9 +77,12 @@
         self.gathering = []
         self.gathered_after = position
 
-    def append(self, batch):
-        """Takes what is new of a batch; those entries. None: the batch does not follow on what is held, or its epoch is
-        over. Entries of an older epoch that the new one does not follow on are dropped: no majority held them."""
+    def append(self, batch: Batch) -> list[Entry] | None:
+        """Take what is new of a batch and return those entries.
+
+        None if the batch does not follow on what is held, or its epoch is over. Entries of an older epoch
+        that the new one does not follow on are dropped: no majority held them.
+        """
         after = batch.after
         if batch.epoch < self.head.epoch:
             return None
@@ -90,29 +103,31 @@
         self.trim()
         return new
 
-    def begin_epoch(self, epoch, after):
-        """What stands behind `after` goes: the new epoch does not contain it."""
+    def begin_epoch(self, epoch: int, after: Position) -> None:
+        """Drop what stands behind `after`: the new epoch does not contain it."""
         for _ in range(self.head.index - after.index):
             self.entries.pop()
         self.chain = [start for start in self.chain if start.after.index < after.index] or self.chain[:1]
         self.chain.append(EpochStart(epoch, after))
         self.head = after
 
-    def on_chain(self, position):
-        """The last position of this log that whoever stands at `position` surely holds; None: not known."""
+    def on_chain(self, position: Position) -> Position | None:
+        """Return the last position that whoever stands at `position` surely holds, or None if unknown."""
         for k, start in enumerate(self.chain):
             if start.epoch == position.epoch and position.index >= start.after.index:
                 return Position(position.epoch, min(position.index, self.end_of(k)))
         return None
 
-    def end_of(self, k):
+    def end_of(self, k: int) -> int:
+        """Return the last index of the k-th epoch held."""
         return self.chain[k + 1].after.index if k + 1 < len(self.chain) else self.head.index
 
-    def epoch_of(self, index):
+    def epoch_of(self, index: int) -> int:
+        """Return the epoch of an index."""
         return next(start.epoch for start in reversed(self.chain) if start.after.index < index)
 
-    def trim(self):
-        """What is no longer held in full goes on as fingerprints, and what is too old for that is forgotten."""
+    def trim(self) -> None:
+        """Turn entries beyond the limit into fingerprints, and forget fingerprints beyond theirs."""
         while len(self.entries) > self.limit:
             index = self.base.index + 1
             self.base = Position(self.epoch_of(index), index)
@@ -127,8 +142,8 @@
                 self.chain.pop(0)
             self.chain[0] = EpochStart(self.origin.epoch, self.origin)
 
-    def since(self, position, most=SEGMENT):
-        """Batches that lead on from a position, `most` entries in all; None where they are not held."""
+    def since(self, position: Position, most: int = SEGMENT) -> list[Batch] | None:
+        """Return batches of up to `most` entries that follow on a position; None where they are not held."""
         if position == self.head:
             return []
         known = self.on_chain(position)
@@ -150,12 +165,13 @@
                 break
         return batches
 
-    def entries_between(self, after, end):
+    def entries_between(self, after: int, end: int) -> list[Entry]:
+        """Return the entries after one index through another."""
         first = after - self.base.index
         return [self.entries[k] for k in range(first, end - self.base.index)]
 
-    def digest_after(self, position):
-        """A Digest that leads on from a position, or None: not held, or nothing follows."""
+    def digest_after(self, position: Position) -> Digest | None:
+        """Return fingerprints that follow on a position; None if not held or nothing follows."""
         known = self.on_chain(position)
         if known is None or known == self.head:
             return None
@@ -168,7 +184,8 @@
             return Digest(self.gathered_after, self.base, b"".join(self.gathering))
         return None
 
-    def digest_of_recent(self, position, known):
+    def digest_of_recent(self, position: Position, known: Position) -> Digest:
+        """Return fingerprints of entries held in full."""
         end = min(self.head.index, known.index + SEGMENT)
         prints = b"".join(fingerprint(entry) for entry in self.entries_between(known.index, end))
         return Digest(position, Position(self.epoch_of(end), end), prints)
--- a/brookhinge/purgelog/messages.py
+++ b/brookhinge/purgelog/messages.py
@@ -1,5 +1,8 @@
-"""The messages between routers and control machines, and among control machines. Vectors of positions are flat lists
-of integers (`positions.flatten`); machines and sources are numbered by their place in the settings."""
+"""The messages between routers and control machines, and among control machines.
+
+Vectors of positions are flat lists of integers (`positions.flatten`); machines and sources are numbered by
+their place in the settings.
+"""
 
 import enum
 
@@ -27,8 +30,10 @@
 
 
 class Batch(msgspec.Struct, array_like=True, frozen=True):
-    """Entries of one source and epoch that follow on a position. Without entries: the position to start from, sent where
-    what came before is no longer held."""
+    """Entries of one source and epoch that follow on a position.
+
+    Without entries it is the position to start from, sent where what came before is no longer held.
+    """
 
     source: int
     epoch: int
@@ -37,12 +42,12 @@
     entries: list[Entry]
 
     @property
-    def after(self):
+    def after(self) -> Position:
         """The position that the entries follow on."""
         return Position(self.after_epoch, self.after_index)
 
     @property
-    def end(self):
+    def end(self) -> Position:
         """The position of the last entry; without entries it has none."""
         return Position(self.epoch, self.after_index + len(self.entries))
 
@@ -76,8 +81,10 @@
 
 
 class Push(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """New entries, and the proof of what there is: `heads` were all that a majority held `age_ms` before the message that
-    is echoed was received, or later."""
+    """New entries, and the proof of what there is.
+
+    `heads` were all that a majority held `age_ms` before the echoed message was received, or later.
+    """
 
     session: int  # the router's, as it subscribed
     echo: int  # number of the router's last message, 0: none
--- a/brookhinge/purgelog/metrics.py
+++ b/brookhinge/purgelog/metrics.py
@@ -1,28 +1,44 @@
-"""Figures of the purge log for Prometheus, of a router and of a control machine. They are read from the thread that serves
-them: whole lists are copied, nothing is changed."""
+"""Prometheus metrics of the purge log, of a router and of a control machine.
 
-from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
+They are read from the thread that serves them: whole lists are copied, nothing is changed.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Mapping
+from typing import TYPE_CHECKING
+
+from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 
 from brookhinge.clock import steady
 
+if TYPE_CHECKING:
+    from brookhinge.purgelog.client import LogClient
+    from brookhinge.purgelog.endpoint import Endpoint
+    from brookhinge.purgelog.server import ControlServer
+    from brookhinge.purgelog.subscriber import Subscriber
+
 
-def gauge(name, text, value):
+def gauge(name: str, text: str, value: float) -> GaugeMetricFamily:
+    """Return a gauge of the purge log."""
     return GaugeMetricFamily(f"brookhinge_purgelog_{name}", text, value)
 
 
-def counters(name, text, label, counts):
+def counters(name: str, text: str, label: str, counts: Mapping[str, int]) -> CounterMetricFamily:
+    """Return a counter with one label, from counts by that label."""
     family = CounterMetricFamily(f"brookhinge_purgelog_{name}", text, labels=[label])
     for kind, count in list(counts.items()):
         family.add_metric([kind], count)
     return family
 
 
-def datagrams(endpoint):
+def datagrams(endpoint: Endpoint) -> CounterMetricFamily:
+    """Return the counter of an endpoint's datagrams."""
     return counters("datagrams", "sent, received, or why one was dropped", "kind", endpoint.codec.counts)
 
 
-def router_figures(client):
-    """Metric families of a router's LogClient."""
+def router_figures(client: LogClient) -> Iterator[Metric]:
+    """Yield the metrics of a router's client; none before it has started."""
     subscriber = client.subscriber
     if subscriber is None:
         return
@@ -41,21 +57,24 @@
     yield counters("entries", "applied", "what", {"entries": subscriber.entries})
 
 
-def proof_age(subscriber):
+def proof_age(subscriber: Subscriber) -> float:
+    """Return the age of a router's proof in seconds, bounded for a router without one."""
     return min(1e9, subscriber.proof_age(steady()))
 
 
-def backfilling(subscriber):
+def backfilling(subscriber: Subscriber) -> int:
+    """Return 1 while a backfill runs."""
     return int(subscriber.backfill is not None)
 
 
 class ControlFigures:
-    """Collector of a ControlServer."""
+    """Collector of a control machine's metrics."""
 
-    def __init__(self, server):
+    def __init__(self, server: ControlServer):
         self.server = server
 
-    def collect(self):
+    def collect(self) -> Iterator[Metric]:
+        """Yield the metrics."""
         node = self.server.node
         replication = node.replication
         distributor = node.distributor
@@ -67,7 +86,7 @@
         heads = GaugeMetricFamily(
             "brookhinge_purgelog_head", "last entry held of each source", labels=["source"]
         )
-        for machine, log in zip(node.machines, list(replication.logs)):
+        for machine, log in zip(node.machines, list(replication.logs), strict=False):
             heads.add_metric([machine.name], log.head.index)
         yield heads
         yield datagrams(self.server)
--- a/brookhinge/purgelog/replication.py
+++ b/brookhinge/purgelog/replication.py
@@ -1,25 +1,31 @@
 """Quorum reads, epochs and replication among the control machines. No I/O, no clock, no chance.
 
-Every machine is the one writer of its own log and holds those of all others. An entry is accepted once a majority holds
-it. A read that a majority answered after it was asked has seen every entry accepted before it was asked: two majorities
-share a machine. A source opens an epoch at a majority before it appends; a majority takes nothing of an older epoch then,
-so a process that was frozen or cut off meanwhile can have nothing accepted (Lamport 1998; Ongaro and Ousterhout 2014).
+Every machine is the one writer of its own log and holds those of all others. An entry is accepted once a
+majority holds it. A read that a majority answered after it was asked has seen every entry accepted before it
+was asked: two majorities share a machine. A source opens an epoch at a majority before it appends; a majority
+takes nothing of an older epoch then, so a process that was frozen or cut off meanwhile can have nothing
+accepted (Lamport 1998; Ongaro and Ousterhout 2014).
 
-Nothing is kept on disk. A machine that starts counts in no majority until it has recovered: until it holds what so many
-others hold that each majority it may have been part of shares one with them (Liskov and Cowling 2012). Where a majority
-has started anew there is nothing to recover from: they begin, and the routers, who see their process ids change, drop
-what they held (`subscriber.py`)."""
+Nothing is kept on disk. A machine that starts counts in no majority until it has recovered: until it holds
+what so many others hold that each majority it may have been part of shares one with them (Liskov and Cowling
+2012). Where a majority has started anew there is nothing to recover from: they begin, and the routers, who
+see their process ids change, drop what they held (`subscriber.py`).
+"""
+
+from __future__ import annotations
 
 import math
+from collections.abc import Iterable
 from typing import NamedTuple
 
 from brookhinge.purgelog.batching import split
 from brookhinge.purgelog.log import SourceLog
-from brookhinge.purgelog.messages import Append, Batch, Entry, Kind
+from brookhinge.purgelog.messages import Append, Batch, Entry, Kind, Sync
 from brookhinge.purgelog.positions import (
     FAR_AHEAD,
     MOST_INDEX,
     START,
+    Position,
     covers,
     merged,
     sound_vector,
@@ -39,8 +45,8 @@
     """What a majority held at least at some moment: no entry accepted before it stands behind `heads`."""
 
     at: float  # that moment, by the clock of this machine
-    heads: list
-    boots: list  # process ids of the machines that answered; 0 for the others
+    heads: list[Position]
+    boots: list[int]  # process ids of the machines that answered; 0 for the others
 
 
 class Opening(NamedTuple):
@@ -53,7 +59,7 @@
 class PeerState:
     """What one machine knows of another."""
 
-    def __init__(self, machines, boot=0, retired=()):
+    def __init__(self, machines: int, boot: int = 0, retired: Iterable[int] = ()):
         self.boot = boot
         self.number = 0
         self.heard_at = -math.inf
@@ -66,13 +72,15 @@
         self.behind_since = [None] * machines
         self.retired = frozenset(retired)  # process ids that stood here before
 
-    def succeeded_by(self, boot):
+    def succeeded_by(self, boot: int) -> PeerState:
         """What is known once another process answers under this machine's name."""
         return PeerState(len(self.positions), boot, self.retired | {self.boot})
 
 
 class Replication:
-    def __init__(self, machine, machines, boot, now):
+    """The state of replication at one control machine."""
+
+    def __init__(self, machine: int, machines: int, boot: int, now: float):
         self.machine = machine
         self.machines = machines
         self.boot = boot
@@ -92,22 +100,23 @@
 
     # sending
 
-    def next_number(self, now):
+    def next_number(self, now: float) -> int:
         """The number of the next sync; its sending time is remembered for the echo."""
         self.number += 1
         self.sent_at[self.number] = now
         self.sent_at.pop(self.number - NUMBERS_KEPT, None)
         return self.number
 
-    def positions(self):
+    def positions(self) -> list[Position]:
+        """Return the last position held of each source."""
         return [log.head for log in self.logs]
 
-    def silence_ms(self, now):
+    def silence_ms(self, now: float) -> list[int]:
         """For each machine the milliseconds since it was heard, at most since this process started."""
         heard = [now if m == self.machine else self.peers[m].heard_at for m in range(self.machines)]
         return [round(1000 * (now - max(self.started_at, at))) for at in heard]
 
-    def appends(self, now, peer):
+    def appends(self, now: float, peer: PeerState) -> list[Append]:
         """Append messages with what a peer lacks, as far as this machine is to send it."""
         batches = []
         for source, log in enumerate(self.logs):
@@ -125,7 +134,7 @@
 
     # receiving
 
-    def receive_sync(self, now, sender, sync):
+    def receive_sync(self, now: float, sender: int, sync: Sync) -> bool:
         """Takes a sync from another machine; whether it was the newest of a process that still counts."""
         peer = self.peers.get(sync.machine)
         if peer is None or sender in peer.retired or not self.sound(sync):
@@ -143,19 +152,23 @@
         if sync.echo in self.sent_at and sync.echo > peer.echoed_number:
             peer.echoed_number = sync.echo
             peer.echoed_at = self.sent_at[sync.echo]
-        self.promises = [max(pair) for pair in zip(self.promises, sync.promises)]
+        self.promises = [max(pair) for pair in zip(self.promises, sync.promises, strict=False)]
         return True
 
-    def sound(self, sync):
+    def sound(self, sync: Sync) -> bool:
+        """Whether a sync's lists have the right lengths and signs."""
         return (
             len(sync.promises) == len(sync.silence_ms) == self.machines
             and sound_vector(sync.positions, self.machines)
             and min(*sync.promises, *sync.silence_ms) >= 0
         )
 
-    def receive_append(self, message):
-        """Takes entries from another machine; those that are new here. What belongs to an epoch that
-        was promised to be over is refused, but by its source while that has no epoch: the next one is to follow on it."""
+    def receive_append(self, message: Append) -> list[Entry]:
+        """Take entries from another machine and return those that are new.
+
+        What belongs to an epoch that was promised to be over is refused, but not by its source while that has
+        no epoch: the next one is to follow on it.
+        """
         new = []
         if len(message.epochs) != self.machines:
             return new
@@ -175,17 +188,17 @@
         return new
 
     @staticmethod
-    def plausible(log, position):
+    def plausible(log: SourceLog, position: Position) -> bool:
         """A log that holds something is not led on to a position far ahead of it."""
         return position.index < (log.head.index + FAR_AHEAD if log.head != START else MOST_INDEX)
 
     # recovery and quorum reads
 
-    def fresh(self, now):
+    def fresh(self, now: float) -> list[int]:
         """Numbers of the machines that have answered lately."""
         return [m for m, peer in self.peers.items() if now - peer.echoed_at < FRESH_S]
 
-    def recover(self, now):
+    def recover(self, now: float) -> None:
         """Looks whether this machine may count in a majority now."""
         if self.recovered_at is not None:
             return
@@ -200,13 +213,15 @@
         elif len(fresh) - len(recovered) + 1 >= self.majority and self.holds_all_of(fresh):
             self.begun_at = now
 
-    def holds_all_of(self, machines):
+    def holds_all_of(self, machines: Iterable[int]) -> bool:
+        """Whether this machine holds all that these hold."""
         return all(covers(self.positions(), self.peers[m].positions) for m in machines)
 
-    def recovered(self):
+    def recovered(self) -> bool:
+        """Whether this machine counts in majorities."""
         return self.recovered_at is not None
 
-    def quorum(self, now):
+    def quorum(self, now: float) -> Quorum | None:
         """The newest Quorum, or None while no majority answers."""
         fresh = [m for m in self.fresh(now) if self.peers[m].recovered]
         if not self.recovered() or len(fresh) + 1 < self.majority:
@@ -221,9 +236,11 @@
 
     # the own log
 
-    def open_epoch(self, now):
-        """Opens an epoch of the own log, once so many others have promised to take nothing older that no majority is left
-        for a process that had this machine's name before."""
+    def open_epoch(self, now: float) -> None:
+        """Open an epoch of the own log once enough others promise to take nothing older.
+
+        Enough: no majority is left for a process that had this machine's name before.
+        """
         if self.epoch and self.promises[self.machine] <= self.epoch:
             return
         self.epoch = 0
@@ -236,7 +253,7 @@
             return
         self.finish_opening()
 
-    def finish_opening(self):
+    def finish_opening(self) -> None:
         """The epoch follows on all that those who promised hold; its first entry tells everybody so."""
         epoch, number = self.opening
         promised = [
@@ -251,7 +268,7 @@
         self.opening = None
         self.submit(Entry(Kind.OPENED, "", epoch, 0))
 
-    def submit(self, entry):
+    def submit(self, entry: Entry) -> Position | None:
         """Appends to the own log; the entry's position, or None while no epoch is open."""
         if not self.epoch or self.promises[self.machine] > self.epoch:
             return None
@@ -259,7 +276,7 @@
         log.append(Batch(self.machine, self.epoch, *log.head, [entry]))
         return log.head
 
-    def accepted(self):
+    def accepted(self) -> Position:
         """The last position of the own log that a majority holds."""
         peers = [peer for peer in self.peers.values() if peer.recovered]
         held = [peer.positions[self.machine] for peer in peers] + [START] * self.majority
--- a/brookhinge/purgelog/server.py
+++ b/brookhinge/purgelog/server.py
@@ -1,8 +1,11 @@
-"""A control machine as a process: joins a ControlNode to UDP, and a command channel to its log where there is one."""
+"""A control machine as a process: joins a ControlNode to UDP and to a command channel."""
+
+from __future__ import annotations
 
 import asyncio
 import secrets
 import time
+from typing import TYPE_CHECKING
 
 from brookhinge.clock import steady
 from brookhinge.net.channel import Channel
@@ -10,15 +13,19 @@
 from brookhinge.purgelog.control import ControlNode
 from brookhinge.purgelog.endpoint import Endpoint
 from brookhinge.purgelog.intake import Intake
-from brookhinge.purgelog.messages import Entry, Kind
+from brookhinge.purgelog.messages import Entry, Kind, Message
+
+if TYPE_CHECKING:
+    from brookhinge.operator.schema import Control
+    from brookhinge.purgelog.interfaces import Address, LogFunction
 
 RETRY_S = 0.1  # for an entry that could not be appended while no majority answered
 
 
 class ControlServer(Endpoint):
-    """name: of this machine among `controls`, the blocks `control` of the operator's file by name."""
+    """One control machine, by its name among the blocks `control` of the operator's file."""
 
-    def __init__(self, name, controls, log):
+    def __init__(self, name: str, controls: dict[str, Control], log: LogFunction):
         block = controls[name]
         super().__init__(block.site, block.key, 1 + secrets.randbits(PROCESS_BITS), log)
         self.block, self.machines = block, machines_of(controls)
@@ -30,7 +37,7 @@
         self.serving = False
         self.epoch = 0
 
-    async def start(self):
+    async def start(self) -> Address:
         """Binds and begins to serve; (host, port)."""
         address = await self.open(self.block.listen)
         self.node = ControlNode(self.number, self.machines, self.process, self.block.proof_s, steady())
@@ -42,12 +49,15 @@
             from brookhinge.purgelog.metrics import ControlFigures
 
             self.figures, _ = publish(ControlFigures(self), self.block.metrics)
-        self.log("purge log", change="listening", address="%s:%d" % address)
+        self.log("purge log", change="listening", address=f"{address[0]}:{address[1]}")
         self.turn()
         return address
 
-    def told(self, method, values):
-        """An event of the command channel; what stood there before this process started is not appended again."""
+    def told(self, method: str, values: tuple) -> None:
+        """Take an event of the command channel.
+
+        What stood there before this process started is not appended again.
+        """
         if method != "purged":
             return
         _, group, moment, key = values
@@ -55,17 +65,19 @@
         self.intake.receive(steady(), entry)
         self.turn()
 
-    def receive(self, now, sender, address, message):
+    def receive(self, now: float, sender: int, address: Address, message: Message) -> None:
+        """Hand a message to the node."""
         self.node.receive(now, sender, address, message, self)
 
-    def tick(self, now):
+    def tick(self, now: float) -> None:
+        """Let the node do what is due, and append purges of the channel."""
         self.node.tick(now, self)
         for entry in self.intake.due(now, self.node.has):
             if self.node.submit(now, entry, self) is None:
                 self.intake.waiting[entry] = now + RETRY_S
         self.say()
 
-    def say(self):
+    def say(self) -> None:
         """Logs when this machine begins to serve, and each epoch of its log."""
         epoch = self.node.replication.epoch
         if self.node.serving and not self.serving:
@@ -75,10 +87,12 @@
             self.epoch = epoch
             self.log("purge log", change="epoch opened" if epoch else "epoch over", epoch=epoch)
 
-    def next_at(self, now):
+    def next_at(self, now: float) -> float:
+        """Return when a tick is due."""
         return min(self.node.next_at(now), self.intake.next_at(now))
 
-    def stop(self):
+    def stop(self) -> None:
+        """Stop following the channel and close."""
         if self.following is not None:
             self.following.cancel()
             self.channel.close()
--- a/brookhinge/purgelog/submit.py
+++ b/brookhinge/purgelog/submit.py
@@ -1,41 +1,55 @@
 """Asks a control machine over UDP to append a purge, and how far it has got."""
 
+from __future__ import annotations
+
 import asyncio
 import secrets
 import time
+from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from brookhinge.purgelog.codec import Codec
 from brookhinge.purgelog.messages import Entry, Kind, Status, StatusRequest, Submit
 from brookhinge.purgelog.progress import Outcome
 
+if TYPE_CHECKING:
+    from brookhinge.operator.schema import Control
+    from brookhinge.purgelog.interfaces import Address
+
 ANSWER_S = 0.5
 POLL_S = 0.05
 
 
-class NotAppended(Exception):
+class NotAppendedError(Exception):
     """The control machine did not answer, or has no majority."""
 
 
 class Asker(asyncio.DatagramProtocol):
     """One question at a time, asked again until it is answered."""
 
-    def __init__(self, block):
+    def __init__(self, block: Control):
         self.codec = Codec(block.site, block.key, 1 + secrets.randbits(31))
         self.answers = asyncio.Queue()
         self.number = 0
         self.transport = None
 
-    def datagram_received(self, data, address):
+    def datagram_received(self, data: bytes, address: Address) -> None:
+        """Queue a status."""
         received = self.codec.read(data)
         if received is not None and isinstance(received[1], Status):
             self.answers.put_nowait(received[1])
 
-    def error_received(self, fault):
+    def error_received(self, fault: Exception) -> None:
         """Nobody listens there: silence says the same."""
 
-    async def ask(self, question, until):
-        """The Status that answers question(number); NotAppended when none comes in time. A question that is asked again
-        has the same number, and a purge appended twice does no harm."""
+    async def ask(self, question: Callable[[int], Submit | StatusRequest], until: float) -> Status:
+        """Return the Status that answers question(number).
+
+        A question that is asked again has the same number, and a purge that is appended twice does no harm.
+
+        Raises:
+            NotAppendedError: no answer came in time.
+        """
         self.number += 1
         while time.monotonic() < until:
             self.transport.sendto(self.codec.write(question(self.number)))
@@ -46,18 +60,27 @@
                         return status
             except TimeoutError:
                 continue
-        raise NotAppended("no answer: not up, another key, or another site")
+        raise NotAppendedError("no answer: not up, another key, or another site")
 
-    async def ask_or(self, status, question, until):
+    async def ask_or(
+        self, status: Status, question: Callable[[int], Submit | StatusRequest], until: float
+    ) -> Status:
         """The answer, or the status known so far when none comes in time."""
         try:
             return await self.ask(question, until)
-        except NotAppended:
+        except NotAppendedError:
             return status
 
 
-async def submit(block, key, group, wait_s):
-    """Appends a purge at the control machine of that block; (seconds, last Status) once it is in force or the time over."""
+async def submit(block: Control, key: str, group: int, wait_s: float) -> tuple[float, Status]:
+    """Append a purge and wait until it is in force or `wait_s` is over.
+
+    Returns:
+        Seconds taken and the last Status.
+
+    Raises:
+        NotAppendedError: the control machine did not answer or has no majority.
+    """
     began = time.monotonic()
     until = began + wait_s
     asker = Asker(block)
@@ -69,7 +92,7 @@
     try:
         status = await asker.ask(lambda number: Submit(number, entry), until)
         if not status.epoch:
-            raise NotAppended("it has no majority of the control machines")
+            raise NotAppendedError("it has no majority of the control machines")
         position = status.epoch, status.index
         while status.outcome == Outcome.PENDING and time.monotonic() < until:
             await asyncio.sleep(POLL_S)
--- a/brookhinge/purgelog/subscriber.py
+++ b/brookhinge/purgelog/subscriber.py
@@ -1,26 +1,45 @@
-"""One router as a reader of the purge log: what it has applied, until when that is proven to be all, and where it reads.
-No I/O, no clock.
+"""One router as a reader of the purge log. No I/O, no clock.
+
+It keeps what it has applied, until when that is proven to be all, and where it reads.
 
     subscriber.receive(now, message, writer)
     subscriber.tick(now, writer)                at subscriber.next_at() at the latest
-    writer.send(address, message)
-    writer.entry(entry)                         a new entry: to be applied at once
-    writer.copies(rule, fingerprints)           what follows for copies that this router holds itself, a CopyRule
 
-Proof: a push echoes the number of a message that this router sent at a moment t, and names heads that were all there was
-`age` before the machine received it, or later. Once the router has applied everything up to these heads, it has applied
-every entry accepted before t - age, by its own clock alone (leases after Gray and Cheriton, SOSP 1989). A copy is used
-for `proof_s` after that moment. A purge that it has not applied by then was accepted later."""
+Proof: a push echoes the number of a message that this router sent at a moment t, and names heads that were
+all there was `age` before the machine received it, or later. Once the router has applied everything up to
+these heads, it has applied every entry accepted before t - age, by its own clock alone (leases after Gray and
+Cheriton, SOSP 1989). A copy is used for `proof_s` after that moment. A purge that it has not applied by then
+was accepted later.
+"""
+
+from __future__ import annotations
 
 import enum
 import math
+import random
+from collections.abc import Sequence
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 import xxhash
 
-from brookhinge.purgelog.backfill import Backfill
-from brookhinge.purgelog.messages import Horizon, Kind, Leave, Poll, Push, Segment, Subscribe, Unknown
+from brookhinge.purgelog.backfill import Backfill, PurgeSet
+from brookhinge.purgelog.interfaces import Address, MessageWriter
+from brookhinge.purgelog.messages import (
+    Batch,
+    Entry,
+    Horizon,
+    Kind,
+    Leave,
+    Message,
+    Poll,
+    Push,
+    Segment,
+    Subscribe,
+    Unknown,
+)
 from brookhinge.purgelog.positions import (
     FAR_AHEAD,
+    Position,
     covers,
     flatten,
     sound_vector,
@@ -28,6 +47,9 @@
 )
 from brookhinge.purgelog.roundtrip import smoothed
 
+if TYPE_CHECKING:
+    from brookhinge.purgelog.control import Machine
+
 POLL_S = 0.3  # after the sending of what was echoed last the machine is asked for a newer proof
 # for an answer; after that a retry
 FIRST_ANSWER_S = 0.4
@@ -39,6 +61,29 @@
 NUMBERS_KEPT = 64  # messages whose sending time is remembered
 
 
+class Proof(NamedTuple):
+    """That all entries accepted before `moment` stand at or before `heads`.
+
+    Attributes:
+        moment: seconds of this router's own clock.
+        boots: process ids of the control machines that answered, 0 for the others.
+    """
+
+    moment: float
+    heads: list[Position]
+    boots: list[int]
+
+
+class SubscriberOutput(MessageWriter, Protocol):
+    """Carries out what the subscriber decides."""
+
+    def entry(self, entry: Entry) -> None:
+        """Apply a new entry at once."""
+
+    def copies(self, rule: CopyRule, purges: PurgeSet | None) -> None:
+        """Follow a rule for the router's own copies; `purges` comes with READMIT."""
+
+
 class CopyRule(enum.Enum):
     """What the router may do with copies of answers that it holds itself."""
 
@@ -50,7 +95,7 @@
     RESET = "those made up to now are dropped"
 
 
-class Refused(enum.Enum):
+class RefusalReason(enum.Enum):
     """Why a message was dropped, as counted in `refused`."""
 
     UNSOUND = "unsound"
@@ -58,10 +103,10 @@
     OLD_EPOCH = "old epoch"
 
 
-def preference(name, region, machines):
-    """Numbers of the control machines as a router prefers them: those of its region first, else spread by hash."""
+def preference(name: str, region: str, machines: Sequence[Machine]) -> list[int]:
+    """Return the control machines as a router prefers them: its region's first, the rest by hash."""
 
-    def rank(number):
+    def rank(number: int) -> tuple[bool, int]:
         machine = machines[number]
         near = region in (machine.region, *machine.serves)
         return not near, xxhash.xxh64_intdigest(f"{name} {machine.name}".encode())
@@ -70,10 +115,29 @@
 
 
 class Subscriber:
-    """machines: the control machines (control.Machine), in the settings' order; reached: (host, port) at which this router
-    is reached, or None for where its datagrams come from."""
-
-    def __init__(self, name, machines, proof_s, chance, now, region="", reached=None):
+    """The state of one router as a reader."""
+
+    def __init__(
+        self,
+        name: str,
+        machines: Sequence[Machine],
+        proof_s: float,
+        chance: random.Random,
+        now: float,
+        region: str = "",
+        reached: Address | None = None,
+    ):
+        """Start without positions.
+
+        Args:
+            name: the router's.
+            machines: the control machines, in the settings' order.
+            proof_s: how long own copies are used on one proof.
+            chance: seeded, for the spread of polls.
+            now: seconds of the caller's steady clock.
+            region: whose machines are preferred.
+            reached: address at which this router is reached, or None for where its datagrams come from.
+        """
         self.name = name
         self.machines = machines
         self.proof_s = proof_s
@@ -84,38 +148,40 @@
         self.previous = -1
         self.session = 1
         self.number = 0
-        self.positions = None
+        self.positions: list[Position] | None = None
         self.boots = [0] * len(machines)
-        self.sent_at = {}
+        self.sent_at: dict[int, float] = {}
         self.answered = 0
         self.echoed_at = -math.inf
-        self.rtt_s = None
-        self.pending = []  # (proven moment, heads, boots): proofs whose entries have not all come
+        self.rtt_s: float | None = None
+        self.pending: list[Proof] = []  # whose entries have not all come
         self.proven_at = -math.inf
         self.stale = True
-        self.backfill = None
+        self.backfill: Backfill | None = None
         self.subscribed = False
-        self.asked_at = None
+        self.asked_at: float | None = None
         self.tries = 0
-        self.changed_at = []  # when it changed its machine lately, for want of an answer
+        self.changed_at: list[float] = []  # when it changed its machine lately, for want of an answer
         self.due_at, self.return_at = now + 0.05 * chance.random(), now + self.pause()
-        self.refused = dict.fromkeys(Refused, 0)
+        self.refused = dict.fromkeys(RefusalReason, 0)
         self.changes_of_machine = self.restarts = self.entries = 0
 
-    def pause(self):
+    def pause(self) -> float:
+        """Draw a wait before the preferred machine is tried again."""
         return RETURN_S * (0.5 + self.chance.random())
 
-    def machine(self):
+    def machine(self) -> int:
         """The number of the control machine that this router reads at."""
         return self.order[self.choice]
 
-    def proof_age(self, now):
+    def proof_age(self, now: float) -> float:
         """Seconds since the last proven moment."""
         return now - self.proven_at
 
     # messages
 
-    def receive(self, now, message, writer):
+    def receive(self, now: float, message: Message, writer: SubscriberOutput) -> None:
+        """Take a message of a control machine."""
         match message:
             case Push():
                 self.receive_push(now, message, writer)
@@ -125,9 +191,10 @@
                 self.backfill.receive(now, message)
                 self.end_backfill(now, writer)
 
-    def receive_push(self, now, push, writer):
+    def receive_push(self, now: float, push: Push, writer: SubscriberOutput) -> None:
+        """Take a push: apply its entries and keep its proof."""
         if not self.sound(push):
-            self.refused[Refused.UNSOUND] += 1
+            self.refused[RefusalReason.UNSOUND] += 1
             return
         proof = self.proof_of(now, push)
         if push.session == self.session:
@@ -137,16 +204,16 @@
             self.restart(now, proof, writer)
         if self.positions is None:
             return
-        gaps = self.refused[Refused.GAP]
+        gaps = self.refused[RefusalReason.GAP]
         for batch in push.batches:
             self.append(batch, writer)
         if proof is not None:
             self.pending.append(proof)
         self.prove(now, writer)
         if push.batches or push.restart:
-            self.poll(now, False, writer, gap=self.refused[Refused.GAP] > gaps)
+            self.poll(now, False, writer, gap=self.refused[RefusalReason.GAP] > gaps)
 
-    def answer_came(self, now, echo):
+    def answer_came(self, now: float, echo: int) -> None:
         """The machine read at is there."""
         if self.asked_at is not None and self.sent_at.get(echo) == self.asked_at:
             self.rtt_s = smoothed(self.rtt_s, now - self.asked_at)
@@ -157,14 +224,14 @@
             self.answered = echo
             self.echoed_at = self.sent_at[echo]
 
-    def answer_s(self):
+    def answer_s(self) -> float:
         """How long an answer is waited for."""
         usual = FIRST_ANSWER_S
         if self.rtt_s is not None:
             usual = min(LONGEST_ANSWER_S, max(SHORTEST_ANSWER_S, 1.5 * self.rtt_s + 0.05))
         return min(LONGEST_WAIT_S, usual * 2 ** max(0, len(self.changed_at) - 1))
 
-    def sound(self, push):
+    def sound(self, push: Push) -> bool:
         """Whether lengths and numbers of a push can be right."""
         machines = len(self.machines)
         if push.age_ms >= 0 and not (len(push.boots) == machines and sound_vector(push.heads, machines)):
@@ -173,27 +240,36 @@
             return False
         return self.positions is None or self.plausible(push)
 
-    def plausible(self, push):
+    def plausible(self, push: Push) -> bool:
         """Whether nothing in a push runs far ahead of what this router holds."""
-        ahead = [after.index - held.index for after, held in zip(unflatten(push.heads), self.positions)]
+        ahead = [
+            after.index - held.index
+            for after, held in zip(unflatten(push.heads), self.positions, strict=False)
+        ]
         ahead += [batch.after_index - self.positions[batch.source].index for batch in push.batches]
         newer = [batch.epoch - self.positions[batch.source].epoch for batch in push.batches]
-        newer += [after.epoch - held.epoch for after, held in zip(unflatten(push.heads), self.positions)]
+        newer += [
+            after.epoch - held.epoch
+            for after, held in zip(unflatten(push.heads), self.positions, strict=False)
+        ]
         return max([0, *ahead, *newer]) < FAR_AHEAD
 
-    def proof_of(self, now, push):
-        """(proven moment, heads, boots) of a push, or None where it proves nothing."""
+    def proof_of(self, now: float, push: Push) -> Proof | None:
+        """Return the proof in a push, or None where it proves nothing."""
         asked_at = self.sent_at.get(push.echo)
         if asked_at is None or push.age_ms < 0:
             return None
-        return asked_at - push.age_ms / 1000.0, unflatten(push.heads), push.boots
+        return Proof(asked_at - push.age_ms / 1000.0, unflatten(push.heads), push.boots)
+
+    def append(self, batch: Batch, writer: SubscriberOutput) -> None:
+        """Apply what is new of a batch.
 
-    def append(self, batch, writer):
-        """Applies what is new of a batch. Entries behind a gap are applied too: they only tighten; the position stays."""
+        Entries behind a gap are applied too, since they only tighten; the position stays.
+        """
         held = self.positions[batch.source]
         after = batch.after
         if batch.epoch < held.epoch:
-            self.refused[Refused.OLD_EPOCH] += 1
+            self.refused[RefusalReason.OLD_EPOCH] += 1
             return
         same = batch.epoch == held.epoch
         follows = after.index <= held.index and (same or after.epoch == held.epoch)
@@ -203,44 +279,50 @@
                 self.entries += 1
                 writer.entry(entry)
         if not follows:
-            self.refused[Refused.GAP] += 1
+            self.refused[RefusalReason.GAP] += 1
         elif entries:
             self.positions[batch.source] = batch.end
 
     # proof
 
-    def prove(self, now, writer):
+    def prove(self, now: float, writer: SubscriberOutput) -> None:
         """Takes the newest proof whose entries have all been applied."""
-        held = [proof for proof in self.pending if covers(self.positions, proof[1])]
+        held = [proof for proof in self.pending if covers(self.positions, proof.heads)]
         if not held:
             del self.pending[:-NUMBERS_KEPT]
             return
-        moment, _, boots = max(held, key=lambda proof: proof[0])
-        self.pending = [proof for proof in self.pending if proof[0] > moment and proof not in held]
+        moment, _, boots = max(held, key=lambda proof: proof.moment)
+        self.pending = [proof for proof in self.pending if proof.moment > moment and proof not in held]
         if moment <= self.proven_at:
             return
         if self.proven_at > -math.inf and not self.continuous(boots):
             self.forget(writer)
-        self.boots = [boot or known for boot, known in zip(boots, self.boots)]
+        self.boots = [boot or known for boot, known in zip(boots, self.boots, strict=False)]
         self.proven_at = moment
         if self.stale and self.proof_age(now) < self.proof_s:
             self.stale = False
             writer.copies(CopyRule.PROVEN, None)
 
-    def continuous(self, boots):
-        """Whether every entry accepted since the last proof stands behind this one too: a majority of the machines has run
-        since then and answered now, and any majority that accepted one shares a machine with it."""
-        same = sum(boot != 0 and boot == known for boot, known in zip(boots, self.boots))
+    def continuous(self, boots: list[int]) -> bool:
+        """Whether every entry accepted since the last proof stands behind this one too.
+
+        So it is if a majority of the machines has run since then and answered now: any majority that accepted
+        one shares a machine with it.
+        """
+        same = sum(boot != 0 and boot == known for boot, known in zip(boots, self.boots, strict=False))
         return same > len(self.machines) // 2
 
-    def forget(self, writer):
-        """Entries may be gone for good with the machines that held them: so go all copies made up to now."""
+    def forget(self, writer: SubscriberOutput) -> None:
+        """Drop all copies made up to now: entries may be gone for good with the machines that held them."""
         self.backfill = None
         writer.copies(CopyRule.RESET, None)
 
-    def restart(self, now, proof, writer):
-        """Goes on from the heads. What was made before is set aside until it is known which of it was purged."""
-        moment, heads, boots = proof
+    def restart(self, now: float, proof: Proof, writer: SubscriberOutput) -> None:
+        """Go on from the heads.
+
+        What was made before is set aside until it is known which of it was purged.
+        """
+        heads = proof.heads
         if self.positions is None:  # what was kept since the start may have been purged before the heads
             self.positions = heads
             writer.copies(CopyRule.RESET, None)
@@ -250,16 +332,17 @@
         self.restarts += 1
         missed = [
             (source, held, head)
-            for source, (held, head) in enumerate(zip(self.positions, heads))
+            for source, (held, head) in enumerate(zip(self.positions, heads, strict=False))
             if head > held
         ]
-        self.positions = [max(pair) for pair in zip(self.positions, heads)]
+        self.positions = [max(pair) for pair in zip(self.positions, heads, strict=False)]
         writer.copies(CopyRule.ASIDE, None)
         if self.backfill is None:
             self.backfill = Backfill(self.order, self.choice, now)
         self.backfill.extend(missed)
 
-    def end_backfill(self, now, writer):
+    def end_backfill(self, now: float, writer: SubscriberOutput) -> None:
+        """Follow the end of a backfill, if it has come to one."""
         if self.backfill.lost:
             writer.copies(CopyRule.DROP, None)
         elif self.backfill.done():
@@ -270,13 +353,14 @@
 
     # time
 
-    def end_proof(self, now, writer):
+    def end_proof(self, now: float, writer: SubscriberOutput) -> None:
         """Ends the use of copies once the proof is too old."""
         if not self.stale and self.proof_age(now) >= self.proof_s:
             self.stale = True
             writer.copies(CopyRule.STALE, None)
 
-    def tick(self, now, writer):
+    def tick(self, now: float, writer: SubscriberOutput) -> None:
+        """Do what is due by time."""
         self.end_proof(now, writer)
         if now < self.due_at:
             return
@@ -291,13 +375,15 @@
             self.request_backfill(now, writer)
         self.plan(now)
 
-    def request_backfill(self, now, writer):
+    def request_backfill(self, now: float, writer: SubscriberOutput) -> None:
+        """Send the backfill request that is due."""
         machine, request = self.backfill.tick(now)
         if request is not None:
             writer.send(self.machines[machine].address, request)
         self.end_backfill(now, writer)
 
-    def plan(self, now):
+    def plan(self, now: float) -> None:
+        """Set when the next tick is due."""
         asked = self.asked_at is not None
         times = [self.asked_at + self.answer_s() if asked else self.echoed_at + POLL_S]
         if not self.stale:
@@ -306,17 +392,18 @@
             times.append(self.backfill.due_at)
         self.due_at = max(now + 0.001, min(times))
 
-    def next_at(self):
+    def next_at(self) -> float:
+        """Return when a tick is due."""
         return self.due_at
 
-    def ask(self, now, writer):
+    def ask(self, now: float, writer: SubscriberOutput) -> None:
         """For the first time, or where the newest proof has become old."""
         if not self.subscribed:
             self.subscribe(now, writer)
         elif now - self.echoed_at >= POLL_S:
             self.poll(now, True, writer)
 
-    def unanswered(self, now, writer):
+    def unanswered(self, now: float, writer: SubscriberOutput) -> None:
         """Asks once more, then another machine."""
         self.tries += 1
         if self.tries == 1 and self.subscribed:
@@ -326,15 +413,17 @@
                 self.changed_at.append(now)
             self.change_machine(now, (self.choice + 1) % len(self.order), writer)
 
-    def change_machine(self, now, choice, writer):
+    def change_machine(self, now: float, choice: int, writer: SubscriberOutput) -> None:
+        """Read at another machine."""
         self.previous = self.machine()
         self.choice = choice
-        self.session = self.session + 1
+        self.session += 1
         self.return_at = now + self.pause()
         self.changes_of_machine += 1
         self.subscribe(now, writer)
 
-    def subscribe(self, now, writer):
+    def subscribe(self, now: float, writer: SubscriberOutput) -> None:
+        """Ask the chosen machine to be read at."""
         self.subscribed = False
         self.tries = 0
         positions = [] if self.positions is None else flatten(self.positions)
@@ -344,21 +433,22 @@
         writer.send(self.machines[self.machine()].address, message)
         self.plan(now)
 
-    def poll(self, now, answer, writer, gap=False):
+    def poll(self, now: float, answer: bool, writer: SubscriberOutput, gap: bool = False) -> None:
+        """Acknowledge positions and ask for what follows; with `answer` an answer is expected at once."""
         positions = [] if self.positions is None else flatten(self.positions)
         number = self.stamp(now)
         if answer:
             self.asked_at = now
         writer.send(self.machines[self.machine()].address, Poll(self.session, number, answer, gap, positions))
 
-    def stamp(self, now):
+    def stamp(self, now: float) -> int:
         """The number of the next message; its sending time is remembered for the echo."""
         self.number += 1
         self.sent_at[self.number] = now
         self.sent_at.pop(self.number - NUMBERS_KEPT, None)
         return self.number
 
-    def leave(self, writer):
+    def leave(self, writer: SubscriberOutput) -> None:
         """This router ends as planned: nobody waits for it."""
         for _ in range(2):  # a datagram may get lost
             writer.send(self.machines[self.machine()].address, Leave(self.session))
--- a/tests/purgelog/test_codec.py
+++ b/tests/purgelog/test_codec.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brookhinge.purgelog.codec import CHECKSUM, MOST_BYTES, Codec, TooLong
+from brookhinge.purgelog.codec import CHECKSUM, MOST_BYTES, Codec, TooLongError
 from brookhinge.purgelog.messages import Append, Batch, Entry, Kind, Poll, Push, Subscribe
-from brookhinge.purgelog.subscriber import CopyRule, Refused
+from brookhinge.purgelog.subscriber import CopyRule, RefusalReason
 from brookhinge.standin.lognet import LogNet
 
 KEY, OTHER = b"k" * 16, b"o" * 16
@@ -69,7 +69,7 @@
 
 def test_what_is_too_long_is_not_sent():
     writer, _ = pair()
-    with pytest.raises(TooLong):
+    with pytest.raises(TooLongError):
         writer.write(Append(0, [], [Batch(0, 1, 0, 0, [ENTRY] * MOST_BYTES)]))
 
 
@@ -110,7 +110,7 @@
         Push(router.core.session, 0, 0, [1], [1], False, []),
     ):
         router.core.receive(router.clock(), push, router)
-    assert router.core.refused[Refused.UNSOUND] == 6
+    assert router.core.refused[RefusalReason.UNSOUND] == 6
     assert state(net) == before and ENTRY not in router.applied
 
 
--- a/tests/purgelog/test_model.py
+++ b/tests/purgelog/test_model.py
@@ -191,7 +191,7 @@
 
     def proof_of(self, now, push):
         proof = whole(self, now, push)
-        return proof and (now, *proof[1:])
+        return proof and proof._replace(moment=now)
 
     monkeypatch.setattr(Subscriber, "proof_of", proof_of)
     world = copy.deepcopy(settled)
--- a/tests/purgelog/test_rig.py
+++ b/tests/purgelog/test_rig.py
@@ -5,7 +5,7 @@
 
 from brookhinge.operator import read_file
 from brookhinge.purgelog.progress import Outcome
-from brookhinge.purgelog.submit import NotAppended, submit
+from brookhinge.purgelog.submit import NotAppendedError, submit
 from brookhinge.standin.origin import body_of, group_of
 from brookhinge.standin.rig import OFF, Rig
 
@@ -33,7 +33,7 @@
     while True:
         try:
             return (await submit(block, key, -1, wait_s))[1]
-        except NotAppended:  # it has just started: no majority has answered it yet
+        except NotAppendedError:  # it has just started: no majority has answered it yet
             assert time.monotonic() < end
             await asyncio.sleep(0.1)
 
