--- a/brookhinge/startup.py
+++ b/brookhinge/startup.py
@@ -17,6 +17,7 @@
     SlowStart,
 )
 from brookhinge.engine.commands import read_commands
+from brookhinge.engine.events import CommandSkipped
 
 NS = 1e-9
 EFFECTS = {
@@ -269,9 +270,9 @@
     top = Table(Table.checked("BALANCER_CONFIG", values, *TABLE))
     settings, limits, known = top.table("settings"), top.table("limits", {}), top.table("known")
     known.take("cursor", WHOLE), known.take("cmds", ROWS)
-    for i, (method, told) in enumerate(read_commands(known.values, 0.0)[1]):
-        if method == "skipped":
-            raise StartError(f"known.cmds[{i}]: expected a command, cannot read {told[1]}")
+    for i, command in enumerate(read_commands(known.values, 0.0)[1]):
+        if isinstance(command, CommandSkipped):
+            raise StartError(f"known.cmds[{i}]: expected a command, cannot read {command.reason}")
     seed = top.take("seed", TEXT)
     try:
         seed = int(seed, 16)
