--- a/brookhinge/net/front.py
+++ b/brookhinge/net/front.py
@@ -7,14 +7,14 @@
 
 from tornado.iostream import StreamClosedError
 
-from brookhinge import rules
+from brookhinge.decisions import rules
+from brookhinge.decisions.rules import CloseReason, HeldBack
 from brookhinge.engine.invariants import Invariant
 from brookhinge.net import client_protocol, stream, thrift
 from brookhinge.net.listener import Listener
 from brookhinge.net.receive_times import ReceiveTimes
 from brookhinge.net.request_validation import validate_request
 from brookhinge.net.stream import Stream
-from brookhinge.rules import CloseReason, HeldBack
 
 PIECE = 64 * 1024
 FRAME_S = 2.2  # from the connect to the first query, and from a frame's first byte to its last
