--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -112,7 +112,9 @@
             has_open_work=self._has_open_work,
             fail_open_requests=lambda: self.post("closing", ()),
             client_connections=self.client_connections,
-            longest_deadline_s=max(track.patience_s for track in site.decisions["tracks"]),
+            longest_deadline_s=max(
+                request_class.timeout_s for request_class in site.decisions["request_classes"]
+            ),
         )
         self._join_effects()
         self.fleet_link = None
@@ -125,22 +127,22 @@
 
     def _build_reducer(self, fleet: Fleet | None) -> Reducer:
         decisions = self.site.decisions
-        tracks = decisions["tracks"]
+        request_classes = decisions["request_classes"]
         scores = lineage = returns = None
         if self._scores_interval_s:
             from brookhinge.engine.scores import Scores
 
-            scores = Scores(tracks, decisions["supply"].flow_kb_s)
+            scores = Scores(request_classes, decisions["fill_policy"].transfer_kb_s)
         if self.site.storm:
             from brookhinge.storm.lineage import Lineage
             from brookhinge.storm.plan import Returns
 
             lineage = Lineage()
-            returns = Returns(decisions["allowed"].max_retry_after_s)
+            returns = Returns(decisions["limits"].max_retry_after_s)
         router = router_class(fleet)(self.site.seed, machine=self.site.bounds, returns=returns, **decisions)
         return Reducer(
             router,
-            [track.name.encode() for track in tracks],
+            [request_class.name.encode() for request_class in request_classes],
             self.site.zones,
             lineage,
             safety_notices(self.start) if fleet is not None else None,
@@ -160,7 +162,10 @@
             lambda: self.phases.well,
             self.has_open_requests,
             self.watch,
-            {track.name.encode(): track.patience_s for track in self.site.decisions["tracks"]},
+            {
+                request_class.name.encode(): request_class.timeout_s
+                for request_class in self.site.decisions["request_classes"]
+            },
             sockets,
             self.site.bounds.memory_mb * 1024 * 1024 // CLIENT_MEMORY_SHARE,
             self.gate,
