--- a/brookhinge/__main__.py
+++ b/brookhinge/__main__.py
@@ -1,11 +1,14 @@
-"""Without arguments the platform's router, one on sockets, configured by BALANCER_CONFIG; with arguments the command
-line. Each imports nothing of the other: the platform gives a router little memory."""
+"""The entry of both programs: the platform's router without arguments, the command line with some.
+
+Each imports nothing of the other: the platform gives a router little memory.
+"""
 
 import signal
 import sys
 
 
-def main():
+def main() -> int | None:
+    """Run the program that the arguments ask for and return its exit code."""
     if len(sys.argv) > 1:
         from brookhinge.cli import main as command_line
 
--- a/brookhinge/clock.py
+++ b/brookhinge/clock.py
@@ -3,6 +3,8 @@
 import time
 
 
-def steady():
-    """Seconds of a clock that also goes on while the machine sleeps, where there is one."""
-    return time.clock_gettime(time.CLOCK_BOOTTIME) if hasattr(time, "CLOCK_BOOTTIME") else time.monotonic()
+def steady() -> float:
+    """Return seconds of a clock that goes on while the machine sleeps, where there is one."""
+    if hasattr(time, "CLOCK_BOOTTIME"):
+        return time.clock_gettime(time.CLOCK_BOOTTIME)
+    return time.monotonic()
--- /dev/null
+++ b/brookhinge/decision_settings.py
@@ -0,0 +1,190 @@
+"""The settings of an instance, mapped to those of the decisions.
+
+This module is the only one that knows the names of the settings; both programs read them here.
+"""
+
+from __future__ import annotations
+
+import math
+from typing import NamedTuple
+
+from brookhinge.decisions.settings import (
+    DeduplicationScope,
+    FillPolicy,
+    Idempotency,
+    Location,
+    NoteDetail,
+    RequestClass,
+    RouterLimits,
+    SiblingFills,
+    SlowStart,
+)
+from brookhinge.settings_reader import (
+    FLAG,
+    INTEGER,
+    NANOSECOND_S,
+    NUMBER,
+    SHOWN_CHARACTERS,
+    TEXT,
+    SettingsReader,
+    StartError,
+)
+
+IDEMPOTENCY_WORDS = {
+    "retryable": Idempotency.REPEATABLE,
+    "dedup": Idempotency.KEYED,
+    "fragile": Idempotency.ONCE,
+}
+SCOPE_WORDS = {scope.value: scope for scope in DeduplicationScope}
+SIBLING_WORDS = {
+    "silent": SiblingFills.NONE,
+    "": SiblingFills.NONE,
+    **{fills.value: fills for fills in SiblingFills},
+}
+NOTE_WORDS = {
+    "silent": NoteDetail.NONE,
+    "": NoteDetail.NONE,
+    **{detail.value: detail for detail in NoteDetail},
+}
+WEIGHT_WORDS = ("nominal", "rough", "live")  # of sources whose weights say something
+REPORT_COLUMNS = {"cpu": "util", "active": "inflight", "waiting": "queue"}  # others keep their names
+NO_MACHINE_TYPE = -1
+
+
+class DecisionSettings(NamedTuple):
+    """The settings of `brookhinge.decide.Router`, by the names of its arguments. Times are seconds."""
+
+    request_classes: list[RequestClass]
+    location: Location
+    limits: RouterLimits
+    fill_policy: FillPolicy
+    cache_slow_start: SlowStart
+    parent_slow_start: SlowStart
+    purge_settled_s: float
+    server_kinds: tuple[str, str]  # of parents and of the origin
+    reports: list[str]  # columns of a load report, as servers name them
+
+
+def read_decision_settings(settings: SettingsReader) -> DecisionSettings:
+    """Read the settings of an instance.
+
+    Raises:
+        StartError: A value cannot be used.
+    """
+    rules = settings.get_object("Rules", {})
+    limits = settings.get_object("Limits", {})
+    specifics = settings.get_object("Specifics", {})
+    report = settings.get_object("Report", {})
+    zones = settings.get_texts("Zones")
+    machine_types = settings.get_texts("MachineTypes")
+    zone = _read_zone(settings, zones)
+    request_classes = _read_request_classes(settings, specifics)
+    routers = settings.get_in_range("Instances", 1, math.inf, 1, form=INTEGER)
+    max_retry_after_s = 0.0
+    if limits.get("RetryAfter", FLAG, False):
+        max_retry_after_s = limits.get_duration_s("MaxRetryAfterNs", 0)
+    cache_slow_start, parent_slow_start = _read_slow_starts(rules, specifics)
+    return DecisionSettings(
+        request_classes=request_classes,
+        location=Location(
+            zone=zone,
+            routers_here=max(1, specifics.get_element("ZoneBalancers", zone, INTEGER, routers)),
+            routers=routers,
+            number=settings.get("MyNumber", INTEGER, 0),
+            weights_known=settings.get("WeightSource", TEXT, "silent") in WEIGHT_WORDS,
+        ),
+        limits=RouterLimits(
+            max_attempts=limits.get_in_range("MaxAttempts", 1, math.inf, 1, form=INTEGER),
+            probes=limits.get_flag("Probes"),
+            cancel=limits.get_flag("Cancel"),
+            max_retry_after_s=max_retry_after_s,
+        ),
+        fill_policy=FillPolicy(
+            siblings=specifics.get_word("PeersFill", SIBLING_WORDS, "none"),
+            allows_direct=specifics.get_flag("Straight"),
+            joins_fills=specifics.get_flag("SharesFills"),
+            notes=specifics.get_word("Says", NOTE_WORDS, "none"),
+            transfer_kb_s=specifics.get("OneFlowKbPerS", NUMBER, 0.0),
+            uplink_kb_s=specifics.get_element("InletKbPerS", zone, NUMBER, 0.0),
+        ),
+        cache_slow_start=cache_slow_start,
+        parent_slow_start=parent_slow_start,
+        purge_settled_s=specifics.get_duration_s("GoneEverywhereNs", 0),
+        server_kinds=(
+            _read_machine_type(specifics, "UpperKind", machine_types),
+            _read_machine_type(specifics, "MasterKind", machine_types),
+        ),
+        reports=[REPORT_COLUMNS.get(column, column) for column in report.get_texts("Columns")],
+    )
+
+
+def _read_zone(settings: SettingsReader, zones: list[str]) -> int:
+    """Return the index of the zone where this router stands; the first where it is not told."""
+    name = settings.get("Az", TEXT, "")
+    if name and name not in zones:
+        raise StartError(f"{settings.path_of('Az')}: expected one of Zones, got {name!r:.{SHOWN_CHARACTERS}}")
+    return zones.index(name) if name else 0
+
+
+def _read_request_classes(settings: SettingsReader, specifics: SettingsReader) -> list[RequestClass]:
+    request_classes = [
+        _read_request_class(values, specifics, index)
+        for index, values in enumerate(settings.get_objects("Classes"))
+    ]
+    names: set[str] = set()
+    for index, request_class in enumerate(request_classes):
+        if request_class.name in names:
+            raise StartError(
+                f"{settings.path_of('Classes')}[{index}].Name: expected another name, "
+                f"{request_class.name!r:.{SHOWN_CHARACTERS}} stands there twice"
+            )
+        names.add(request_class.name)
+    return request_classes
+
+
+def _read_request_class(values: SettingsReader, specifics: SettingsReader, index: int) -> RequestClass:
+    """Read a request class; some of its values stand in lists of `Specifics`, in the order of classes."""
+    return RequestClass(
+        name=values.get("Name", TEXT),
+        idempotency=values.get_word("Effect", IDEMPOTENCY_WORDS, "fragile"),
+        deduplication_scope=values.get_word("Group", SCOPE_WORDS, "all"),
+        deduplication_window_s=values.get_duration_s("WindowNs", 0),
+        latency_objective_s=values.get_duration_s("AimNs"),
+        objective_stretch=values.get_in_range("AimStretch", 0, math.inf, 0.0),
+        timeout_s=values.get_above("DeadlineNs", 0, NUMBER) * NANOSECOND_S,
+        utility=values.get_in_range("Value", 0, math.inf, 1.0),
+        late_share=values.get_in_range("LateWorth", 0, 1, 0.0),
+        fresh_s=specifics.get_element("GoodForNs", index, NUMBER, 0) * NANOSECOND_S,
+        stale_s=specifics.get_element("OlderByNs", index, NUMBER, 0) * NANOSECOND_S,
+        stale_share=specifics.get_element("WorthWhenOld", index, NUMBER, 0.0),
+        uncacheable=bool(specifics.get_element("GoesThrough", index, FLAG, False)),
+    )
+
+
+def _read_slow_starts(rules: SettingsReader, specifics: SettingsReader) -> tuple[SlowStart, SlowStart]:
+    """Return how caches and how parents warm up."""
+    cache = SlowStart(
+        initial_share=rules.get_in_range("ColdFrom", 0, 1, 1.0),
+        warm_up_s=rules.get_duration_s("WarmUpNs", 0),
+        overload_multiple=rules.get_in_range("FallMultiple", 0, math.inf, 0.0),
+        window_s=rules.get_duration_s("FallNs", 0),
+    )
+    parent = SlowStart(
+        initial_share=specifics.get_in_range("ParentColdFrom", 0, 1, 1.0),
+        warm_up_s=specifics.get_duration_s("UpperColdNs", 0),
+        overload_multiple=specifics.get_in_range("ParentBreaksAt", 0, math.inf, 0.0),
+        window_s=rules.get_duration_s("FallNs", 0),
+    )
+    if max(cache.overload_multiple, parent.overload_multiple) > 0 and not cache.window_s:
+        raise StartError(
+            f"{rules.path_of('FallNs')}: expected more than 0 where cold servers fall at a multiple, got 0"
+        )
+    return cache, parent
+
+
+def _read_machine_type(specifics: SettingsReader, key: str, machine_types: list[str]) -> str:
+    """Return the name of a machine type that is told by its index; empty where there is none."""
+    index = specifics.get_in_range(
+        key, NO_MACHINE_TYPE, len(machine_types) - 1, NO_MACHINE_TYPE, form=INTEGER
+    )
+    return machine_types[index] if index != NO_MACHINE_TYPE else ""
--- a/brookhinge/decisions/settings.py
+++ b/brookhinge/decisions/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the decisions, as `brookhinge/startup.py` reads them. Times are seconds."""
+"""Settings of the decisions, as `brookhinge/decision_settings.py` reads them. Times are seconds."""
 
 import enum
 from typing import NamedTuple
--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -76,7 +76,7 @@
     ) -> None:
         from brookhinge.membership.talk import Talk
 
-        place = site.decisions["location"]
+        place = site.decisions.location
         configured_sizes = (place.routers_here, place.routers)
         self._fleet = fleet
         self._reducer = reducer
--- a/brookhinge/net/program.py
+++ b/brookhinge/net/program.py
@@ -11,12 +11,12 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from brookhinge.net.service import Service
-from brookhinge.startup import Site, StartError, read_site
+from brookhinge.settings_reader import StartError
+from brookhinge.startup import MIN_DESCRIPTORS, Site, read_site
 
 if TYPE_CHECKING:
     from brookhinge.operator.schema import Control, Fleet
 
-MIN_DESCRIPTORS = 32
 EXIT_CONFIGURATION = 2  # also where an address cannot be bound
 
 
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -113,7 +113,7 @@
             fail_open_requests=lambda: self.post("closing", ()),
             client_connections=self.client_connections,
             longest_deadline_s=max(
-                request_class.timeout_s for request_class in site.decisions["request_classes"]
+                request_class.timeout_s for request_class in site.decisions.request_classes
             ),
         )
         self._join_effects()
@@ -127,19 +127,21 @@
 
     def _build_reducer(self, fleet: Fleet | None) -> Reducer:
         decisions = self.site.decisions
-        request_classes = decisions["request_classes"]
+        request_classes = decisions.request_classes
         scores = lineage = returns = None
         if self._scores_interval_s:
             from brookhinge.engine.scores import Scores
 
-            scores = Scores(request_classes, decisions["fill_policy"].transfer_kb_s)
+            scores = Scores(request_classes, decisions.fill_policy.transfer_kb_s)
         if self.site.storm:
             from brookhinge.storm.lineage import Lineage
             from brookhinge.storm.plan import Returns
 
             lineage = Lineage()
-            returns = Returns(decisions["limits"].max_retry_after_s)
-        router = router_class(fleet)(self.site.seed, machine=self.site.bounds, returns=returns, **decisions)
+            returns = Returns(decisions.limits.max_retry_after_s)
+        router = router_class(fleet)(
+            self.site.seed, machine=self.site.bounds, returns=returns, **decisions._asdict()
+        )
         return Reducer(
             router,
             [request_class.name.encode() for request_class in request_classes],
@@ -164,7 +166,7 @@
             self.watch,
             {
                 request_class.name.encode(): request_class.timeout_s
-                for request_class in self.site.decisions["request_classes"]
+                for request_class in self.site.decisions.request_classes
             },
             sockets,
             self.site.bounds.memory_mb * 1024 * 1024 // CLIENT_MEMORY_SHARE,
@@ -174,16 +176,16 @@
         )
 
     def _build_upstream_connections(self, sockets: int) -> Caches:
-        lines = self.site.lines
+        upstream = self.site.upstream
         return Caches(
             self.post,
             self.log,
             self.now,
             self.start,
             self.site.columns,
-            lines.connect_s,
-            lines.idle_s,
-            lines.multiplex,
+            upstream.connect_timeout_s,
+            upstream.idle_timeout_s,
+            upstream.multiplex,
             sockets,
             STALE_ATTEMPT_S,
             self.write_guard.hold_reason,
--- a/brookhinge/wire/codec.py
+++ b/brookhinge/wire/codec.py
@@ -12,7 +12,7 @@
     RequestWithdrawn,
 )
 from brookhinge.decisions.rules import AttemptResult
-from brookhinge.startup import NS
+from brookhinge.settings_reader import NANOSECOND_S
 
 RESULTS = {
     "OK": AttemptResult.SATISFIED,
@@ -69,10 +69,10 @@
         self.inbox, self.lines = [], []
 
     def seconds(self, ns):
-        return (ns - self.base) * NS
+        return (ns - self.base) * NANOSECOND_S
 
     def clock(self, seconds):
-        return self.base + int(seconds / NS + 0.5)
+        return self.base + int(seconds / NANOSECOND_S + 0.5)
 
     def known(self, tid, line):
         serial = self.serial.get(tid)
@@ -94,13 +94,13 @@
         pending, over = self.out[query]
         self.out[query] = (pending + 1, over)
         bits = join + 2 * held_only + 8 * renew
-        age = max(1, int(age_s / NS)) if age_s > 0 else 0
+        age = max(1, int(age_s / NANOSECOND_S)) if age_s > 0 else 0
         self.lines.append(
             f"FETCH_THROUGH {self.tid[query]} {cache} {self.clock(until)} {source} {rank} {age} {bits}"
         )
 
     def reject(self, query, retry_after_s, reason=None):
-        self.lines.append(f"DENY {self.tid[query]} {int(retry_after_s / NS)}")
+        self.lines.append(f"DENY {self.tid[query]} {int(retry_after_s / NANOSECOND_S)}")
         self.settle(query, self.out[query][0])
 
     def fail(self, query, reason=None):
@@ -134,7 +134,7 @@
                     group=optional(v[6], line, "a group"),
                     size_kb=optional(v[8], line, "a size", float),
                     is_write=v[5] == "1",
-                    timeout_s=optional(v[9], line, "a time budget") * NS,
+                    timeout_s=optional(v[9], line, "a time budget") * NANOSECOND_S,
                 )
             )
         elif word == "OUTCOME":
@@ -151,10 +151,10 @@
                     request_id=serial,
                     server=number(v[2], line, "a cache server"),
                     result=RESULTS[v[3]],
-                    took_s=number(v[4], line, "a duration") * NS,
+                    took_s=number(v[4], line, "a duration") * NANOSECOND_S,
                     is_final=ended,
                     note=optional(v[6], line, "a note"),
-                    waited_s=optional(v[7], line, "a duration") * NS,
+                    waited_s=optional(v[7], line, "a duration") * NANOSECOND_S,
                 )
             )
             self.check_load(v[8], line)
@@ -179,7 +179,7 @@
             add(
                 ObjectsPurged(
                     group=optional(v[0], line, "a group"),
-                    age_s=optional(v[1], line, "an age") * NS,
+                    age_s=optional(v[1], line, "an age") * NANOSECOND_S,
                     key="" if v[2] == "-" else v[2],
                 )
             )
--- a/brookhinge/wirehost.py
+++ b/brookhinge/wirehost.py
@@ -4,8 +4,9 @@
 import sys
 
 from brookhinge.decide import Router
+from brookhinge.decision_settings import read_decision_settings
 from brookhinge.decisions.messages import AttemptEnded, RequestWithdrawn
-from brookhinge.startup import TABLE, StartError, Table, read_start
+from brookhinge.settings_reader import OBJECT, SettingsReader, StartError, check
 from brookhinge.wire.codec import Instance, WireError, number, parts, read_row
 
 
@@ -34,15 +35,17 @@
                 instance = Instance(current, now)
                 try:
                     options = json.loads(text)
-                    start = read_start(Table(Table.checked("Options", options, *TABLE), "Options"))
+                    start = read_decision_settings(
+                        SettingsReader(check("Options", options, OBJECT), "Options")
+                    )
                 except StartError as fault:
                     raise WireError(f"line {line[:60]!r}...: {fault}") from None
                 except ValueError as fault:
                     raise WireError(
                         f"line {line[:60]!r}...: expected settings, cannot read {fault!r}"
                     ) from None
-                instance.router = Router(number(seed, line[:60], "a seed"), **start)
-                instance.tracks = {t.name: i for i, t in enumerate(start["request_classes"])}
+                instance.router = Router(number(seed, line[:60], "a seed"), **start._asdict())
+                instance.tracks = {t.name: i for i, t in enumerate(start.request_classes)}
                 instance.zones = {z: i for i, z in enumerate(options.get("Zones", []))}
                 self.instances[current] = touched[current] = instance
             elif word == "DESTROY":
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -226,9 +226,9 @@
 
     def __init__(self, folder, **other):
         site = read(configuration(**other), folder)
-        self.router = Router(site.seed, machine=site.bounds, **site.decisions)
+        self.router = Router(site.seed, machine=site.bounds, **site.decisions._asdict())
         self.reducer = Reducer(
-            self.router, [t.name.encode() for t in site.decisions["request_classes"]], site.zones
+            self.router, [t.name.encode() for t in site.decisions.request_classes], site.zones
         )
         self.now, self.asked = 0.0, 0
         self.hear(*read_commands(site.known, 0.0)[1])
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -4,7 +4,8 @@
 from helpers import configuration, read, settings
 
 from brookhinge.decisions.settings import Idempotency
-from brookhinge.startup import StartError, read_site
+from brookhinge.settings_reader import StartError
+from brookhinge.startup import read_site
 
 
 def test_a_configuration_as_read(tmp_path):
@@ -17,10 +18,10 @@
     )
     assert (
         site.bounds == (192, 1024, 0, 0)
-        and site.lines == pytest.approx((0.2, 30.0, 32))
+        and site.upstream == pytest.approx((0.2, 30.0, 32))
         and site.columns == [b"util", b"x0"]
     )
-    assert [(t.name, t.idempotency, t.timeout_s) for t in site.decisions["request_classes"]] == [
+    assert [(t.name, t.idempotency, t.timeout_s) for t in site.decisions.request_classes] == [
         ("page", Idempotency.REPEATABLE, 3.0),
         ("order", Idempotency.ONCE, 3.0),
     ]
