--- a/brookhinge/engine/reducer.py
+++ b/brookhinge/engine/reducer.py
@@ -1,11 +1,7 @@
 """All state of the router on sockets, changed in one place: (now, events) -> effects. No I/O, no clock.
 
-Events and effects are (method, values). The reducer holds the Router, runs one round of it a loop pass and is
-its writer: decisions become effects. Times are seconds since the start. It knows nothing of any wire.
-
-Events in: query, forgotten, client_gone, ended, listed, purged, closing; with a lineage also connected, among peers
-also notice, peers, parts, verdicts and remember; with the purge log logged and copy_rule.
-Effects out: pull, kill, satisfy, nack, error, reject, shut, retire, say; among peers also spread; traced also trace.
+Events and effects are those of `events.py` and `effects.py`. The reducer holds the Router, runs one round of it a
+loop pass and is its writer: decisions become effects. Times are seconds since the start. It knows nothing of any wire.
 
 What is sent and answered is checked against a record of its own just before (`brookhinge/engine/invariants.py`).
 """
@@ -14,29 +10,24 @@
 import heapq
 import traceback
 
-from brookhinge.decisions import rules
-from brookhinge.decisions.messages import (
-    AttemptEnded,
-    CopyRuleChanged,
-    Endpoint,
-    EndpointsListed,
-    ObjectsPurged,
-    OutlierVerdictsChanged,
-    QuotasAssigned,
-    RequestArrived,
-    RequestWithdrawn,
-    RouterCountChanged,
-    StoredCopy,
-    WarmStartReceived,
-)
+from brookhinge.decisions import messages, rules
 from brookhinge.decisions.rules import AttemptResult, HeldBack, Ran, Refusal, Withdrawal
 from brookhinge.decisions.settings import Idempotency
+from brookhinge.engine import effects, events
+from brookhinge.engine.endpoints import ServerInstance
 from brookhinge.engine.invariants import Attempt, Invariant, Invariants, RuleBroken
+from brookhinge.engine.scores import Outcome
 
 OPEN = 32  # queries on one connection, by the protocol
 WAIT_END_S = 0.02  # who waits beside a query is told that nothing came so long before its time is over
 PURGE_KIND, DRAINING_KIND = 1, 2  # entries of the purge log: brookhinge/purgelog/messages.py
 PURGES_KEPT_S = 1.0  # beside the time after which the settings take an old copy to be gone
+OUTCOMES = {
+    None: Outcome.SATISFIED,
+    "refused": Outcome.REJECTED,
+    "failed": Outcome.FAILED,
+    "forgotten": Outcome.WITHDRAWN,
+}
 PAST = 1024  # ids remembered of queries that are over: each query has a new one
 
 
@@ -86,12 +77,12 @@
 
 
 def newest_stamps(purges):
-    """{number: the newest stamp of the purges with that number or a later one}. purges: values of `purged`, in the order of
+    """{number: the newest stamp of the purges with that number or a later one}. purges: in the order of
     their numbers. A purge with an older stamp than one before it came after all clocks were set back: the stamps of those
     before the step say nothing of when it was."""
     newest, stamps = float("-inf"), {}
-    for number, _, moment, _ in reversed(purges):
-        newest = stamps[number] = max(newest, moment)
+    for purge in reversed(purges):
+        newest = stamps[purge.number] = max(newest, purge.purged_at)
     return stamps
 
 
@@ -123,6 +114,24 @@
         self.begun = False  # the first pass, with what was known at the start, is over
         self.newest_known = {}  # of each purge known at the start, by number: the newest stamp from it on
         self.effects, self.inbox, self.current = [], [], None
+        self.handlers = {
+            events.RequestReceived: self.query,
+            events.RequestCancelled: self.forgotten,
+            events.ClientConnected: self.connected,
+            events.ClientDisconnected: self.client_gone,
+            events.AttemptEnded: self.ended,
+            events.EndpointsListed: self.listed,
+            events.ObjectsPurged: self.purged,
+            events.CommandSkipped: self.skipped,
+            events.PeerNoticeReceived: self.notice,
+            events.PurgeLogEntryRead: self.logged,
+            events.CopyRuleChanged: self.copy_rule,
+            events.RouterCountChanged: self.peers,
+            events.QuotasAssigned: self.parts,
+            events.OutlierVerdictsChanged: self.verdicts,
+            events.WarmStartReceived: self.remember,
+            events.ShutdownBegan: self.closing,
+        }
         self.facts = []  # what was told in this pass: the decisions hear of it before all queries and ends of it
         self.counts = dict.fromkeys(
             (
@@ -140,17 +149,19 @@
             0,
         )
 
-    def reduce(self, now, events, knows_all=True):
-        """One pass: the events, then the pushes whose time is over, then one round. knows_all: whether purges may be taken to
+    def reduce(self, now, posted, knows_all=True):
+        """One pass: the posted events, then the pushes whose time is over, then one round. knows_all: whether purges may be taken to
         be known that were told before this moment; else no copy of the router's own is an answer."""
         self.router.knows_all = knows_all
         self.now, self.effects, self.inbox, self.shut, self.served = now, [], [], set(), {}
         self.facts = []
         if not self.begun:
-            self.newest_known = newest_stamps([values for method, values in events if method == "purged"])
-        for self.current in events:
+            self.newest_known = newest_stamps(
+                [event for event in posted if isinstance(event, events.ObjectsPurged)]
+            )
+        for self.current in posted:
             try:
-                getattr(self, self.current[0])(*self.current[1])
+                self.handlers[type(self.current)](self.current)
             except Exception as fault:
                 self.faulted(fault)
         self.expire()
@@ -188,22 +199,23 @@
         """What is being handled, and the query that it is of, or None."""
         if self.current is None:
             return "round", None
-        if isinstance(self.current, (RequestArrived, AttemptEnded, RequestWithdrawn)):
+        if isinstance(
+            self.current, (messages.RequestArrived, messages.AttemptEnded, messages.RequestWithdrawn)
+        ):
+            return type(self.current).__name__, self.current.request_id
+        if isinstance(self.current, events.AttemptEnded):
             return type(self.current).__name__, self.current.request_id
-        if type(self.current) is tuple:  # an event; all messages to the decisions have a type of their own
-            method, values = self.current
-            return method, values[0] if method in ("query", "ended") else None
         return type(self.current).__name__, None
 
     def say_violation(self, query, violation):
         q = self.queries.get(query)
         told = {"invariant": violation.invariant, "detail": violation.detail}
-        self.effects.append(("say", ("violation", {"ref": q.name.decode() if q else None, **told})))
+        self.effects.append(effects.WriteLog("violation", {"ref": q.name.decode() if q else None, **told}))
 
     def trace(self, step, q, **values):
         """A step of a query, for who follows it by its id."""
         if self.traced:
-            self.effects.append(("trace", (step, q.name.decode(), values)))
+            self.effects.append(effects.WriteTrace(step, q.name.decode(), values))
 
     def next_at(self):
         """When the next push runs out of time, or who waits beside one, or None."""
@@ -223,26 +235,12 @@
 
     # events
 
-    def query(
-        self,
-        client,
-        number,
-        name,
-        kind,
-        key,
-        part,
-        part_number,
-        group,
-        size_kb,
-        allow,
-        tag,
-        body,
-        came,
-        mark=None,
-    ):
+    def query(self, event):
+        client, number, name, came = event.client, event.number, event.client_request_id, event.received_at
+        kind, key, group, size_kb = event.class_name, event.object_key, event.purge_group, event.size_kb
         track = self.tracks.get(kind)
         if track is None:
-            return self.effects.append(("reject", (client, number, "service: no such class")))
+            return self.effects.append(effects.RefuseCall(client, number, "service: no such class"))
         if client in self.shut:
             return
         if number <= self.numbers.get(
@@ -255,17 +253,28 @@
         if name in self.names:
             if self.queries[self.names[name]].client == client:
                 return self.close(client, "an id that is open")
-            return self.effects.append(("reject", (client, number, "ref: still open")))
+            return self.effects.append(effects.RefuseCall(client, number, "ref: still open"))
         if name in self.past:
-            return self.effects.append(("reject", (client, number, "ref: used before")))
+            return self.effects.append(effects.RefuseCall(client, number, "ref: used before"))
         if self.closed:  # it was read after the end began: it never ran, nor will it
             self.counts["queries"] += 1
             self.counts["nacked"] += 1
             self.refusals[Refusal.STOPPING] += 1
-            return self.effects.append(("nack", (client, number, 0.0)))
+            return self.effects.append(effects.RejectRequest(client, number, 0.0))
         query, self.serial = self.serial, self.serial + 1
-        until = came + allow
-        q = self.queries[query] = Open(client, number, name, kind, key, part, tag, body, until, mark)
+        until = came + event.timeout_s
+        q = self.queries[query] = Open(
+            client,
+            number,
+            name,
+            kind,
+            key,
+            event.part,
+            event.known_version,
+            event.body,
+            until,
+            event.idempotency_key,
+        )
         q.track, q.group, q.text_key, q.came = track, group, key.decode("ascii"), came
         self.names[name] = query
         self.clients.setdefault(client, {})[number] = query
@@ -273,8 +282,15 @@
         if self.scores is not None:
             q.seen = track, size_kb, came
         self.trace("taken", q, client=client, number=number, kind=kind.decode(), left_s=until - self.now)
-        call = RequestArrived(
-            query, track, q.text_key, part_number, group, size_kb, is_write=False, timeout_s=until - self.now
+        call = messages.RequestArrived(
+            query,
+            track,
+            q.text_key,
+            event.part_number,
+            group,
+            size_kb,
+            is_write=False,
+            timeout_s=until - self.now,
         )
         if (
             self.lineage is None
@@ -326,19 +342,23 @@
         else:
             self.known_again(query, q.call)
 
-    def connected(self, client, address):
-        self.addresses[client] = address
-        self.lineage.connected(address)
+    def connected(self, event):
+        self.addresses[event.client] = event.address
+        self.lineage.connected(event.address)
 
-    def forgotten(self, client, number):
-        query = self.clients.get(client, {}).get(number)
+    def forgotten(self, event):
+        client = event.client
+        query = self.clients.get(client, {}).get(event.number)
         if query is not None:
             self.leave(query, Withdrawal.CANCELLED)
             times = self.withdrawn[client] = self.withdrawn.get(client, 0) + 1
             if times > OPEN and client not in self.clients:  # in mass, and nothing that it would cost
                 self.close(client, f"{times} queries withdrawn and none satisfied")
 
-    def client_gone(self, client):
+    def client_gone(self, event):
+        self.forget_client(event.client)
+
+    def forget_client(self, client):
         for query in list(self.clients.get(client, {}).values()):
             self.leave(query, Withdrawal.CLIENT_GONE)
         self.numbers.pop(client, None)
@@ -349,11 +369,11 @@
 
     def close(self, client, why):
         """A connection that breaks the protocol: nothing on it is answered, nor taken in the rest of this pass."""
-        self.client_gone(client)
+        self.forget_client(client)
         self.shut.add(client)
-        self.effects.append(("shut", (client, why)))
+        self.effects.append(effects.CloseClient(client, why))
 
-    def closing(self):
+    def closing(self, event):
         """The process ends: what is open gets its error now, and nothing more is decided; what is read later is refused."""
         self.closed = True
         self.inbox.clear()
@@ -362,10 +382,10 @@
             self.end_out(query)
             self.fail(query, Refusal.STOPPING)
 
-    def ended(
-        self, query, push, result, note, waited, load, body, same, came, dated=None, tag=None, lot=None
-    ):
+    def ended(self, event):
         """What a cache server answered, or what became of a push; one that is out no more counts no more."""
+        query, push, result, body = event.request_id, event.attempt, event.result, event.body
+        same, came, dated = event.is_unchanged, event.received_at, event.dated_at
         if not self.is_out(query, push):
             return
         q = self.queries[query]
@@ -375,15 +395,19 @@
         self.note_end(q, result)
         copy = None
         if over and not same and dated is not None and rules.stamp_is_plausible(came, dated):
-            copy = StoredCopy(dated, len(body))
+            copy = messages.StoredCopy(dated, len(body))
         took_s = came - q.sent_at
-        self.inbox.append(AttemptEnded(query, q.server, result, took_s, over, note, waited, copy))
+        self.inbox.append(
+            messages.AttemptEnded(
+                query, q.server, result, took_s, over, event.note, event.source_wait_s, copy
+            )
+        )
         if over:
-            self.served[query] = body, tag
+            self.served[query] = body, event.version
             self.counts["satisfied"] += 1
             self.trace("served", q, of=q.server)
             self.withdrawn.pop(q.client, None)
-            self.effects.append(("satisfy", (q.client, q.number, body, same)))
+            self.effects.append(effects.Respond(q.client, q.number, body, same))
             self.satisfy_beside(query, body, same)
             self.settle(query)
 
@@ -401,48 +425,51 @@
             if other in self.queries:
                 q = self.queries[other]
                 self.counts["satisfied"] += 1
-                self.effects.append(("satisfy", (q.client, q.number, body, same)))
+                self.effects.append(effects.Respond(q.client, q.number, body, same))
                 self.settle(other)
 
-    def listed(self, number, complete, hosts):
-        """A list of servers: (id, address, zone, kind, cell, health, weight, start) each."""
-        if number <= self.cursor:
+    def listed(self, event):
+        """A list of servers."""
+        if event.number <= self.cursor:
             return
-        self.cursor, rows, seen = number, [], set()
-        for server, address, zone, kind, cell, health, weight, born in hosts:
+        self.cursor, rows, seen = event.number, [], set()
+        for server, address, zone, kind, cell, health, weight, born in event.endpoints:
             seen.add(server)
-            row = Endpoint(server, health, weight, born, cell, kind, self.zones.get(zone, -1))
+            row = messages.Endpoint(server, health, weight, born, cell, kind, self.zones.get(zone, -1))
             if self.tight is not None:
                 row, notice = self.tight.receive_row(row)
                 if notice is not None:
-                    self.effects.append(("spread", notice))
+                    self.effects.append(effects.NotifyPeers(notice[0], notice[1:]))
             rows.append(row)
             self.invariants.listed(server, row[1], row[6], cell)
             self.redial(server, (address, born) if row[1] != "gone" else None)
-        if complete:
+        if event.is_complete:
             for server in [s for s in self.dials if s not in seen]:
                 self.redial(server, None)
             self.invariants.absent(seen)
             if self.tight is not None:
-                self.effects += [("spread", notice) for notice in self.tight.absent(seen)]
-        self.facts.append(EndpointsListed(complete, rows))
+                self.effects += [
+                    effects.NotifyPeers(notice[0], notice[1:]) for notice in self.tight.absent(seen)
+                ]
+        self.facts.append(messages.EndpointsListed(event.is_complete, rows))
 
     def redial(self, server, dial):
         """Connections belong to a server's id and start: those to an earlier start are used no more."""
         old = self.dials.get(server)
         if old is not None and old != dial:
-            self.effects.append(("retire", ((server, *old),)))
+            self.effects.append(effects.RetireServer(ServerInstance(server, *old)))
         if dial is None:
             self.dials.pop(server, None)
         else:
             self.dials[server] = dial
 
-    def purged(self, number, group, moment, key):
+    def purged(self, event):
+        number, group, moment, key = event.number, event.purge_group, event.purged_at, event.object_key
         if number > self.cursor:
             self.cursor = number
             if self.tight is not None:
                 stamp = round((moment + self.tight.start) * 1000)
-                self.effects.append(("spread", ("purge", group, key, stamp)))
+                self.effects.append(effects.NotifyPeers("purge", (group, key, stamp)))
                 if not self.tight.purge_is_new(group, key, stamp):
                     return
             self.take_purge(group, self.purge_age(moment, self.newest_known.get(number, moment)), key)
@@ -450,7 +477,7 @@
     def take_purge(self, group, age, key):
         """A purge of so many seconds ago is known from now on."""
         self.invariants.purges.add(self.now, group, key, self.now - age)
-        self.facts.append(ObjectsPurged(group, age, key))
+        self.facts.append(messages.ObjectsPurged(group, age, key))
 
     def purge_age(self, stamped, newest):
         """Seconds since a purge, by its stamp. Of those known at the start nothing but their stamps and order is known.
@@ -459,8 +486,11 @@
             return self.now - rules.known_event_time(self.now, stamped, newest)
         return self.now - rules.event_time(self.now, stamped)
 
-    def notice(self, kind, values):
+    def notice(self, event):
         """A peer's notice. It can only tighten, and binds in this very pass."""
+        self.take_notice(event.kind, event.values)
+
+    def take_notice(self, kind, values):
         if kind == "purge":
             group, key, stamp = values
             if self.tight.purge_is_new(group, key, stamp):
@@ -472,32 +502,33 @@
             self.invariants.listed(row[0], row[1], row[6], row[4])
             if row[1] == "gone":
                 self.redial(row[0], None)
-            self.facts.append(EndpointsListed(False, [row]))
-            self.effects.append(("say", ("notice", {"server": row[0], "health": row[1]})))
+            self.facts.append(messages.EndpointsListed(False, [row]))
+            self.effects.append(effects.WriteLog("notice", {"server": row[0], "health": row[1]}))
 
-    def logged(self, kind, text, number, stamp):
+    def logged(self, event):
         """An entry of the purge log. A purge counts from now on by this router's own clock, whatever others' clocks say."""
-        if kind != PURGE_KIND:
-            self.notice("draining" if kind == DRAINING_KIND else "gone", (text, number))
-        elif self.tight.purge_is_new(number, text, stamp):
-            self.take_purge(number, 0.0, text)
+        if event.kind != PURGE_KIND:
+            kind = "draining" if event.kind == DRAINING_KIND else "gone"
+            self.take_notice(kind, (event.text, event.number))
+        elif self.tight.purge_is_new(event.number, event.text, event.stamp_ms):
+            self.take_purge(event.number, 0.0, event.text)
 
-    def copy_rule(self, rule, purges):
+    def copy_rule(self, event):
         """What this router may do with copies that it holds itself, as far as it knows all purges."""
-        self.facts.append(CopyRuleChanged(rule, purges))
+        self.facts.append(messages.CopyRuleChanged(event.rule, event.missed_purges))
 
-    def peers(self, here, all_):
+    def peers(self, event):
         """By how many routers this place's limits and the whole fleet's are divided from here on."""
-        self.facts.append(RouterCountChanged(here, all_))
+        self.facts.append(messages.RouterCountChanged(event.here, event.everywhere))
 
-    def parts(self, rows):
+    def parts(self, event):
         """What this router may use of limits that the fleet shares: (kind, server, start in ms, part or None) each."""
         told = []
-        for kind, server, start, part in rows:
+        for kind, server, start, part in event.quotas:
             row = self.tight.rows.get(server)
             if kind == "own" or row is not None and self.tight.stamp(row[3]) == start:
                 told.append((kind, server, row and row[3], part))
-        self.facts.append(QuotasAssigned(told))
+        self.facts.append(messages.QuotasAssigned(told))
 
     def demand(self):
         """What was asked of limits that the fleet shares, starts in ms; it begins anew."""
@@ -506,19 +537,19 @@
             for kind, server, born, *told in self.router.demand(self.now)
         ]
 
-    def verdicts(self, rows):
+    def verdicts(self, event):
         """What follows from what all routers saw of servers: (server, start in ms, how, seconds) each."""
         told = []
-        for server, start, how, seconds in rows:
+        for server, start, how, seconds in event.verdicts:
             row = self.tight.rows.get(server)
             if row is not None and self.tight.stamp(row[3]) == start:
                 told.append((server, how, seconds))
-        self.facts.append(OutlierVerdictsChanged(told))
+        self.facts.append(messages.OutlierVerdictsChanged(told))
 
-    def remember(self, rows):
+    def remember(self, event):
         """What a peer knows that has run for longer."""
-        self.inbox.append(WarmStartReceived(rows))
-        self.effects.append(("say", ("remembered", {"rows": len(rows)})))
+        self.inbox.append(messages.WarmStartReceived(event.rows))
+        self.effects.append(effects.WriteLog("remembered", {"rows": len(event.rows)}))
 
     def seen(self):
         """{(server, start in ms): (tries, failed)} of caches, totals of this process."""
@@ -527,9 +558,11 @@
             for server, born, tries, failed in self.router.seen()
         }
 
-    def skipped(self, number, why):
-        self.cursor = max(self.cursor, number)
-        self.effects.append(("say", ("command skipped", {"cursor": number, "why": why})))
+    def skipped(self, event):
+        self.cursor = max(self.cursor, event.number)
+        self.effects.append(
+            effects.WriteLog("command skipped", {"cursor": event.number, "why": event.reason})
+        )
 
     # time
 
@@ -545,7 +578,9 @@
             self.note_end(q, "timeout")
             self.counts["timeouts"] += 1
             took_s = self.now - q.sent_at
-            self.inbox.append(AttemptEnded(query, q.server, AttemptResult.TIMEOUT, took_s, False, 0, 0.0))
+            self.inbox.append(
+                messages.AttemptEnded(query, q.server, AttemptResult.TIMEOUT, took_s, False, 0, 0.0)
+            )
 
     def expire_waiting(self):
         """Who waits beside a query has its own time all the same."""
@@ -558,7 +593,7 @@
         q = self.queries[query]
         if q.out:
             q.out = False
-            self.effects.append(("kill", (query, q.pushes)))
+            self.effects.append(effects.CancelAttempt(query, q.pushes))
 
     def end_out(self, query):
         """A query is over with a push out: that is given up, and the decisions count it no more."""
@@ -568,8 +603,10 @@
         self.give_up(query)
         self.note_end(q, "cancelled")
         self.inbox += [
-            RequestWithdrawn(query),
-            AttemptEnded(query, q.server, AttemptResult.CANCELLED, self.now - q.sent_at, True, 0, 0.0),
+            messages.RequestWithdrawn(query),
+            messages.AttemptEnded(
+                query, q.server, AttemptResult.CANCELLED, self.now - q.sent_at, True, 0, 0.0
+            ),
         ]
         return True
 
@@ -580,13 +617,14 @@
             (
                 i
                 for i, message in enumerate(self.inbox)
-                if isinstance(message, (RequestArrived, AttemptEnded)) and message.request_id == query
+                if isinstance(message, (messages.RequestArrived, messages.AttemptEnded))
+                and message.request_id == query
             ),
             None,
         )
         if at is not None:
             message = self.inbox.pop(at)
-            if isinstance(message, AttemptEnded):
+            if isinstance(message, messages.AttemptEnded):
                 self.inbox.append(message._replace(is_final=True))
         else:
             self.end_out(query)
@@ -599,7 +637,7 @@
         """The query is over; how: as the lineage has it, None for one that was satisfied."""
         q = self.queries.pop(query)
         if q.seen is not None:
-            self.scores.ended(*q.seen[:2], self.now - q.seen[2], how or "satisfied")
+            self.scores.ended(*q.seen[:2], self.now - q.seen[2], OUTCOMES[how])
         if self.lineage is not None:
             if q.beside is None:
                 self.lineage.ended(self.now, query, how)
@@ -649,28 +687,25 @@
         self.counts["pushes"] += 1
         heapq.heappush(self.timers, (until, query, q.pushes))
         self.effects.append(
-            (
-                "pull",
-                (
-                    query,
-                    q.pushes,
-                    (cache, *self.dials[cache]),
-                    q.name,
-                    q.kind,
-                    q.key,
-                    q.part,
-                    until,
-                    source if source != cache else None,
-                    rank,
-                    age_s,
-                    join,
-                    held_only,
-                    renew,
-                    q.tag,
-                    q.body,
-                    False,
-                    q.mark,
-                ),
+            effects.SendAttempt(
+                request_id=query,
+                attempt=q.pushes,
+                server=ServerInstance(cache, *self.dials[cache]),
+                client_request_id=q.name,
+                class_name=q.kind,
+                object_key=q.key,
+                part=q.part,
+                deadline=until,
+                fill_from=source if source != cache else None,
+                retention=rank,
+                max_age_s=age_s,
+                joins_fill=join,
+                cached_only=held_only,
+                revalidates=renew,
+                known_version=q.tag,
+                body=q.body,
+                skips_cache=False,
+                idempotency_key=q.mark,
             )
         )
 
@@ -705,7 +740,7 @@
         self.counts["nacked"] += 1
         self.refusals[reason] += 1
         self.trace("refused", q, reason=reason, retry_after_s=retry_after_s)
-        self.effects.append(("nack", (q.client, q.number, retry_after_s)))
+        self.effects.append(effects.RejectRequest(q.client, q.number, retry_after_s))
         for other in self.waiting.pop(query, ()):  # the same answer, and the same time to come back
             self.reject(other, retry_after_s, reason)
         self.settle(query, "refused")
@@ -715,7 +750,7 @@
         self.counts["errored"] += 1
         self.refusals[reason] += 1
         self.trace("failed", q, reason=reason)
-        self.effects.append(("error", (q.client, q.number)))
+        self.effects.append(effects.FailRequest(q.client, q.number))
         self.settle(query, "failed")
 
     def keep_copy(self, query, name):
@@ -732,9 +767,9 @@
         self.counts["satisfied"] += 1
         self.counts["own"] += 1
         self.trace("served", q, of="own copy")
-        self.effects.append(("satisfy", (q.client, q.number, b"" if same else body, same)))
+        self.effects.append(effects.Respond(q.client, q.number, b"" if same else body, same))
         self.satisfy_beside(query, b"" if same else body, same)
         self.settle(query)
 
     def log(self, text):
-        self.effects.append(("say", ("decisions", {"text": text})))
+        self.effects.append(effects.WriteLog("decisions", {"text": text}))
--- a/brookhinge/net/front.py
+++ b/brookhinge/net/front.py
@@ -9,6 +9,7 @@
 
 from brookhinge.decisions import rules
 from brookhinge.decisions.rules import CloseReason, HeldBack
+from brookhinge.engine.events import ClientConnected, ClientDisconnected, RequestCancelled, RequestReceived
 from brookhinge.engine.invariants import Invariant
 from brookhinge.net import client_protocol, stream, thrift
 from brookhinge.net.listener import Listener
@@ -71,7 +72,7 @@
 
 
 class Front:
-    """post(method, values) takes the events; well() tells whether the router takes queries, busy(client) whether
+    """post(event) takes the events; well() tells whether the router takes queries, busy(client) whether
     one has queries open; watch: the LoopWatch of the loop; longest: of each kind of query the patience; violated(invariant, detail): counts a rule broken;
     trace(step, **values): takes each step of each connection, or None."""
 
@@ -117,7 +118,7 @@
             self.trace("client connected", client=client.number)
         if network is not None:
             client.network = network
-            self.post("connected", (client.number, address))
+            self.post(ClientConnected(client.number, address))
         asyncio.ensure_future(self.run(client))
 
     def make_room(self):
@@ -260,7 +261,7 @@
         if number in client.owed:
             client.owed.remove(number)
             client.cancelled.append(number)
-        self.post("forgotten", (client.number, number))
+        self.post(RequestCancelled(client.number, number))
 
     def end_broken(self, client):
         if client.broken and not client.calls and not client.unread and not self.busy(client.number):
@@ -288,24 +289,46 @@
         body = call.arguments.get(client_protocol.BODY_ARGUMENT, b"")
         request = validate_request(fields, body, self.longest)
         client.owed.add(call.sequence_number)
-        values = *request[:-1], came, request.idempotency_key
-        self.post("query", (client.number, call.sequence_number, *values))
+        self.post(
+            RequestReceived(
+                client=client.number,
+                number=call.sequence_number,
+                client_request_id=request.request_id,
+                class_name=request.request_class,
+                object_key=request.object_key,
+                part=request.part,
+                part_number=request.part_number,
+                purge_group=request.purge_group,
+                size_kb=request.size_kb,
+                timeout_s=request.timeout_s,
+                known_version=request.known_version,
+                body=request.body,
+                received_at=came,
+                idempotency_key=request.idempotency_key,
+            )
+        )
 
     # effects
 
-    def satisfy(self, client, number, body, same):
-        self.reply(client, number, client_protocol.response(number, body, is_unchanged=same))
+    def satisfy(self, effect):
+        wire = client_protocol.response(effect.number, effect.body, is_unchanged=effect.is_unchanged)
+        self.reply(effect.client, effect.number, wire)
 
-    def nack(self, client, number, retry_after_s):
-        self.reply(client, number, client_protocol.rejection(number, retry_after_s))
+    def nack(self, effect):
+        wire = client_protocol.rejection(effect.number, effect.retry_after_s)
+        self.reply(effect.client, effect.number, wire)
 
-    def error(self, client, number):
-        self.reply(client, number, client_protocol.failure(number))
+    def error(self, effect):
+        self.reply(effect.client, effect.number, client_protocol.failure(effect.number))
 
-    def reject(self, client, number, why):
-        if client in self.clients:
-            self.clients[client].owed.discard(number)
-            self.refuse(self.clients[client], client_protocol.invalid_request(number, why))
+    def reject(self, effect):
+        client = self.clients.get(effect.client)
+        if client is not None:
+            client.owed.discard(effect.number)
+            self.refuse(client, client_protocol.invalid_request(effect.number, effect.reason))
+
+    def close_client(self, effect):
+        self.shut(effect.client, effect.reason)
 
     def refuse(self, client, wire):
         """A call that can't be taken; who goes on sending such is closed."""
@@ -326,10 +349,10 @@
             self.say("client connection", why=why)
             self.release(self.clients[client], reason, True)
 
-    def failed(self, effect, values):
+    def failed(self, effect):
         """An answer that could not be written costs its client's connection."""
-        if values[0] in self.clients:
-            self.drop(self.clients[values[0]], CloseReason.FAILED)
+        if effect.client in self.clients:
+            self.drop(self.clients[effect.client], CloseReason.FAILED)
 
     def reply(self, client, number, wire):
         """The final answer to a query, once."""
@@ -382,7 +405,7 @@
         client.room.set()
         if client.network is not None:
             self.gate.left(client.network)
-        self.post("client_gone", (client.number,))
+        self.post(ClientDisconnected(client.number))
 
     def count_close(self, client, reason):
         self.closes[reason] += 1
--- a/brookhinge/net/graceful_shutdown.py
+++ b/brookhinge/net/graceful_shutdown.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from brookhinge.engine.phases import Phases
+from brookhinge.engine.lifecycle import Lifecycle, Phase
 from brookhinge.net.front import LINGER_S, Front
 
 DRAIN_S = 0.7  # connections and requests are still accepted for so long after SIGTERM
@@ -30,7 +30,7 @@
         self,
         *,
         now: Callable[[], float],
-        phases: Phases,
+        lifecycle: Lifecycle,
         has_open_work: Callable[[], bool],
         fail_open_requests: Callable[[], None],
         client_connections: Front,
@@ -40,7 +40,7 @@
 
         Args:
             now: The clock of the router, in seconds since its start.
-            phases: The lifecycle of the program.
+            lifecycle: The lifecycle of the program.
             has_open_work: Whether events, requests or connections in the backlog are left.
             fail_open_requests: Answers every open request with an error, and rejects those that follow.
             client_connections: The connections on which clients are still read.
@@ -50,7 +50,7 @@
         self.deadline = float("inf")
         self.done = asyncio.Event()
         self._now = now
-        self._phases = phases
+        self._lifecycle = lifecycle
         self._has_open_work = has_open_work
         self._fail_open_requests = fail_open_requests
         self._client_connections = client_connections
@@ -59,9 +59,9 @@
     def request(self) -> None:
         """Begin to drain; before the router is ready this is only noted."""
         self.is_requested = True
-        if self._phases.now != "ready":
+        if not self._lifecycle.is_ready:
             return
-        self._phases.step("leaving")
+        self._lifecycle.advance(Phase.DRAINING)
         finish_s = min(MAX_FINISH_S, self._longest_deadline_s) - CLOSE_RESERVE_S
         self.deadline = self._now() + DRAIN_S + finish_s
         asyncio.get_running_loop().call_later(DRAIN_S, self._finish)
@@ -72,13 +72,13 @@
         After a stall the deadline may have passed: what came meanwhile is read and rejected all the same.
         """
         at = self._now() + LINGER_S
-        if self._phases.now != "finishing":
+        if self._lifecycle.phase is not Phase.FINISHING:
             return at
         latest = self.deadline + CLOSE_RESERVE_S - EXIT_MARGIN_S
         return max(self._now() + MIN_LAST_READ_S, min(at, latest))
 
     def _finish(self) -> None:
-        self._phases.step("finishing")
+        self._lifecycle.advance(Phase.FINISHING)
         # Scheduled first: the process has to end even if the listener fails as it closes.
         asyncio.get_running_loop().call_soon(self.check_done)
         self._client_connections.stop()
--- a/brookhinge/startup.py
+++ b/brookhinge/startup.py
@@ -8,6 +8,7 @@
 
 from brookhinge.decision_settings import DecisionSettings, read_decision_settings
 from brookhinge.engine.commands import read_commands
+from brookhinge.engine.events import CommandSkipped
 from brookhinge.settings_reader import (
     INTEGER,
     LIST,
@@ -124,9 +125,9 @@
     known.get("cursor", INTEGER)
     known.get("cmds", LIST)
     _, commands = read_commands(known.values, 0.0)
-    for index, (method, values) in enumerate(commands):
-        if method == "skipped":
-            raise StartError(f"known.cmds[{index}]: expected a command, cannot read {values[1]}")
+    for index, command in enumerate(commands):
+        if isinstance(command, CommandSkipped):
+            raise StartError(f"known.cmds[{index}]: expected a command, cannot read {command.reason}")
 
 
 def _read_seed(config: SettingsReader) -> int:
