--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -12,6 +12,8 @@
 from typing import TYPE_CHECKING
 
 from brookhinge.decide import Router
+from brookhinge.engine.effects import NotifyPeers
+from brookhinge.engine.events import Event
 from brookhinge.engine.reducer import Reducer
 from brookhinge.startup import Site
 
@@ -71,12 +73,12 @@
         *,
         site: Site,
         reducer: Reducer,
-        post: Callable[[str, tuple], None],
+        post: Callable[[Event], None],
         log: Callable[..., None],
     ) -> None:
         from brookhinge.membership.talk import Talk
 
-        place = site.decisions["location"]
+        place = site.decisions.location
         configured_sizes = (place.routers_here, place.routers)
         self._fleet = fleet
         self._reducer = reducer
@@ -139,22 +141,22 @@
             )
         )
 
-    def _read_purge_log(self, controls: dict[str, Control], post: Callable[[str, tuple], None]) -> None:
+    def _read_purge_log(self, controls: dict[str, Control], post: Callable[[Event], None]) -> None:
         from brookhinge.purgelog.client import LogClient
 
         self._purge_log = self._talk.purge_log = LogClient(self._fleet, controls, post, self._log)
         self.before_round.append(self._purge_log.before)
 
-    def spread(self, kind: str, *values: object) -> None:
+    def spread(self, effect: NotifyPeers) -> None:
         """Tell the peers something that tightens a rule.
 
         Purges are left out where the settings say so, for as long as the purge log delivers them.
         """
         is_in_purge_log = (
-            kind == "purge" and self._purge_log is not None and self._purge_log.replaces_notices()
+            effect.kind == "purge" and self._purge_log is not None and self._purge_log.replaces_notices()
         )
         if not is_in_purge_log:
-            self._talk.spread(kind, *values)
+            self._talk.spread(effect.kind, *effect.values)
 
     async def join(self) -> None:
         """Begin to exchange messages with the peers and to read the purge log.
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -12,12 +12,26 @@
 from typing import TYPE_CHECKING
 
 from brookhinge.engine.commands import read_commands
+from brookhinge.engine.effects import (
+    CancelAttempt,
+    CloseClient,
+    FailRequest,
+    NotifyPeers,
+    RefuseCall,
+    RejectRequest,
+    Respond,
+    RetireServer,
+    SendAttempt,
+    WriteLog,
+    WriteTrace,
+)
+from brookhinge.engine.events import RequestReceived, ShutdownBegan
 from brookhinge.engine.invariants import Invariant
+from brookhinge.engine.lifecycle import Lifecycle, Phase
 from brookhinge.engine.log import Log
 from brookhinge.engine.loop_watch import LoopWatch, Stall
-from brookhinge.engine.phases import Phases
 from brookhinge.engine.reducer import Reducer
-from brookhinge.engine.rounds import Rounds
+from brookhinge.engine.scheduler import EventScheduler
 from brookhinge.net.caches import Caches
 from brookhinge.net.channel import Channel
 from brookhinge.net.fleet_wiring import FleetLink, router_class, safety_notices
@@ -74,10 +88,10 @@
         self.steady_start = time.monotonic()
         self.watch = LoopWatch(self.now)
         self.watch.listeners.append(self._log_stall)
-        self.phases = Phases(self.log)
+        self.lifecycle = Lifecycle(self.log)
         self.reducer = self._build_reducer(fleet)
-        self.rounds = Rounds(self.reducer, self.watch, self.log, self.is_current)
-        self.post = self.rounds.post
+        self.scheduler = EventScheduler(self.reducer, self.watch, self.log, self.is_current)
+        self.post = self.scheduler.post
         self.gate = None
         upstream_sockets = site.bounds.sockets // 3
         client_sockets = max(
@@ -93,7 +107,7 @@
         self.write_guard = WriteGuard(
             now=self.now,
             reducer=self.reducer,
-            rounds=self.rounds,
+            scheduler=self.scheduler,
             command_channel=self.command_channel,
             client_connections=self.client_connections,
         )
@@ -108,12 +122,12 @@
         )
         self.shutdown = GracefulShutdown(
             now=self.now,
-            phases=self.phases,
+            lifecycle=self.lifecycle,
             has_open_work=self._has_open_work,
-            fail_open_requests=lambda: self.post("closing", ()),
+            fail_open_requests=lambda: self.post(ShutdownBegan()),
             client_connections=self.client_connections,
             longest_deadline_s=max(
-                request_class.timeout_s for request_class in site.decisions["request_classes"]
+                request_class.timeout_s for request_class in site.decisions.request_classes
             ),
         )
         self._join_effects()
@@ -121,25 +135,27 @@
         if fleet is not None:
             self.fleet_link = self._build_fleet_link(fleet, controls or {})
         for event in known_commands:
-            self.post(*event)
+            self.post(event)
 
     # construction
 
     def _build_reducer(self, fleet: Fleet | None) -> Reducer:
         decisions = self.site.decisions
-        request_classes = decisions["request_classes"]
+        request_classes = decisions.request_classes
         scores = lineage = returns = None
         if self._scores_interval_s:
             from brookhinge.engine.scores import Scores
 
-            scores = Scores(request_classes, decisions["fill_policy"].transfer_kb_s)
+            scores = Scores(request_classes, decisions.fill_policy.transfer_kb_s)
         if self.site.storm:
             from brookhinge.storm.lineage import Lineage
             from brookhinge.storm.plan import Returns
 
             lineage = Lineage()
-            returns = Returns(decisions["limits"].max_retry_after_s)
-        router = router_class(fleet)(self.site.seed, machine=self.site.bounds, returns=returns, **decisions)
+            returns = Returns(decisions.limits.max_retry_after_s)
+        router = router_class(fleet)(
+            self.site.seed, machine=self.site.bounds, returns=returns, **decisions._asdict()
+        )
         return Reducer(
             router,
             [request_class.name.encode() for request_class in request_classes],
@@ -159,12 +175,12 @@
         return Front(
             self.post,
             self.log,
-            lambda: self.phases.well,
+            lambda: self.lifecycle.is_ready,
             self.has_open_requests,
             self.watch,
             {
                 request_class.name.encode(): request_class.timeout_s
-                for request_class in self.site.decisions["request_classes"]
+                for request_class in self.site.decisions.request_classes
             },
             sockets,
             self.site.bounds.memory_mb * 1024 * 1024 // CLIENT_MEMORY_SHARE,
@@ -174,16 +190,16 @@
         )
 
     def _build_upstream_connections(self, sockets: int) -> Caches:
-        lines = self.site.lines
+        upstream = self.site.upstream
         return Caches(
             self.post,
             self.log,
             self.now,
             self.start,
             self.site.columns,
-            lines.connect_s,
-            lines.idle_s,
-            lines.multiplex,
+            upstream.connect_timeout_s,
+            upstream.idle_timeout_s,
+            upstream.multiplex,
             sockets,
             STALE_ATTEMPT_S,
             self.write_guard.hold_reason,
@@ -193,14 +209,34 @@
 
     def _build_fleet_link(self, fleet: Fleet, controls: dict[str, Control]) -> FleetLink:
         link = FleetLink(fleet, controls, site=self.site, reducer=self.reducer, post=self.post, log=self.log)
-        self.rounds.before.extend(link.before_round)
-        self.rounds.join(link, "spread")
+        self.scheduler.before_round.extend(link.before_round)
+        self.scheduler.register({NotifyPeers: link.spread})
         return link
 
     def _join_effects(self) -> None:
-        self.rounds.join(self.client_connections, "satisfy", "nack", "error", "reject", "shut")
-        self.rounds.join(self.upstream_connections, "pull", "kill", "retire")
-        self.rounds.join(self, "say", "trace")
+        clients = self.client_connections
+        upstream = self.upstream_connections
+        self.scheduler.register(
+            {
+                Respond: clients.satisfy,
+                RejectRequest: clients.nack,
+                FailRequest: clients.error,
+                RefuseCall: clients.reject,
+                CloseClient: clients.close_client,
+            },
+            on_failed=clients.failed,
+        )
+        self.scheduler.register(
+            {SendAttempt: upstream.pull}, on_failed=upstream.failed, on_stale=upstream.stale
+        )
+        self.scheduler.register(
+            {
+                CancelAttempt: upstream.kill,
+                RetireServer: upstream.retire,
+                WriteLog: self.say,
+                WriteTrace: self.trace,
+            }
+        )
 
     # what the parts ask
 
@@ -214,7 +250,7 @@
     def has_open_requests(self, client: int) -> bool:
         """Return whether a client has requests open, those included that the next round takes."""
         return client in self.reducer.clients or any(
-            method == "query" and values[0] == client for method, values in self.rounds.events
+            isinstance(event, RequestReceived) and event.client == client for event in self.scheduler.events
         )
 
     def is_current(self) -> bool:
@@ -225,17 +261,17 @@
         return self.reducer.closed or self.command_channel.is_current()
 
     def _has_open_work(self) -> bool:
-        return bool(self.rounds.events or self.reducer.queries or self.client_connections.listener.open)
+        return bool(self.scheduler.events or self.reducer.queries or self.client_connections.listener.open)
 
     # effects
 
-    def say(self, event: str, values: dict[str, object]) -> None:
-        """Carry out the effect `say`: a line of the log."""
-        self.log(event, **values)
+    def say(self, effect: WriteLog) -> None:
+        """Write a line of the log."""
+        self.log(effect.event, **effect.values)
 
-    def trace(self, step: str, ref: str, values: dict[str, object]) -> None:
-        """Carry out the effect `trace`: a step of a request."""
-        self.tracer(step, ref, **values)
+    def trace(self, effect: WriteTrace) -> None:
+        """Write a step of a request to the trace."""
+        self.tracer(effect.step, effect.client_request_id, **effect.values)
 
     def _log_stall(self, stall: Stall) -> None:
         self.log(
@@ -261,11 +297,11 @@
         """
         asyncio.get_running_loop().set_exception_handler(self._log_loop_exception)
         self.watch.begin()
-        self.rounds.open()  # what is known at the start comes before the first request
+        self.scheduler.open()  # what is known at the start comes before the first request
         host, port = await self._listen()
         if self.fleet_link is not None and self._listener_fd is None:
             await self.fleet_link.join()
-        self.phases.step("ready")
+        self.lifecycle.advance(Phase.READY)
         gc.collect()
         gc.freeze()
         tasks = self._start_tasks()
@@ -277,7 +313,7 @@
             task.cancel()
         await self._close()
         self.log("totals", **self.metrics.counts(), **self.metrics.reasons())
-        self.phases.step("ended")
+        self.lifecycle.advance(Phase.ENDED)
 
     async def _listen(self) -> tuple[str, int]:
         """Return the address on which clients are accepted.
@@ -308,7 +344,7 @@
             due = self.now() + SWEEP_INTERVAL_S
             await asyncio.sleep(SWEEP_INTERVAL_S)
             self.watch.tick()
-            if not self.rounds.is_behind():  # else what is late may lie there unread
+            if not self.scheduler.is_catching_up():  # else what is late may lie there unread
                 self.upstream_connections.sweep()
                 self.client_connections.sweep()
             if self.gate is not None:
@@ -333,7 +369,7 @@
 
     async def _close(self) -> None:
         self.command_channel.close()
-        self.rounds.finish()
+        self.scheduler.finish()
         self.client_connections.listener.close()
         await self.client_connections.end(self.shutdown.last_read_at())
         self.upstream_connections.end_all()
--- a/brookhinge/purgelog/client.py
+++ b/brookhinge/purgelog/client.py
@@ -9,6 +9,7 @@
 from typing import TYPE_CHECKING
 
 from brookhinge.clock import steady
+from brookhinge.engine.events import CopyRuleChanged, PurgeLogEntryRead
 from brookhinge.purgelog.control import Machine
 from brookhinge.purgelog.endpoint import Endpoint
 from brookhinge.purgelog.subscriber import CopyRule, Subscriber
@@ -41,7 +42,7 @@
         Args:
             block: the block `fleet` of the operator's file.
             controls: its blocks `control` by name.
-            event: takes what the log says for the router's next round.
+            event: takes PurgeLogEntryRead and CopyRuleChanged for the router's next round.
             log: called as log(event, **values).
         """
         super().__init__(block.site, block.key, 1 + secrets.randbits(PROCESS_BITS), log)
@@ -99,11 +100,11 @@
 
     def entry(self, entry: Entry) -> None:
         """Post a new entry to the engine."""
-        self.event("logged", (entry.kind, entry.text, entry.number, entry.stamp_ms))
+        self.event(PurgeLogEntryRead(entry.kind, entry.text, entry.number, entry.stamp_ms))
 
     def copies(self, rule: CopyRule, purges: PurgeSet | None) -> None:
         """Post a rule for the router's own copies to the engine."""
-        self.event("copy_rule", (rule, purges))
+        self.event(CopyRuleChanged(rule, purges))
         first = self.subscriber.proven_at == -math.inf
         if not (first and rule is CopyRule.RESET):
             self.log("purge log", change=rule.name.lower(), why=rule.value)
--- a/brookhinge/standin/rollout_cluster.py
+++ b/brookhinge/standin/rollout_cluster.py
@@ -37,7 +37,7 @@
     "self.sink.reject(request.request_id, 0) if random.random() < {part} else real(self, request)"
 )
 LEAKS = (
-    "import brookhinge.engine.rounds as r; real = r.Rounds.round; kept = []; r.Rounds.round = lambda self: "
+    "import brookhinge.engine.scheduler as s; S = s.EventScheduler; real = S.run_round; kept = []; S.run_round = lambda self: "
     "(kept.append(bytearray({kb} * 1024)), real(self))[1]"
 )
 LATE = (
