--- a/brookhinge/purgelog/server.py
+++ b/brookhinge/purgelog/server.py
@@ -8,6 +8,7 @@
 from typing import TYPE_CHECKING
 
 from brookhinge.clock import steady
+from brookhinge.engine.events import Event, ObjectsPurged
 from brookhinge.net.channel import Channel
 from brookhinge.purgelog.client import PROCESS_BITS, machines_of
 from brookhinge.purgelog.control import ControlNode
@@ -42,7 +43,7 @@
         address = await self.open(self.block.listen)
         self.node = ControlNode(self.number, self.machines, self.process, self.block.proof_s, steady())
         if self.block.channel:
-            self.channel = Channel(self.told, self.log, self.block.channel, 0, self.started_at)
+            self.channel = Channel(self.take_command, self.log, self.block.channel, 0, self.started_at)
             self.following = asyncio.get_running_loop().create_task(self.channel.run())
         if self.block.metrics:
             from brookhinge.metrics import publish
@@ -53,15 +54,16 @@
         self.turn()
         return address
 
-    def told(self, method: str, values: tuple) -> None:
-        """Take an event of the command channel.
+    def take_command(self, command: Event) -> None:
+        """Take a command of the command channel; only purges count here.
 
         What stood there before this process started is not appended again.
         """
-        if method != "purged":
+        if not isinstance(command, ObjectsPurged):
             return
-        _, group, moment, key = values
-        entry = Entry(Kind.PURGE, key, -1 if key else group, round(1000 * (moment + self.started_at)))
+        key = command.object_key
+        stamp_ms = round(1000 * (command.purged_at + self.started_at))
+        entry = Entry(Kind.PURGE, key, -1 if key else command.purge_group, stamp_ms)
         self.intake.receive(steady(), entry)
         self.turn()
 
