--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -21,18 +21,18 @@
 
 
 def answer_missing():
-    from brookhinge.net.front import Front
+    from brookhinge.net.client_connections import ClientConnections
 
-    real = Front.reply
-    Front.reply = lambda self, client, number, wire: (
+    real = ClientConnections.reply
+    ClientConnections.reply = lambda self, client, number, wire: (
         chance.random() < 0.005 or real(self, client, number, wire)
     )
 
 
 def answer_late():
-    from brookhinge.net.front import Front
+    from brookhinge.net.client_connections import ClientConnections
 
-    real = Front.reply
+    real = ClientConnections.reply
 
     def reply(self, client, number, wire):
         if chance.random() < 0.005:
@@ -40,45 +40,45 @@
         else:
             real(self, client, number, wire)
 
-    Front.reply = reply
+    ClientConnections.reply = reply
 
 
 def answer_twice():
-    from brookhinge.net.front import Front
+    from brookhinge.net.client_connections import ClientConnections
 
-    real = Front.write
+    real = ClientConnections.write
 
     def write(self, client, wire):
         real(self, client, wire)
         if chance.random() < 0.01:
             real(self, client, wire)
 
-    Front.write = write
+    ClientConnections.write = write
 
 
 def closed_unanswered():
     """Idle connections are closed by the time of the last call alone, whatever is open on them."""
     from brookhinge.decisions.rules import CloseReason
-    from brookhinge.net.front import Front
+    from brookhinge.net.client_connections import ClientConnections
 
-    real = Front.sweep
+    real = ClientConnections.sweep
 
     def sweep(self):
         real(self)
         for client in list(self.clients.values()):
-            if client.asked and self.now() - client.used_at > 0.3:
+            if client.has_called and self.now() - client.used_at > 0.3:
                 self.drop(client, CloseReason.IDLE)
 
-    Front.sweep = sweep
+    ClientConnections.sweep = sweep
 
 
 def body_wrong():
     from msgspec import structs
 
-    from brookhinge.net.front import Front
+    from brookhinge.net.client_connections import ClientConnections
 
-    real = Front.satisfy
-    Front.satisfy = lambda self, effect: real(
+    real = ClientConnections.respond
+    ClientConnections.respond = lambda self, effect: real(
         self,
         structs.replace(effect, body=effect.body[:-1] if chance.random() < 0.01 else effect.body),
     )
@@ -87,9 +87,9 @@
 def sent_after_end():
     """A cancel, and a client's end, are not heeded."""
     from brookhinge.engine.reducer import Reducer
-    from brookhinge.net.front import Front
+    from brookhinge.net.client_connections import ClientConnections
 
-    Front.held_back = lambda self, client, number: None
+    ClientConnections.hold_reason = lambda self, client, number: None
     Reducer.forgotten = lambda self, client, number: None
     Reducer.client_gone = lambda self, client: None
 
--- a/benchmarks/soak/witness.py
+++ b/benchmarks/soak/witness.py
@@ -18,7 +18,7 @@
 WHOLE = ("twice", "unknown")  # ways to spoil an answer in which it comes whole all the same
 
 
-class Front:
+class ClientConnections:
     """The address of one server: connections of routers on one side, of the server on the other."""
 
     def __init__(self, witness, server, port, upstream):
@@ -186,7 +186,8 @@
         self.record, self.chance, self.serial = record, chance, 0
         self.watch = LoopWatch(time.monotonic, blind_s=LAG_S)
         self.fronts = {
-            server: Front(self, server, port, upstream) for server, (port, upstream) in spec["fronts"].items()
+            server: ClientConnections(self, server, port, upstream)
+            for server, (port, upstream) in spec["fronts"].items()
         }
 
     async def begin(self):
--- a/brookhinge/net/graceful_shutdown.py
+++ b/brookhinge/net/graceful_shutdown.py
@@ -4,7 +4,8 @@
 from collections.abc import Callable
 
 from brookhinge.engine.lifecycle import Lifecycle, Phase
-from brookhinge.net.front import LINGER_S, Front
+from brookhinge.net.client_connections import ClientConnections
+from brookhinge.net.lingering_closes import LINGER_S
 
 DRAIN_S = 0.7  # connections and requests are still accepted for so long after SIGTERM
 MAX_FINISH_S = 3.0  # then open requests have their deadline, but no longer than this, less CLOSE_RESERVE_S
@@ -33,7 +34,7 @@
         lifecycle: Lifecycle,
         has_open_work: Callable[[], bool],
         fail_open_requests: Callable[[], None],
-        client_connections: Front,
+        client_connections: ClientConnections,
         longest_deadline_s: float,
     ) -> None:
         """Prepare for a shutdown that may be requested at any time.
@@ -88,7 +89,7 @@
         has_open_work = self._has_open_work()
         if not has_open_work or self._now() >= self.deadline:
             self._fail_open_requests()
-        is_pending = has_open_work or self._client_connections.unread
+        is_pending = has_open_work or self._client_connections.memory.unsent_bytes
         if is_pending and self._now() < self.deadline + CLOSE_RESERVE_S / 2:
             asyncio.get_running_loop().call_later(CHECK_INTERVAL_S, self.check_done)
         else:
--- a/brookhinge/net/metrics_report.py
+++ b/brookhinge/net/metrics_report.py
@@ -7,7 +7,7 @@
 from brookhinge.engine.loop_watch import LoopWatch
 from brookhinge.engine.reducer import Reducer
 from brookhinge.net.caches import Caches
-from brookhinge.net.front import Front
+from brookhinge.net.client_connections import ClientConnections
 
 REPORT_INTERVAL_S = 10.0
 
@@ -22,7 +22,7 @@
         log: Callable[..., None],
         reducer: Reducer,
         watch: LoopWatch,
-        client_connections: Front,
+        client_connections: ClientConnections,
         upstream_connections: Caches,
     ) -> None:
         self._now = now
@@ -71,7 +71,7 @@
                 open=len(self._reducer.queries),
                 clients=len(self._client_connections.clients),
                 caches=len(self._upstream_connections.all),
-                unread=self._client_connections.unread,
+                unread=self._client_connections.memory.unsent_bytes,
                 late_s=round(self._now() - due, 4),
                 **{name: dict(counter - reasons_before[name]) for name, counter in reasons.items()},
             )
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -34,8 +34,8 @@
 from brookhinge.engine.scheduler import EventScheduler
 from brookhinge.net.caches import Caches
 from brookhinge.net.channel import Channel
+from brookhinge.net.client_connections import ClientConnections
 from brookhinge.net.fleet_wiring import FleetLink, router_class, safety_notices
-from brookhinge.net.front import Front
 from brookhinge.net.graceful_shutdown import GracefulShutdown
 from brookhinge.net.listener import RETRY_ACCEPT_S, SHORTAGES
 from brookhinge.net.metrics_report import MetricsReport
@@ -171,22 +171,22 @@
 
         return Gate(client_sockets)
 
-    def _build_client_connections(self, sockets: int) -> Front:
-        return Front(
-            self.post,
-            self.log,
-            lambda: self.lifecycle.is_ready,
-            self.has_open_requests,
-            self.watch,
-            {
+    def _build_client_connections(self, sockets: int) -> ClientConnections:
+        return ClientConnections(
+            post=self.post,
+            log=self.log,
+            is_ready=lambda: self.lifecycle.is_ready,
+            has_open_requests=self.has_open_requests,
+            record_violation=self._record_violation,
+            watch=self.watch,
+            max_timeout_s={
                 request_class.name.encode(): request_class.timeout_s
                 for request_class in self.site.decisions.request_classes
             },
-            sockets,
-            self.site.bounds.memory_mb * 1024 * 1024 // CLIENT_MEMORY_SHARE,
-            self.gate,
-            self._record_violation,
-            self.tracer,
+            max_connections=sockets,
+            memory_limit_bytes=self.site.bounds.memory_mb * 1024 * 1024 // CLIENT_MEMORY_SHARE,
+            gate=self.gate,
+            trace=self.tracer,
         )
 
     def _build_upstream_connections(self, sockets: int) -> Caches:
@@ -218,13 +218,13 @@
         upstream = self.upstream_connections
         self.scheduler.register(
             {
-                Respond: clients.satisfy,
-                RejectRequest: clients.nack,
-                FailRequest: clients.error,
-                RefuseCall: clients.reject,
+                Respond: clients.respond,
+                RejectRequest: clients.reject,
+                FailRequest: clients.fail,
+                RefuseCall: clients.refuse_call,
                 CloseClient: clients.close_client,
             },
-            on_failed=clients.failed,
+            on_failed=clients.drop_after_failure,
         )
         self.scheduler.register(
             {SendAttempt: upstream.pull}, on_failed=upstream.failed, on_stale=upstream.stale
--- a/brookhinge/net/write_guard.py
+++ b/brookhinge/net/write_guard.py
@@ -8,7 +8,7 @@
 from brookhinge.engine.scheduler import EventScheduler
 from brookhinge.net.caches import Decided
 from brookhinge.net.channel import Channel
-from brookhinge.net.front import Front
+from brookhinge.net.client_connections import ClientConnections
 
 MIN_TIME_LEFT_S = 0.002  # an attempt with less time than this cannot be answered in time
 
@@ -28,7 +28,7 @@
         reducer: Reducer,
         scheduler: EventScheduler,
         command_channel: Channel,
-        client_connections: Front,
+        client_connections: ClientConnections,
     ) -> None:
         self._now = now
         self._reducer = reducer
@@ -47,4 +47,4 @@
             return HeldBack.STALLED
         if self._command_channel.has_unread() or self._scheduler.has_posted(EndpointsListed, ObjectsPurged):
             return HeldBack.LIST_UNREAD
-        return self._client_connections.held_back(*self._reducer.asker(decided.query))
+        return self._client_connections.hold_reason(*self._reducer.asker(decided.query))
--- a/brookhinge/standin/rollout_cluster.py
+++ b/brookhinge/standin/rollout_cluster.py
@@ -41,7 +41,7 @@
     "(kept.append(bytearray({kb} * 1024)), real(self))[1]"
 )
 LATE = (
-    "import brookhinge.net.front as f; import asyncio; real = f.Front.satisfy; f.Front.satisfy = lambda self, *values: "
+    "import brookhinge.net.client_connections as f; import asyncio; real = f.ClientConnections.respond; f.ClientConnections.respond = lambda self, *values: "
     "asyncio.get_running_loop().call_later({late_s}, real, self, *values)"
 )
 CRASHES = "import threading, os; threading.Timer({after_s}, lambda: os._exit(3)).start()"
--- a/tests/crossings/test_rare.py
+++ b/tests/crossings/test_rare.py
@@ -16,7 +16,7 @@
 from brookhinge.engine.events import EndpointsListed, ObjectsPurged, RequestReceived
 from brookhinge.engine.reducer import Reducer
 from brookhinge.net import caches as net_caches
-from brookhinge.net import front, listener, thrift
+from brookhinge.net import client_connection, client_connections, listener, thrift
 from brookhinge.net.request_validation import MAX_BODY_BYTES
 from brookhinge.storm.lineage import Lineage
 from tests.crossings.test_sockets import Raw, warm
@@ -112,7 +112,7 @@
     """Every place is taken by clients with a query open; one more is in the backlog as the router is told to end."""
 
     async def scene(t):
-        t.service.client_connections.sockets = 1
+        t.service.client_connections.max_connections = 1
         t.caller.ask(1)
         await until(t.pulled)
         caller = await Raw(t.address).asks(1).send().caller()
@@ -134,7 +134,10 @@
         caller = await raw.send().caller()
         return await caller.hear(), await caller.hear()
 
-    assert played(scene, tmp_path, machines=caches(delay=front.FRAME_S + 0.4)) == ((1, "satisfied 19"), None)
+    assert played(scene, tmp_path, machines=caches(delay=client_connections.CALL_TIMEOUT_S + 0.4)) == (
+        (1, "satisfied 19"),
+        None,
+    )
 
 
 async def reads_nothing(t):
@@ -150,7 +153,7 @@
     for number in range(2, 32):
         raw.asks(number, lookup=f"{number:016x}").send()
         await asyncio.sleep(0.01)
-    await until(lambda: client.unread > thrift.MAX_FRAME_BYTES)
+    await until(lambda: client.unsent_bytes > thrift.MAX_FRAME_BYTES)
     return raw, client
 
 
@@ -240,7 +243,11 @@
 def test_a_connection_is_silent_only_if_the_system_says_so():
     """A look for unread bytes that fails for want of memory says nothing: a call behind it would be lost."""
     errors = errno.EAGAIN, errno.ECONNRESET, errno.ENOMEM, errno.ENOBUFS
-    silent = [front.Client(1, FailingStream(error), 0.0).silent() for error in errors]
+    memory = client_connection.MemoryUse(0)
+    silent = [
+        client_connection.ClientConnection(1, FailingStream(error), 0.0, memory).is_silent()
+        for error in errors
+    ]
     assert silent == [True, True, False, False]
 
 
@@ -410,7 +417,7 @@
                 body,
             )
         raw.send()
-        await until(lambda: client.queued > thrift.MAX_FRAME_BYTES)
+        await until(lambda: client.queued_bytes > thrift.MAX_FRAME_BYTES)
         raw.socket.shutdown(socket.SHUT_WR)
         await asyncio.sleep(0.2)
         return await pulls_of_the_first_once_its_server_fails(t, raw)
--- a/tests/crossings/test_sockets.py
+++ b/tests/crossings/test_sockets.py
@@ -18,7 +18,7 @@
 from brookhinge.decisions.rules import CloseReason
 from brookhinge.engine.events import RequestReceived, ShutdownBegan
 from brookhinge.net import caches as net_caches
-from brookhinge.net import front, program
+from brookhinge.net import client_calls, client_connection, client_connections, program
 from brookhinge.net.service import Service
 from tests.helpers import Caller, Commands, Desk, configuration, host, listed, read, settings
 from tests.test_service import ROOT, caches, played, until
@@ -91,14 +91,18 @@
 
 
 def test_a_query_that_waits_behind_a_call_refused_goes_with_its_client(tmp_path, monkeypatch):
-    monkeypatch.setattr(front, "REJECTED_S", 0.2)
+    monkeypatch.setattr(client_calls, "INVALID_CALL_PAUSE_S", 0.2)
 
     async def scene(t):
         raw = Raw(t.address).asks(1, room="-1").asks(2).send()
-        await until(lambda: any(c.waits for c in t.service.client_connections.clients.values()))
+        await until(lambda: any(c.is_paused for c in t.service.client_connections.clients.values()))
         raw.close()
         await asyncio.sleep(0.4)
-        return pulls(t), len(t.service.client_connections.clients), t.service.client_connections.held
+        return (
+            pulls(t),
+            len(t.service.client_connections.clients),
+            t.service.client_connections.memory.buffered_bytes,
+        )
 
     assert played(scene, tmp_path) == ([], 1, 0)
 
@@ -150,14 +154,14 @@
 
 def test_a_connection_is_not_closed_between_the_read_of_a_call_and_its_round(tmp_path):
     async def scene(t):
-        post = t.service.client_connections.post
+        post = t.service.client_connections.calls.post
 
         def and_close(event):
             post(event)
             if isinstance(event, RequestReceived):
-                t.service.client_connections.make_room()
+                t.service.client_connections.make_capacity()
 
-        t.service.client_connections.post = and_close
+        t.service.client_connections.calls.post = and_close
         t.caller.ask(1)
         return await t.caller.hear()
 
@@ -168,10 +172,12 @@
     """It came after the last look for it and before the close."""
 
     async def scene(t):
-        raw, silent = Raw(t.address), front.Client.silent
+        raw, silent = Raw(t.address), client_connection.ClientConnection.is_silent
         await until(lambda: len(t.service.client_connections.clients) == 2)
         monkeypatch.setattr(
-            front.Client, "silent", lambda c: raw.asks(1).send() and silent(c) if c.number == 2 else silent(c)
+            client_connection.ClientConnection,
+            "is_silent",
+            lambda c: raw.asks(1).send() and silent(c) if c.number == 2 else silent(c),
         )
         t.service.client_connections.release(t.service.client_connections.clients[2], CloseReason.IDLE)
         return await (await raw.caller()).hear()
@@ -180,7 +186,7 @@
 
 
 def test_a_call_that_crosses_a_close_of_ours_resets_nothing(tmp_path, monkeypatch):
-    monkeypatch.setattr(front, "IDLE_S", 0.1)
+    monkeypatch.setattr(client_connections, "IDLE_TIMEOUT_S", 0.1)
 
     async def scene(t):
         raw = Raw(t.address).asks(1).send()
@@ -188,13 +194,18 @@
         heard = [await caller.hear(), await caller.hear()]  # the answer, then the end
         caller.ask(2)
         await asyncio.sleep(0.05)
-        return heard, caller.reader.exception(), len(pulls(t)), len(t.service.client_connections.leaving) > 0
+        return (
+            heard,
+            caller.reader.exception(),
+            len(pulls(t)),
+            len(t.service.client_connections.lingering) > 0,
+        )
 
     assert played(scene, tmp_path) == ([(1, "satisfied 19"), None], None, 1, True)
 
 
 def test_who_breaks_the_protocol_still_hears_what_was_answered_over_unread_bytes(tmp_path, monkeypatch):
-    monkeypatch.setattr(front, "REJECTED_S", 0.0)
+    monkeypatch.setattr(client_calls, "INVALID_CALL_PAUSE_S", 0.0)
 
     async def scene(t):
         raw = Raw(t.address).asks(*range(1, 9), room="-1")
@@ -230,7 +241,7 @@
     """It is written after the last query was settled and before the connection's end."""
 
     async def scene(t):
-        raw, silent, sent = Raw(t.address), front.Client.silent, []
+        raw, silent, sent = Raw(t.address), client_connection.ClientConnection.is_silent, []
         await until(lambda: len(t.service.client_connections.clients) == 2)
 
         def crossing(client):
@@ -238,7 +249,7 @@
                 sent.append(raw.asks(1).send())
             return silent(client)
 
-        monkeypatch.setattr(front.Client, "silent", crossing)
+        monkeypatch.setattr(client_connection.ClientConnection, "is_silent", crossing)
         t.service.stop()
         await t.task
         caller = await raw.caller()
@@ -419,7 +430,7 @@
 
 def test_for_room_the_longest_idle_go_and_none_of_which_half_a_call_has_come(tmp_path):
     async def scene(t):
-        t.service.client_connections.sockets = 6
+        t.service.client_connections.max_connections = 6
         half = Raw(t.address)
         wire = half.asks(1).bytes
         half.socket.sendall(wire[:30])
@@ -427,7 +438,7 @@
         await until(
             lambda: (
                 len(t.service.client_connections.clients) == 5
-                and any(c.part_at for c in t.service.client_connections.clients.values())
+                and any(c.partial_since for c in t.service.client_connections.clients.values())
             )
         )
         t.service.client_connections.clients[1].used_at += 100.0  # the town's own, used last of all
@@ -567,7 +578,7 @@
                 caller.writer.close()
             await until(lambda: len(t.service.client_connections.clients) == 1)
             await asyncio.sleep(0.05)
-            return sum(isinstance(o, front.Client) for o in gc.get_objects())
+            return sum(isinstance(o, client_connection.ClientConnection) for o in gc.get_objects())
         finally:
             gc.enable()
 
--- a/tests/engine/test_invariants.py
+++ b/tests/engine/test_invariants.py
@@ -163,7 +163,7 @@
         t.caller.ask(1)
         await until(t.pulled)
         client = t.service.client_connections.clients[1]
-        t.service.client_connections.satisfy(Respond(1, 7, b"never asked", False))
+        t.service.client_connections.respond(Respond(1, 7, b"never asked", False))
         t.service.client_connections.drop(client, CloseReason.IDLE)
         return await t.caller.hear(), dict(t.service.reducer.invariants.violations)
 
@@ -175,8 +175,8 @@
         t.caller.ask(1)
         await until(t.pulled)
         client = t.service.client_connections.clients[1]
-        t.service.client_connections.cancel(client, 1)
-        t.service.client_connections.satisfy(Respond(1, 1, b"late", False))
+        t.service.client_connections.calls.cancel(client, 1)
+        t.service.client_connections.respond(Respond(1, 1, b"late", False))
         t.caller.ask(2)
         return await t.caller.hear(), dict(t.service.reducer.invariants.violations)
 
--- a/tests/standstill/test_every_point.py
+++ b/tests/standstill/test_every_point.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from brookhinge.net import front
+from brookhinge.net import client_connections
 from tests.crossings.test_sockets import Raw, warm
 from tests.helpers import Town
 from tests.test_service import caches, until
@@ -113,7 +113,7 @@
 def sent_on(folder, monkeypatch, how, every):
     """The steps at which the router stood still and sent an attempt on all the same; how many there were to try."""
     clock = Clock(monkeypatch)
-    monkeypatch.setattr(front, "FRESH_S", -1.0)  # each attempt is looked at
+    monkeypatch.setattr(client_connections, "EMPTY_CHECK_TTL_S", -1.0)  # each attempt is looked at
 
     async def scene(t):
         await warm(t)
@@ -142,7 +142,9 @@
 
 
 def test_it_finds_a_router_that_looks_and_does_not_heed_it(tmp_path, monkeypatch):
-    real = front.Front.held_back
-    monkeypatch.setattr(front.Front, "held_back", lambda *args: real(*args) and None)
+    real = client_connections.ClientConnections.hold_reason
+    monkeypatch.setattr(
+        client_connections.ClientConnections, "hold_reason", lambda *args: real(*args) and None
+    )
     found, _ = sent_on(tmp_path, monkeypatch, "closes", 10 * EVERY)
     assert found
--- a/tests/standstill/test_held_back.py
+++ b/tests/standstill/test_held_back.py
@@ -52,7 +52,7 @@
 
 def test_its_client_is_known_to_have_cancelled(tmp_path):
     def cancel(t, raw, decided):
-        t.service.client_connections.cancel(t.service.client_connections.clients[2], 1)
+        t.service.client_connections.calls.cancel(t.service.client_connections.clients[2], 1)
 
     assert reason_after(tmp_path, cancel) is HeldBack.CLIENT_GONE
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,7 +14,7 @@
 import pytest
 from helpers import Caller, Commands, Machine, Town, host, listed
 
-from brookhinge.net import front, graceful_shutdown, thrift
+from brookhinge.net import client_connections, graceful_shutdown, thrift
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -458,7 +458,7 @@
 
 def test_a_client_that_reads_nothing_is_given_up_and_delays_no_other(tmp_path):
     async def scene(t):
-        t.service.client_connections.most_held = 500_000
+        t.service.client_connections.memory.limit_bytes = 500_000
         made = socket.socket()
         made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         made.connect(t.address)
@@ -469,7 +469,7 @@
         t.caller.ask(1)
         return (
             await t.caller.hear(),
-            t.service.client_connections.unread,
+            t.service.client_connections.memory.unsent_bytes,
             any("bytes not read" in line for line in t.lines),
         )
 
@@ -565,7 +565,7 @@
 
 
 def test_who_says_nothing_or_half_a_query_is_closed_and_who_asked_stays(tmp_path, monkeypatch):
-    monkeypatch.setattr(front, "FRAME_S", 0.2)
+    monkeypatch.setattr(client_connections, "CALL_TIMEOUT_S", 0.2)
 
     async def scene(t):
         t.caller.ask(1)
@@ -575,7 +575,7 @@
         heard += [await silent.hear(), await half.hear()]
         t.caller.ask(2)
         heard.append(await t.caller.hear())
-        monkeypatch.setattr(front, "IDLE_S", 0.2)
+        monkeypatch.setattr(client_connections, "IDLE_TIMEOUT_S", 0.2)
         return heard + [await t.caller.hear()]
 
     assert played(scene, tmp_path) == [(1, "satisfied 19"), None, None, (2, "satisfied 19"), None]
@@ -585,7 +585,7 @@
     """Clients that ask once and hold their connection must not keep others out."""
 
     async def scene(t):
-        t.service.client_connections.sockets, held, heard = 20, [], []
+        t.service.client_connections.max_connections, held, heard = 20, [], []
         for n in range(60):
             held.append(await Caller.connect(t.address))
             if n % 2:
