--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -16,7 +16,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from benchmarks import kept
-from brookhinge.limits.terms import START
+from brookhinge.limits.lease_terms import START
 from brookhinge.standin.load import Load, uneven
 from brookhinge.standin.rig import Rig
 from brookhinge.standin.sharing import COLD, Fleet
--- a/benchmarks/view_traffic.py
+++ b/benchmarks/view_traffic.py
@@ -12,7 +12,7 @@
 import statistics
 from concurrent.futures import ProcessPoolExecutor
 
-from brookhinge.limits.terms import SILENT
+from brookhinge.limits.lease_terms import SILENT
 from brookhinge.membership.view import ALIVE, SUSPECTED
 from brookhinge.standin.virtual import Net
 
--- a/brookhinge/cli/fleet.py
+++ b/brookhinge/cli/fleet.py
@@ -14,7 +14,7 @@
 
 def ask(block, what=0, columns=COLUMNS):
     """Rows of one router's view and its digest; ends the command if nothing answers."""
-    from brookhinge.membership.look import look
+    from brookhinge.membership.status_query import look
 
     seen = asyncio.run(look(block.listen, block.site, block.key, what))
     if seen is None:
@@ -53,7 +53,7 @@
     @click.option("--router", help="Which one is asked; the first block's without.")
     @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
     def show_told(file, router, as_json):
-        from brookhinge.membership import look
+        from brookhinge.membership import status_query as look
 
         block = block_of(file, "fleet", router)[1]
         rows, _ = ask(block, getattr(look, what), columns)
--- a/brookhinge/limits/holder.py
+++ b/brookhinge/limits/lessee.py
@@ -4,7 +4,7 @@
 loan ends by itself. Nothing is subtracted late or added early: a gift counts from before its word goes out, a loan ends
 counted from before it was asked for."""
 
-from brookhinge.limits.terms import HEAD, LEAST, LEND, SILENT, START, TERM
+from brookhinge.limits.lease_terms import HEAD, LEAST, LEND, SILENT, START, TERM
 
 KEPT = 16  # words to a keeper whose moments are remembered: a loan that answers an older one is over
 
--- a/brookhinge/limits/keeper.py
+++ b/brookhinge/limits/lessor.py
@@ -1,7 +1,7 @@
 """Lends what was given to it, never more. No I/O, no clock. Any number of keepers of one limit may act at once, know
 nothing of one another, or forget all: each lends only gifts made to itself, so together they lend no more than was given."""
 
-from brookhinge.limits.terms import BEAT, DRIFT, LEND, TERM
+from brookhinge.limits.lease_terms import BEAT, DRIFT, LEND, TERM
 
 HEARD_S = 4.0 * BEAT  # a need that is not said again is over
 
--- a/brookhinge/limits/limits.py
+++ b/brookhinge/limits/limits.py
@@ -6,10 +6,10 @@
 
 import xxhash
 
-from brookhinge.limits.holder import Holder
-from brookhinge.limits.keeper import Keeper
-from brookhinge.limits.terms import BEAT, FADE, HEAD, ROWS
-from brookhinge.membership.look import LIMITS
+from brookhinge.limits.lease_terms import BEAT, FADE, HEAD, ROWS
+from brookhinge.limits.lessee import Holder
+from brookhinge.limits.lessor import Keeper
+from brookhinge.membership.status_query import LIMITS
 from brookhinge.membership.view import ALIVE
 
 EVERYWHERE = {"parent"}  # kinds that routers of all places share; all others are one place's
--- a/brookhinge/membership/peer.py
+++ b/brookhinge/membership/peer.py
@@ -10,9 +10,9 @@
 
 import math
 
-from brookhinge.membership.budget import DATAGRAM, FULL_DATAGRAM, PACKED_CLAIM, PLAIN_CLAIM, ByteBudget
-from brookhinge.membership.counting import sharers
-from brookhinge.membership.rumors import Rumors
+from brookhinge.membership.broadcast_queue import Rumors
+from brookhinge.membership.byte_budget import DATAGRAM, FULL_DATAGRAM, PACKED_CLAIM, PLAIN_CLAIM, ByteBudget
+from brookhinge.membership.fleet_size import sharers
 from brookhinge.membership.view import ALIVE, BUCKETS, LEFT, LOST, SHIFTS, SUSPECTED, View
 
 NEWS, NOTICES = 8, 6  # claims and notices in one datagram: it stays under 1,400 bytes
--- a/brookhinge/membership/talk.py
+++ b/brookhinge/membership/udp_transport.py
@@ -9,8 +9,8 @@
 
 from brookhinge.clock import steady
 from brookhinge.membership.codec import CORE_METHODS, VERSION, Codec
-from brookhinge.membership.look import MEMBERS
 from brookhinge.membership.peer import Peer
+from brookhinge.membership.status_query import MEMBERS
 from brookhinge.membership.view import STATES
 
 READ = 256  # datagrams of one pass of the loop that go into one round; the rest is the next one's
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -35,7 +35,7 @@
 
 def tightening(start):
     """What peers may tell a router: notices that tighten a rule. Imported only where there are peers."""
-    from brookhinge.membership.tight import Tight
+    from brookhinge.membership.safety_notices import Tight
 
     return Tight(start)
 
@@ -149,7 +149,7 @@
 
     def join_peers(self, fleet, controls):
         """What a router of a fleet talks about with its peers, as its block `fleet` has it."""
-        from brookhinge.membership.talk import Talk
+        from brookhinge.membership.udp_transport import Talk
 
         place = self.site.decisions["place"]
         self.talk = Talk(fleet, self.site.seed, (place.routers_here, place.routers), self.post, self.log)
@@ -182,7 +182,7 @@
                 )
             )
         if fleet.share_verdicts:
-            from brookhinge.verdicts.verdicts import Verdicts
+            from brookhinge.verdicts.outlier_detection import Verdicts
 
             own = self.reducer.router.fleet
             self.talk.add(
--- a/brookhinge/standin/capacity/hollow.py
+++ b/brookhinge/standin/capacity/hollow.py
@@ -7,12 +7,12 @@
 import time
 
 from brookhinge.limits.limits import Limits
-from brookhinge.membership.talk import Talk
+from brookhinge.membership.udp_transport import Talk
 from brookhinge.operator.schema import FLEET as FLEET_SETTINGS
 from brookhinge.operator.schema import MUST, Fleet
 from brookhinge.standin.capacity.links import LinkedTransport, Links, Traffic
 from brookhinge.standin.capacity.messages import RouterSample
-from brookhinge.verdicts.verdicts import Verdicts
+from brookhinge.verdicts.outlier_detection import Verdicts
 
 FLEET, KEY = "capacity", bytes.fromhex("0123456789abcdef" * 2)
 LEASE_S = 10.0
--- a/brookhinge/standin/lending.py
+++ b/brookhinge/standin/lending.py
@@ -5,8 +5,8 @@
 import heapq
 import random
 
+from brookhinge.limits.lease_terms import DRIFT
 from brookhinge.limits.limits import Limits
-from brookhinge.limits.terms import DRIFT
 from brookhinge.membership.view import ALIVE, LOST, View
 
 COLD = ("cache", "s-1", 5)
--- a/brookhinge/standin/rig.py
+++ b/brookhinge/standin/rig.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 
 from brookhinge.box import Box, wire
-from brookhinge.membership.look import LIMITS, VERDICTS, look
+from brookhinge.membership.status_query import LIMITS, VERDICTS, look
 from brookhinge.standin.caller import ThriftCaller
 from brookhinge.standin.channel import CommandChannel
 from brookhinge.standin.origin import Origin
--- a/brookhinge/standin/sharing.py
+++ b/brookhinge/standin/sharing.py
@@ -6,11 +6,11 @@
 from brookhinge.interface import Allowed, ColdStart, Place, Supply, Track
 from brookhinge.limits.limits import Limits
 from brookhinge.limits.shared import Sharing
-from brookhinge.membership.tight import Tight
+from brookhinge.membership.safety_notices import Tight
 from brookhinge.membership.view import ALIVE, View
 from brookhinge.standin.model import Model
+from brookhinge.verdicts.outlier_detection import Verdicts
 from brookhinge.verdicts.shared import Judging
-from brookhinge.verdicts.verdicts import Verdicts
 
 WORK, CONTRACT_S, PATIENCE_S = 0.1, 0.5, 3.0
 COLD = ColdStart(0.3, 12.0, 3.0, 1.0)
--- a/brookhinge/verdicts/verdicts.py
+++ b/brookhinge/verdicts/outlier_detection.py
@@ -10,9 +10,9 @@
 
 import xxhash
 
-from brookhinge.membership.look import VERDICTS
+from brookhinge.membership.status_query import VERDICTS
 from brookhinge.membership.view import ALIVE
-from brookhinge.verdicts import judge
+from brookhinge.verdicts import detector as judge
 from brookhinge.verdicts.evidence import Evidence, T
 
 BEAT = 0.5  # between two tellings
--- a/brookhinge/verdicts/shared.py
+++ b/brookhinge/verdicts/shared.py
@@ -2,7 +2,7 @@
 in beside own experience. No I/O, no clock."""
 
 from brookhinge.decide import Health
-from brookhinge.verdicts.verdicts import RAMP
+from brookhinge.verdicts.outlier_detection import RAMP
 
 FIRST = (
     0.1  # the part of the queries that comes back at once when a rest ends; the rest of them over the ramp
--- a/tests/limits/test_bound.py
+++ b/tests/limits/test_bound.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from brookhinge.limits import keeper
-from brookhinge.limits.holder import Holder
-from brookhinge.limits.keeper import Keeper
-from brookhinge.limits.terms import DRIFT, LEND, START, TERM
+from brookhinge.limits import lessor as keeper
+from brookhinge.limits.lease_terms import DRIFT, LEND, START, TERM
+from brookhinge.limits.lessee import Holder
+from brookhinge.limits.lessor import Keeper
 from brookhinge.membership.view import ALIVE, LOST
 from brookhinge.standin.lending import COLD, World
 
--- a/tests/limits/test_rig.py
+++ b/tests/limits/test_rig.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from brookhinge.limits.terms import LEND, START
+from brookhinge.limits.lease_terms import LEND, START
 from brookhinge.standin.load import Load, uneven
 from brookhinge.standin.rig import Rig
 
--- a/tests/limits/test_shared.py
+++ b/tests/limits/test_shared.py
@@ -4,10 +4,10 @@
 from hypothesis import strategies as st
 
 from brookhinge.interface import ColdStart
-from brookhinge.limits.holder import Holder
-from brookhinge.limits.keeper import Keeper, filled
+from brookhinge.limits.lease_terms import BEAT, LEAST, LEND, SILENT, START, TERM
+from brookhinge.limits.lessee import Holder
+from brookhinge.limits.lessor import Keeper, filled
 from brookhinge.limits.shared import SharedBudget, SharedCrowding
-from brookhinge.limits.terms import BEAT, LEAST, LEND, SILENT, START, TERM
 
 LIMIT = ("cache", "s-1", 5)
 START_OF = ColdStart(0.3, 20.0, 3.0, 1.0)
--- a/tests/membership/test_tight.py
+++ b/tests/membership/test_safety_notices.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brookhinge.membership.tight import WORSE, Tight
+from brookhinge.membership.safety_notices import WORSE, Tight
 
 
 def row(server="s", health="ready", born=None):
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brookhinge.membership.counting import sharers
+from brookhinge.membership.fleet_size import sharers
 from brookhinge.membership.view import ALIVE, LEFT, LOST, SUSPECTED, View
 
 
--- a/tests/membership/test_wire_bytes.py
+++ b/tests/membership/test_wire_bytes.py
@@ -1,6 +1,6 @@
-"""Datagrams are the same bytes release after release: literals for every kind of message, digests for whole histories.
+"""Datagrams are the same bytes in every release: literals for every message, digests for whole histories.
 
-A change here is a change of the protocol: routers of the version before would read other messages than were written.
+A failure here is a change of the protocol: routers of the version before could not read it.
 """
 
 import hashlib
@@ -76,7 +76,7 @@
 
 
 def membership_history():
-    """Losses, a cut, a crash with a restart, a freeze, a leaver, a name held twice, a member of another version."""
+    """Losses, a cut, a crash with a restart, a freeze, a leaver, a name held twice, another version."""
     net = RecordingNet(41, loss=0.1, double=0.05)
     for n in range(1, 13):
         net.add(n)
@@ -131,7 +131,7 @@
 
 
 class RecordingFleet(Fleet):
-    """Routers that share limits and outlier evidence; each message is logged as the datagram that carries it."""
+    """Routers that share limits and evidence; each message is logged as the datagram that carries it."""
 
     def __init__(self, *args, **links):
         self.log = DatagramLog()
--- a/tests/rollout/test_rig_worse.py
+++ b/tests/rollout/test_rig_worse.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from brookhinge.limits.terms import START
+from brookhinge.limits.lease_terms import START
 from brookhinge.standin import rolling
 from brookhinge.standin.load import Load
 from tests.limits.test_rig import ROOM, WINDOW_S, WORK_S
--- a/tests/verdicts/test_judge.py
+++ b/tests/verdicts/test_detector.py
@@ -3,8 +3,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from brookhinge.verdicts.detector import at_fault, outweighs, own_trouble, pooled, troubled
 from brookhinge.verdicts.evidence import LATE, Evidence, T
-from brookhinge.verdicts.judge import at_fault, outweighs, own_trouble, pooled, troubled
 
 A, B, C, D, E = (("s-%d" % k, 0) for k in range(1, 6))
 
