--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -17,8 +17,10 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from benchmarks import kept
+from brookhinge.membership.claims import PRESENT_STATES, MemberState
+from brookhinge.membership.local_member import Identity
+from brookhinge.membership.messages import Announcement, Received
 from brookhinge.membership.peer import Peer
-from brookhinge.membership.view import ALIVE, LOST, SUSPECTED
 from brookhinge.standin.rig import Rig
 from brookhinge.standin.virtual import Net
 
@@ -28,7 +30,7 @@
 def state_of(host, name):
     v = host.peer.view
     i = v.index.get(name)
-    return None if i is None else v.state[i]
+    return None if i is None else v.states[i]
 
 
 def until(net, holds, most, step=0.02):
@@ -74,10 +76,12 @@
         net, lambda h: h.n == 2 or notice in h.notices, 10.0
     )
     net.kill(5)
-    told["crash_first"], told["crash_most"] = first_and_most(net, lambda h: state_of(h, "n5") == LOST, 60.0)
+    told["crash_first"], told["crash_most"] = first_and_most(
+        net, lambda h: state_of(h, "n5") == MemberState.LOST, 60.0
+    )
     net.add(count + 1)
     told["join_first"], told["join_most"] = first_and_most(
-        net, lambda h: state_of(h, f"n{count + 1}") in (ALIVE, SUSPECTED), 30.0
+        net, lambda h: state_of(h, f"n{count + 1}") in PRESENT_STATES, 30.0
     )
     if cut:
         half = count // 2
@@ -132,10 +136,9 @@
     net.run(seconds)
     del host.read, host.peer.round
     tracemalloc.start()
-    held = Peer("n0", ("10.0.0.1", 9999), "z", 1, 1, [], random.Random(1), 0.0)
+    held = Peer(Identity("n0", ("10.0.0.1", 9999), "z", 1, 1), [], random.Random(1), 0.0)
     for n, other in net.hosts.items():
-        v = other.peer.view
-        held.round(0.0, [(v.claim(v.index[other.name], 0.0), 0, (), (), "tell", ())], host)
+        held.round(0.0, [Received(other.peer.claim(0.0), 0, (), (), Announcement())], host)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return {"members": count, "core_share": round(total[0] / seconds, 5), "view_kb": round(size / 1024)}
--- a/benchmarks/view_traffic.py
+++ b/benchmarks/view_traffic.py
@@ -13,7 +13,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from brookhinge.limits.lease_terms import SILENT
-from brookhinge.membership.view import ALIVE, SUSPECTED
+from brookhinge.membership.claims import PRESENT_STATES
 from brookhinge.standin.virtual import Net
 
 SITE_ROUTERS = 16
@@ -37,8 +37,8 @@
     claims = [host.peer.view.claim(0, 0.0) for host in hosts]
     for host in hosts:
         for claim in claims:
-            host.peer.view.take(0.0, claim, claim[0])
-        host.peer.joining_until = 0.0
+            host.peer.view.apply(0.0, claim, claim.name)
+        host.peer.join_progress.joining_until = 0.0
     return net
 
 
@@ -47,14 +47,14 @@
     living = net.living()
     first = living[0].peer
     names = {host.name for host in living}
-    known = {name for name, state, *_ in first.members() if state in (ALIVE, SUSPECTED)}
+    known = {name for name, state, *_ in first.members() if state in PRESENT_STATES}
     return known == names and len({host.peer.view.digest() for host in living}) == 1
 
 
 def counted_too_few(net, configured):
     """By how many the count of any router is short of those that use a share by now."""
     using = sum(net.now - host.started_at > SILENT for host in net.living())
-    return max(using - host.peer.sharers(net.now, LEASE_S, configured) for host in net.living())
+    return max(using - host.peer.estimate_fleet_size(net.now, LEASE_S, configured) for host in net.living())
 
 
 def watch(net, seconds, configured):
--- a/brookhinge/cli/fleet.py
+++ b/brookhinge/cli/fleet.py
@@ -12,16 +12,16 @@
 COLUMNS = ["member", "state", "for_s", "by", "zone", "address"]
 
 
-def ask(block, what=0, columns=COLUMNS):
+def ask(block, topic=0, columns=COLUMNS):
     """Rows of one router's view and its digest; ends the command if nothing answers."""
-    from brookhinge.membership.status_query import look
+    from brookhinge.membership.status_query import query_status
 
-    seen = asyncio.run(look(block.listen, block.site, block.key, what))
-    if seen is None:
+    status = asyncio.run(query_status(block.listen, block.site, block.key, topic))
+    if status is None:
         refuse(
             f"{block.name}: no answer from {'%s:%d' % block.listen}: not up, another key, or another site", 1
         )
-    return [dict(zip(columns, row)) for row in seen[0]], f"{seen[1]:016x}"
+    return [dict(zip(columns, row)) for row in status.rows], f"{status.digest:016x}"
 
 
 @click.group("fleet")
@@ -43,7 +43,7 @@
     table(rows, COLUMNS, False)
 
 
-def told(what, word, columns, line, text):
+def add_topic_command(topic, word, columns, line, text):
     """A command that shows what one router says of something else than its members."""
 
     @command.command(word, help=text)
@@ -53,10 +53,10 @@
     @click.option("--router", help="Which one is asked; the first block's without.")
     @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
     def show_told(file, router, as_json):
-        from brookhinge.membership import status_query as look
+        from brookhinge.membership.messages import StatusTopic
 
         block = block_of(file, "fleet", router)[1]
-        rows, _ = ask(block, getattr(look, what), columns)
+        rows, _ = ask(block, StatusTopic[topic], columns)
         if as_json:
             return table([{"router": block.name, word: rows}], [], True)
         click.echo(line.format(name=block.name, count=len(rows)))
@@ -64,14 +64,14 @@
             table(rows, columns, False)
 
 
-told(
+add_topic_command(
     "LIMITS",
     "limits",
     PARTS,
     "{name} shares {count} limits now; of all others it has its own part",
     "What a router may use of each shared limit, as parts of the whole: its own, given away, lent, for how long.",
 )
-told(
+add_topic_command(
     "VERDICTS",
     "verdicts",
     SAID,
--- a/brookhinge/limits/limits.py
+++ b/brookhinge/limits/limits.py
@@ -9,8 +9,8 @@
 from brookhinge.limits.lease_terms import BEAT, FADE, HEAD, ROWS
 from brookhinge.limits.lessee import Holder
 from brookhinge.limits.lessor import Keeper
-from brookhinge.membership.status_query import LIMITS
-from brookhinge.membership.view import ALIVE
+from brookhinge.membership.claims import MemberState
+from brookhinge.membership.messages import LeaseOffer, LeaseRequest, StatusTopic
 
 EVERYWHERE = {"parent"}  # kinds that routers of all places share; all others are one place's
 AT_ONCE, KEEPERS = 64, 4  # limits that a keeper lends of in one beat; keepers of one kind
@@ -21,7 +21,7 @@
     was asked a second since it was last called, (kind, server, start, rate, whole) each, whole 0 where nothing is limited
     now: what a server was asked for before it started anew tells what it will be asked for."""
 
-    methods, look = ("want", "lend"), LIMITS
+    message_types, status_topic = (LeaseRequest, LeaseOffer), StatusTopic.LIMITS
 
     def __init__(self, view, name, zone, version, sharers, demand, now):
         self.view, self.name, self.zone, self.version = view, name, zone, version
@@ -49,9 +49,9 @@
         return [
             i
             for i in range(len(v.names))
-            if v.state[i] == ALIVE
-            and v.version[i] == self.version
-            and (limit[0] in EVERYWHERE or v.zone[i] == self.zone)
+            if v.states[i] == MemberState.ALIVE
+            and v.versions[i] == self.version
+            and (limit[0] in EVERYWHERE or v.zones[i] == self.zone)
         ]
 
     def keeper_of(self, limit):
@@ -71,14 +71,14 @@
         return self.holder.part(limit, self.base(limit), now)
 
     def round(self, now, inbox, writer):
-        for sender, method, values, rows in inbox:
-            self.hear(now, sender, method, values, rows, writer)
+        for sender, message, rows in inbox:
+            self.hear(now, sender, message, rows, writer)
         if now >= self.beat_at:
             self.beat_at = now + BEAT
             self.beat(now, writer)
-        self.tell(now, writer)
+        self.publish(now, writer)
 
-    def tell(self, now, writer):
+    def publish(self, now, writer):
         """Parts that are others than were told. Also called before a round of the decisions once `shrinks_at` is past: no
         part is used after its end, also by a process that was frozen meanwhile."""
         rows = []
@@ -128,7 +128,7 @@
             self.want(now, keeper, limits, writer)
         self.lend(now, writer)
 
-    def shown(self, now):
+    def status_rows(self, now):
         """(kind, server, own part, given away, lent, in use, seconds till that shrinks, keeper) of each limit."""
         rows = []
         for limit in sorted(self.asked.keys() | self.holder.given.keys() | self.holder.lent.keys()):
@@ -152,7 +152,7 @@
         return rows
 
     def want(self, now, keeper, limits, writer):
-        uid = self.view.uid[keeper]
+        uid = self.view.incarnation_ids[keeper]
         for at in range(0, len(limits), ROWS):
             wants = {
                 limit: (self.base(limit), self.asked.get(limit, 0.0)) for limit in limits[at : at + ROWS]
@@ -163,8 +163,7 @@
                 self.counts["gave"] += sum(gift > 0.0 for _, _, gift in rows)
                 self.out(
                     keeper,
-                    "want",
-                    (number, self.heard.get(uid, 0)),
+                    LeaseRequest(number, self.heard.get(uid, 0)),
                     [(*limit, round(need, 6), gift) for limit, need, gift in rows],
                     now,
                     writer,
@@ -176,22 +175,24 @@
         to = {}
         for limit in list(wanting)[:AT_ONCE]:
             for i in self.scope(limit):
-                to.setdefault(i, []).append((*limit, lent.get(limit, {}).get(self.view.uid[i], 0.0)))
+                to.setdefault(i, []).append(
+                    (*limit, lent.get(limit, {}).get(self.view.incarnation_ids[i], 0.0))
+                )
         for i, rows in to.items():
             for at in range(0, len(rows), ROWS):
                 self.counts["lend"] += 1
-                number, heard = self.keeper.number(now, self.view.uid[i])
-                self.out(i, "lend", (number, heard), rows[at : at + ROWS], now, writer)
+                number, heard = self.keeper.number(now, self.view.incarnation_ids[i])
+                self.out(i, LeaseOffer(number, heard), rows[at : at + ROWS], now, writer)
 
-    def out(self, place, method, values, rows, now, writer):
+    def out(self, place, message, rows, now, writer):
         if self.view.names[place] == self.name:  # its own keeper: nothing on the wire
-            self.hear(now, self.view.uid[place], method, values, rows, writer)
+            self.hear(now, self.view.incarnation_ids[place], message, rows, writer)
         else:
-            writer.post_to(place, method, values, rows)
+            writer.post_to(place, message, rows)
 
-    def hear(self, now, sender, method, values, rows, writer):
-        number, answers = values
-        if method == "want":
+    def hear(self, now, sender, message, rows, writer):
+        number, answers = message.number, message.acknowledged
+        if isinstance(message, LeaseRequest):
             self.keeper.hear(now, sender, number, answers, [(tuple(row[:3]), *row[3:]) for row in rows])
             return
         fresh = number > self.heard.get(sender, 0)
@@ -207,6 +208,6 @@
             limits = [tuple(row[:3]) for row in rows]
             for limit in limits:
                 self.pressed.setdefault(limit, {})[sender] = now + 4.0 * BEAT
-            place = next((i for i, uid in enumerate(self.view.uid) if uid == sender), None)
+            place = next((i for i, uid in enumerate(self.view.incarnation_ids) if uid == sender), None)
             if place is not None and self.view.names[place] != self.name:
                 self.want(now, place, limits, writer)  # at once: what it can do without goes to who lacks it
--- a/brookhinge/membership/broadcast_queue.py
+++ b/brookhinge/membership/broadcast_queue.py
@@ -1,65 +1,77 @@
-"""Which claims are still to be told to others, and how often: rumor mongering (Demers et al., PODC 1987). No I/O, no clock.
+"""Broadcast queue: which claims are still to be sent, and how often (Demers et al., PODC 1987). No I/O.
 
-Each is told a bounded number of times. For a while longer it is recent: told besides to whom a different view is seen."""
+Each is sent a bounded number of times. For a while longer it counts as recent, for members whose view is
+seen to differ.
+"""
+
+import random
+from collections.abc import Container
 
 RECENT_S = 8.0
 
 
-class Rumor:
-    __slots__ = ("left", "since", "urgent")
+class Broadcast:
+    """How often the claim about one member is still to be sent; urgent ones are outside the budget."""
+
+    __slots__ = ("queued_at", "remaining", "urgent")
 
-    def __init__(self, left, since, urgent):
-        self.left, self.since, self.urgent = left, since, urgent
+    def __init__(self, remaining: int, queued_at: float, urgent: bool) -> None:
+        """Queue it `remaining` times."""
+        self.remaining = remaining
+        self.queued_at = queued_at
+        self.urgent = urgent
 
 
-class Rumors:
-    """By member name; the claims themselves are the view's."""
+class BroadcastQueue:
+    """Broadcasts by member name; the claims themselves are the view's."""
 
-    def __init__(self):
-        self.by_name = {}
+    def __init__(self) -> None:
+        self._by_name: dict[str, Broadcast] = {}
 
-    def __contains__(self, name):
-        return name in self.by_name
+    def __contains__(self, name: str) -> bool:
+        return name in self._by_name
 
-    def names(self):
-        return list(self.by_name)
+    def names(self) -> list[str]:
+        """All members with a recent or pending broadcast."""
+        return list(self._by_name)
 
-    def add(self, name, now, repeats, urgent=False):
-        """Something new about a member, to be told so many times; urgent: whatever it costs."""
-        self.by_name.pop(name, None)
-        self.by_name[name] = Rumor(repeats, now, urgent)
+    def add(self, name: str, now: float, transmissions: int, urgent: bool = False) -> None:
+        """Queue the news of a member so many times, in place of older news of it."""
+        self._by_name.pop(name, None)
+        self._by_name[name] = Broadcast(transmissions, now, urgent)
 
-    def urgent(self):
-        """Whether any that is urgent is still to be told."""
-        return any(rumor.urgent and rumor.left > 0 for rumor in self.by_name.values())
+    def has_urgent(self) -> bool:
+        """Whether an urgent one is still to be sent."""
+        return any(one.urgent and one.remaining > 0 for one in self._by_name.values())
 
-    def received_again(self, name):
-        """Others know it too: it need be told once less often (feedback), if it is not urgent."""
-        rumor = self.by_name.get(name)
-        if rumor is not None and not rumor.urgent:
-            rumor.left -= 1
+    def received_again(self, name: str) -> None:
+        """Send it once less often, if it is not urgent: others know it too."""
+        broadcast = self._by_name.get(name)
+        if broadcast is not None and not broadcast.urgent:
+            broadcast.remaining -= 1
 
-    def pending(self):
-        """Whether any is still to be told."""
-        return any(rumor.left > 0 for rumor in self.by_name.values())
+    def has_pending(self) -> bool:
+        """Whether any is still to be sent."""
+        return any(one.remaining > 0 for one in self._by_name.values())
 
-    def take(self, count, times=1):
-        """So many names, those told least often first; each counts as told `times` more."""
-        waiting = [name for name, rumor in self.by_name.items() if rumor.left > 0]
-        waiting.sort(key=lambda name: -self.by_name[name].left)
-        for name in waiting[:count]:
-            self.by_name[name].left -= times
-        return waiting[:count]
+    def take(self, count: int, transmissions: int = 1) -> list[str]:
+        """Take so many names, the least often sent first; each counts as sent so many times more."""
+        waiting = [name for name, one in self._by_name.items() if one.remaining > 0]
+        waiting.sort(key=lambda name: -self._by_name[name].remaining)
+        taken = waiting[:count]
+        for name in taken:
+            self._by_name[name].remaining -= transmissions
+        return taken
 
-    def recent(self, count, chance):
-        """So many names at random of what was new lately."""
-        names = list(self.by_name)
-        return chance.sample(names, min(count, len(names)))
+    def sample_recent(self, count: int, rng: random.Random) -> list[str]:
+        """Draw so many names of those queued lately."""
+        names = list(self._by_name)
+        return rng.sample(names, min(count, len(names)))
 
-    def expire(self, now, known):
-        """Drops what is told and recent no more, and members that are not known any longer."""
-        self.by_name = {
-            name: rumor
-            for name, rumor in self.by_name.items()
-            if name in known and (rumor.left > 0 or now - rumor.since < RECENT_S)
+    def expire(self, now: float, known: Container[str]) -> None:
+        """Drop what is neither pending nor recent, and members that are not known any longer."""
+        self._by_name = {
+            name: one
+            for name, one in self._by_name.items()
+            if name in known and (one.remaining > 0 or now - one.queued_at < RECENT_S)
         }
--- a/brookhinge/membership/byte_budget.py
+++ b/brookhinge/membership/byte_budget.py
@@ -1,30 +1,37 @@
 """A token bucket for bytes: what a router may send beyond its probes and notices. No I/O, no clock.
 
-Sizes are estimates of what the codec writes, with the headers of IP and UDP."""
+Sizes are estimates of what the codec writes, with the headers of IP and UDP.
+"""
 
-DATAGRAM = 140  # bytes of a datagram without claims
-PLAIN_CLAIM, PACKED_CLAIM = 60, 32  # bytes of one claim as it stands, and in a compressed datagram
-FULL_DATAGRAM = 1428  # the longest datagram
+EMPTY_DATAGRAM_BYTES = 140  # without claims
+PLAIN_CLAIM_BYTES = 60
+COMPRESSED_CLAIM_BYTES = 32
+FULL_DATAGRAM_BYTES = 1428
 
 
 class ByteBudget:
-    """Tokens are bytes: `rate` of them come a second, up to `burst`. What is sent may go below nothing by one datagram."""
+    """Tokens are bytes: `rate` of them a second, up to `burst`. One datagram may overdraw it."""
 
-    def __init__(self, rate, burst, now):
-        self.rate, self.burst, self.tokens, self.at = rate, burst, burst, now
+    def __init__(self, rate: float, burst: float, now: float) -> None:
+        """Start full; `rate` in bytes a second, `burst` in bytes."""
+        self.rate = rate
+        self.burst = burst
+        self.tokens = burst
+        self.refilled_at = now
 
-    def refill(self, now):
-        self.tokens = min(self.burst, self.tokens + self.rate * max(0.0, now - self.at))
-        self.at = now
-
-    def allows(self, now):
+    def allows(self, now: float) -> bool:
         """Whether anything may be sent now."""
-        self.refill(now)
+        elapsed_s = max(0.0, now - self.refilled_at)
+        self.tokens = min(self.burst, self.tokens + self.rate * elapsed_s)
+        self.refilled_at = now
         return self.tokens > 0.0
 
-    def spend(self, size):
+    def spend(self, size: float) -> None:
+        """Take the tokens of a datagram of that many bytes."""
         self.tokens -= size
 
-    def ready_at(self):
+    def ready_at(self) -> float:
         """When something may be sent again, at the earliest."""
-        return self.at if self.tokens > 0.0 else self.at - self.tokens / self.rate
+        if self.tokens > 0.0:
+            return self.refilled_at
+        return self.refilled_at - self.tokens / self.rate
--- a/brookhinge/membership/memory.py
+++ b/brookhinge/membership/memory.py
@@ -1,64 +1,7 @@
-"""What a router that has just started is told by a peer of its place: sub-ranges of the beacon rings, what queries take, and
-which caches hold what is asked for most. No I/O, no clock. It loosens nothing: a cache is asked for what it holds with the
-oldest copy that will do as ever, and a wrong hint costs a miss.
-
-    memory.round(now, inbox, writer)
-    known()                             rows of what this router knows: (kind, text, number, text, number, number) each
-    writer.event_of("remember", rows)   what a peer knows, in pieces"""
-
-import xxhash
+"""The decisions of a router that is told warm-start state: see warm_start.py."""
 
 from brookhinge.decision_records import Doc
-from brookhinge.membership.view import ALIVE
-
-AGAIN_S, TRIES = 0.5, 6
-ROWS, MOST = 10, 200  # in one datagram; in all
-
-
-class Memory:
-    methods, look = ("recall", "memory"), None
-
-    def __init__(self, view, name, zone, version, known, now):
-        self.view, self.name, self.zone, self.version, self.known = view, name, zone, version, known
-        self.at, self.tries, self.done, self.shrinks_at = now, 0, False, float("inf")
-
-    def next_at(self):
-        return self.at if not self.done else float("inf")
-
-    def round(self, now, inbox, writer):
-        for sender, method, values, rows in inbox:
-            place = next((i for i, uid in enumerate(self.view.uid) if uid == sender), None)
-            if method == "recall" and place is not None and self.done:
-                told = self.known()[:MOST]
-                for at in range(0, len(told), ROWS):
-                    writer.post_to(place, "memory", (at, len(told)), told[at : at + ROWS])
-            elif method == "memory" and self.tries and rows:
-                self.done = True
-                writer.event_of("remember", [tuple(row) for row in rows])
-        if not self.done and now >= self.at:
-            self.ask(now, writer)
-
-    def ask(self, now, writer):
-        """One peer after another, until one answers; whoever has nobody to ask has begun with the others."""
-        self.at = now + AGAIN_S
-        v = self.view
-        peers = [
-            i
-            for i in range(len(v.names))
-            if v.state[i] == ALIVE
-            and v.zone[i] == self.zone
-            and v.version[i] == self.version
-            and v.names[i] != self.name
-        ]
-        self.tries += 1
-        if self.tries > TRIES:
-            self.done = True
-        elif peers:
-            order = sorted(peers, key=lambda i: xxhash.xxh64_intdigest(f"{self.name} {v.names[i]}".encode()))
-            writer.post_to(order[self.tries % len(order)], "recall", (0, 0), [])
-
-    def tell(self, now, writer):
-        """Nothing here ends by itself."""
+from brookhinge.membership.warm_start import MAX_ROWS as MOST
 
 
 class Remembering:
--- a/brookhinge/membership/metrics.py
+++ b/brookhinge/membership/metrics.py
@@ -1,45 +1,59 @@
-"""A router's figures of its fleet, read from the thread that serves them: whole lists are copied, nothing is changed."""
+"""A router's metrics of its fleet, read from the thread that serves them: lists are copied first."""
 
+from collections.abc import Iterator
+from typing import TYPE_CHECKING
+
+from prometheus_client import Metric
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
-from brookhinge.membership.view import STATES
+from brookhinge.membership.claims import MemberState
+
+if TYPE_CHECKING:
+    from brookhinge.membership.udp_transport import UdpTransport
+
 
+class FleetCollector:
+    """Collects the metrics of one transport and its peer."""
 
-class Figures:
-    def __init__(self, talk):
-        self.talk = talk
+    def __init__(self, transport: "UdpTransport") -> None:
+        self.transport = transport
 
-    def collect(self):
-        talk, states = self.talk, list(self.talk.peer.view.state)
+    def collect(self) -> Iterator[Metric]:
+        """Yield all metrics, as prometheus_client asks."""
+        transport = self.transport
+        states = list(transport.peer.view.states)
         members = GaugeMetricFamily(
             "brookhinge_fleet_members", "routers by what is believed of them", labels=["state"]
         )
-        for k, state in enumerate(STATES):
-            members.add_metric([state], states.count(k))
+        for state in MemberState:
+            members.add_metric([state.label], states.count(state))
         yield members
         sharers = GaugeMetricFamily(
             "brookhinge_fleet_sharers", "by how many limits are divided", labels=["where"]
         )
-        for where, count in zip(("here", "all"), talk.counted):
-            sharers.add_metric([where], count)
+        sharers.add_metric(["here"], transport.fleet_size.in_zone)
+        sharers.add_metric(["all"], transport.fleet_size.total)
         yield sharers
         yield GaugeMetricFamily(
             "brookhinge_fleet_local_health",
             "0: probes come back; up to 8: this router is slow or its link is",
-            talk.peer.health,
+            transport.peer.health.score,
         )
         yield GaugeMetricFamily(
-            "brookhinge_fleet_out", "1: an older process holds this router's name", int(talk.peer.out)
+            "brookhinge_fleet_out",
+            "1: an older process holds this router's name",
+            int(transport.peer.stopped),
         )
-        for name, told, help_ in (
-            ("datagrams", talk.codec.counts, "sent, taken, or why one was dropped"),
-            ("changes", talk.changes, "of members, as in the log"),
-        ):
-            counts = CounterMetricFamily(f"brookhinge_fleet_{name}", help_, labels=["kind"])
-            for kind, count in list(told.items()):
-                counts.add_metric([kind], count)
-            yield counts
-        if talk.purge_log is not None:
+        yield _counter("datagrams", "sent, taken, or why one was dropped", transport.codec.counts)
+        yield _counter("changes", "of members, as in the log", transport.changes)
+        if transport.purge_log is not None:
             from brookhinge.purgelog.metrics import router_figures
 
-            yield from router_figures(talk.purge_log)
+            yield from router_figures(transport.purge_log)
+
+
+def _counter(name: str, documentation: str, counts: dict[str, int]) -> CounterMetricFamily:
+    family = CounterMetricFamily(f"brookhinge_fleet_{name}", documentation, labels=["kind"])
+    for kind, count in list(counts.items()):
+        family.add_metric([str(kind)], count)
+    return family
--- a/brookhinge/membership/status_query.py
+++ b/brookhinge/membership/status_query.py
@@ -1,55 +1,87 @@
-"""An onlooker's question to one router: what it believes of its fleet. The onlooker joins nothing."""
+"""Status queries: an observer asks one router what it believes, without joining the fleet."""
 
 import asyncio
 import random
 import time
+from typing import NamedTuple
 
+from brookhinge.membership.claims import Claim, MemberState
 from brookhinge.membership.codec import Codec
+from brookhinge.membership.local_member import INCARNATION_ID_BITS
+from brookhinge.membership.messages import Received, StatusRequest, StatusResponse, StatusTopic
 
-TRIES, WAIT_S = 4, 0.4
-MEMBERS, LIMITS, VERDICTS = range(3)  # what can be asked for
+MAX_UNANSWERED = 4
+ANSWER_TIMEOUT_S = 0.4
+LEAST_WAIT_S = 0.01
+OBSERVER_NAME = "?"  # names of members never begin with it
 
 
-class Onlooker(asyncio.DatagramProtocol):
-    def __init__(self, codec):
-        self.codec, self.answers = codec, asyncio.Queue()
+class Status(NamedTuple):
+    """All rows of one topic, in order, and the digest of the router's view."""
 
-    def datagram_received(self, data, address):
-        message = self.codec.read(data)
-        if message is not None and message[4] == "seen":
-            self.answers.put_nowait(message)
+    rows: list[list]
+    digest: int
 
 
-async def look(address, site, key, what=MEMBERS):
-    """(rows, digest) of the router that listens at address, in order; None if nothing answers. Rows of members: (member,
-    state, seconds since, by whose claim, zone, address); of limits and verdicts as their cores' `shown` says. A view that
-    changes while it is read is read again."""
-    uid = random.getrandbits(62)
+class Observer(asyncio.DatagramProtocol):
+    """Queues the status responses that come."""
+
+    def __init__(self, codec: Codec) -> None:
+        self.codec = codec
+        self.responses: asyncio.Queue[Received] = asyncio.Queue()
+
+    def datagram_received(self, data: bytes, address: tuple) -> None:
+        """Queue a status response; anything else is dropped."""
+        received = self.codec.read(data)
+        if received is not None and isinstance(received.message, StatusResponse):
+            self.responses.put_nowait(received)
+
+
+async def query_status(
+    address: tuple[str, int], site: str, key: bytes, topic: StatusTopic = StatusTopic.MEMBERS
+) -> Status | None:
+    """Read all rows of a topic from the router at an address; None if nothing answers.
+
+    Rows of members: (member, state, seconds since, by whose claim, zone, address); of limits and verdicts
+    as their cores' `status_rows` says. A view that changes while it is read is read again.
+    """
     codec = Codec(site, key)
-    transport, onlooker = await asyncio.get_running_loop().create_datagram_endpoint(
-        lambda: Onlooker(codec), remote_addr=address
+    transport, observer = await asyncio.get_running_loop().create_datagram_endpoint(
+        lambda: Observer(codec), remote_addr=address
     )
-    me = ("?", uid, 0, 0, 0, *transport.get_extra_info("sockname")[:2], "", 1, 0.0)
-    rows, tries, digest = [], 0, None
+    host, port = transport.get_extra_info("sockname")[:2]
+    incarnation_id = random.getrandbits(INCARNATION_ID_BITS)
+    claim = Claim(OBSERVER_NAME, incarnation_id, 0, 0, MemberState.ALIVE, host, port, "", 1, 0.0)
     try:
-        while tries < TRIES:
-            transport.sendto(codec.write(me, 0, "look", (len(rows), what), [], []))
-            end = time.monotonic() + WAIT_S
-            try:
-                _, seen, _, shown, _, (at, total) = await asyncio.wait_for(
-                    onlooker.answers.get(), max(0.01, end - time.monotonic())
-                )
-            except TimeoutError:
-                tries += 1
-                continue
-            if digest not in (None, seen) and rows:
-                rows, digest, tries = [], None, tries + 1
-                continue
-            digest = seen
-            if at == len(rows):
-                rows += shown
-            if len(rows) >= total:
-                return sorted(rows), digest
-        return None
+        return await _read_rows(transport, observer, claim, topic)
     finally:
         transport.close()
+
+
+async def _read_rows(
+    transport: asyncio.DatagramTransport, observer: Observer, claim: Claim, topic: StatusTopic
+) -> Status | None:
+    rows: list[list] = []
+    unanswered = 0
+    digest = None
+    while unanswered < MAX_UNANSWERED:
+        transport.sendto(observer.codec.write(claim, 0, StatusRequest(len(rows), topic), [], []))
+        deadline = time.monotonic() + ANSWER_TIMEOUT_S
+        try:
+            received = await asyncio.wait_for(
+                observer.responses.get(), max(LEAST_WAIT_S, deadline - time.monotonic())
+            )
+        except TimeoutError:
+            unanswered += 1
+            continue
+        if digest not in (None, received.digest) and rows:
+            rows = []
+            digest = None
+            unanswered += 1
+            continue
+        digest = received.digest
+        if received.message.offset == len(rows):
+            rows += received.notices
+        if len(rows) >= received.message.total:
+            return Status(sorted(rows), digest)
+    return None
--- a/brookhinge/membership/udp_transport.py
+++ b/brookhinge/membership/udp_transport.py
@@ -1,4 +1,4 @@
-"""Joins a peer to UDP on an asyncio loop. Decides nothing: datagrams in, rounds, datagrams out, changes to the log."""
+"""Joins a peer to UDP on an asyncio loop: datagrams in, rounds, datagrams out, changes to the log."""
 
 import asyncio
 import collections
@@ -6,220 +6,285 @@
 import os
 import random
 import time
+from collections.abc import Callable, Sequence
+from typing import TYPE_CHECKING
+
+import msgspec
 
 from brookhinge.clock import steady
-from brookhinge.membership.codec import CORE_METHODS, VERSION, Codec
+from brookhinge.membership.claims import Claim
+from brookhinge.membership.codec import CORE_MESSAGES, VERSION, Codec
+from brookhinge.membership.core import Core
+from brookhinge.membership.fleet_size import FleetSize
+from brookhinge.membership.local_member import Identity
+from brookhinge.membership.messages import (
+    Announcement,
+    CoreMessage,
+    Notice,
+    Received,
+    Row,
+    StatusRequest,
+    StatusResponse,
+    StatusTopic,
+)
 from brookhinge.membership.peer import Peer
-from brookhinge.membership.status_query import MEMBERS
-from brookhinge.membership.view import STATES
+from brookhinge.membership.status_query import OBSERVER_NAME
+from brookhinge.membership.view import MemberChange
 
-READ = 256  # datagrams of one pass of the loop that go into one round; the rest is the next one's
-LEAVING_S = 0.05  # after the claim of leaving, so that it is out before the socket closes
+if TYPE_CHECKING:
+    from brookhinge.operator.schema import Fleet
 
+MAX_INBOX = 256  # datagrams that one round takes; more that come before it are dropped
+LEAVE_FLUSH_S = 0.05  # until the claim of leaving is out and the socket may close
+COUNT_INTERVAL_S = 1.0
+LEAST_WAIT_S = 0.001
+STATUS_ROWS = 6  # in one datagram
 
-class Talk(asyncio.DatagramProtocol):
-    """One router among its peers: `await start()`, `spread(kind, values)`, `await leave()`.
 
-    block    `fleet` of the operator's file: name, listen, join, site, key, zone, lease_s
-    configured  how many routers the settings tell of: at this place, and in all
-    event    called with (method, values) for the reducer: `notice` and `peers`
-    log      called as log(event, **values)
+class UdpTransport(asyncio.DatagramProtocol):
+    """One router among its peers: `await start()`, `spread(kind, *values)`, `await leave()`."""
 
-    What else peers talk about joins by `add`: a core with `methods`, round(now, inbox, writer), next_at(), and
-    tell(now, writer), which is called before a round of the decisions once its `shrinks_at` is past."""
+    def __init__(
+        self,
+        settings: "Fleet",
+        seed: object,
+        configured: Sequence[int],
+        event: Callable[[str, tuple], None],
+        log: Callable[..., None],
+    ) -> None:
+        """Prepare a router; nothing is sent before `start`.
 
-    def __init__(self, block, seed, configured, event, log):
-        self.block, self.event, self.log, self.seed = block, event, log, seed
-        self.codec, self.inbox, self.due, self.timer, self.transport = (
-            Codec(block.site, block.key),
-            [],
-            False,
-            None,
-            None,
-        )
-        self.makers, self.cores, self.core_of = [], [], {}
-        self.changes, self.server = collections.Counter(), None
-        self.purge_log = None  # its LogClient, where there is one: its figures are served with these
-        self.configured, self.counted, self.count_at = configured, configured, 0.0
+        Args:
+            settings: the block `fleet` of the operator's file.
+            seed: of chance, with the moment of the start.
+            configured: how many routers the settings tell of, in the zone and in all.
+            event: called with (method, values) for the engine: `notice` and `peers`.
+            log: called as log(event, **values).
+        """
+        self.settings = settings
+        self.seed = seed
+        self.event = event
+        self.log = log
+        self.codec = Codec(settings.site, settings.key)
+        self.transport: asyncio.DatagramTransport | None = None
+        self.changes: collections.Counter[MemberChange] = collections.Counter()
+        self.purge_log = None  # a LogClient, if there is one: its metrics are served with these
+        self.configured = FleetSize(*configured)
+        self.fleet_size = self.configured
+        self.timer: asyncio.TimerHandle | None = None
+        self._inbox: list[Received] = []
+        self._is_round_scheduled = False
+        self._next_count_at = 0.0
+        self._metrics_server = None
+        self._core_factories: list[Callable[[UdpTransport, float], Core]] = []
+        self._cores: list[Core] = []
+        self._core_of: dict[type, Core] = {}
+        self._core_inboxes: dict[int, list[CoreMessage]] = {}
+
+    def add(self, factory: Callable[["UdpTransport", float], Core]) -> None:
+        """Register a core; `factory(transport, now)` makes it once the peer is made."""
+        self._core_factories.append(factory)
 
-    async def start(self):
+    async def start(self) -> tuple[str, int]:
+        """Bind the socket and join; the address that members see."""
         loop = asyncio.get_running_loop()
-        self.transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self.block.listen)
-        address = self.block.advertise or self.transport.get_extra_info("sockname")[:2]
-        born = round(time.time() * 1000)  # two starts with one seed are two processes all the same
-        self.peer = Peer(
-            self.block.name,
-            address,
-            self.block.zone,
-            VERSION,
-            born,
-            list(self.block.join),
-            random.Random(f"{self.seed} {born} {os.getpid()}"),
-            time.monotonic(),
-        )
-        if self.block.metrics:
-            from brookhinge.membership.metrics import Figures
+        self.transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self.settings.listen)
+        address = self.settings.advertise or self.transport.get_extra_info("sockname")[:2]
+        started_at_ms = round(time.time() * 1000)
+        identity = Identity(self.settings.name, address, self.settings.zone, VERSION, started_at_ms)
+        # Two starts with one seed are two processes all the same.
+        rng = random.Random(f"{self.seed} {started_at_ms} {os.getpid()}")
+        self.peer = Peer(identity, list(self.settings.join), rng, time.monotonic())
+        self._serve_metrics()
+        host, port = address
+        metrics = {"metrics": self._metrics_server.server_port} if self._metrics_server else {}
+        self.log("fleet", change="listening", address=f"{host}:{port}", **metrics)
+        self._cores = [make(self, steady()) for make in self._core_factories]
+        self._core_of = {kind: core for core in self._cores for kind in core.message_types}
+        self._core_inboxes = {id(core): [] for core in self._cores}
+        self.run_round()
+        return address
+
+    def _serve_metrics(self) -> None:
+        if self.settings.metrics:
+            from brookhinge.membership.metrics import FleetCollector
             from brookhinge.metrics import publish
 
-            self.server, _ = publish(Figures(self), self.block.metrics)
-        self.log(
-            "fleet",
-            change="listening",
-            address="%s:%d" % address,
-            **({"metrics": self.server.server_port} if self.server else {}),
-        )
-        self.cores = [make(self, steady()) for make in self.makers]
-        self.core_of = {method: core for core in self.cores for method in core.methods}
-        self.core_inboxes = {id(core): [] for core in self.cores}
-        self.turn()
-        return address
+            self._metrics_server, _ = publish(FleetCollector(self), self.settings.metrics)
+
+    # receiving
 
-    def datagram_received(self, data, address):
-        message = self.codec.read(data)
-        if message is None:
+    def datagram_received(self, data: bytes, address: tuple) -> None:
+        """Queue a datagram for the next round, or answer an observer at once."""
+        received = self.codec.read(data)
+        if received is None:
             return
-        if message[0][0].startswith("?"):
-            return self.shown(message, address)
-        if len(self.inbox) < READ:
-            claim, digest, news, rows, method, values = message
-            if method in CORE_METHODS:  # its sender is a member as any other, the rest is not the peer's
-                if method in self.core_of:
-                    self.core_inboxes[id(self.core_of[method])].append((claim[1], method, values, rows))
-                message = claim, digest, news, (), "tell", ()
-            self.inbox.append(message)
-        if not self.due:
-            self.due = True
-            asyncio.get_running_loop().call_soon(self.turn)
-
-    def error_received(self, fault):
-        pass  # nobody there: silence says the same
-
-    def turn(self):
-        """One round: what came since the last one, and what is due."""
-        self.due, inbox, self.inbox = False, self.inbox, []
+        if received.sender.name.startswith(OBSERVER_NAME):
+            self._answer_observer(received, address)
+            return
+        if len(self._inbox) < MAX_INBOX:
+            self._inbox.append(self._route_to_core(received))
+        if not self._is_round_scheduled:
+            self._is_round_scheduled = True
+            asyncio.get_running_loop().call_soon(self.run_round)
+
+    def error_received(self, fault: OSError) -> None:
+        """Ignore that nobody listens at an address: silence says the same."""
+
+    def _route_to_core(self, received: Received) -> Received:
+        """Queue the message of a core; return what is left for the peer."""
+        message = received.message
+        if not isinstance(message, CORE_MESSAGES):
+            return received
+        core = self._core_of.get(type(message))
+        if core is not None:
+            sender_id = received.sender.incarnation_id
+            self._core_inboxes[id(core)].append(CoreMessage(sender_id, message, received.notices))
+        return received._replace(notices=(), message=Announcement())
+
+    # rounds
+
+    def run_round(self) -> None:
+        """Run the peer and the cores on what was received since the last round, and on what is due."""
+        self._is_round_scheduled = False
+        inbox = self._inbox
+        self._inbox = []
         if self.transport is None or self.transport.is_closing():
             return
         self.peer.round(time.monotonic(), inbox, self)
         now = time.monotonic()
-        if now >= self.count_at:
-            self.count(now)
-        wait = self.peer.next_at() - now
-        for core in self.cores if not self.peer.out else ():
-            core_inbox, self.core_inboxes[id(core)] = self.core_inboxes[id(core)], []
-            at = steady()
-            core.round(at, core_inbox, self)
-            wait = min(wait, core.next_at() - at)
+        if now >= self._next_count_at:
+            self._update_fleet_size(now)
+        wait_s = self.peer.next_at() - now
+        if not self.peer.stopped:
+            wait_s = min(wait_s, self._run_cores())
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = (
-            None if wait == math.inf else asyncio.get_running_loop().call_later(max(0.001, wait), self.turn)
-        )
+        self.timer = None
+        if wait_s != math.inf:
+            loop = asyncio.get_running_loop()
+            self.timer = loop.call_later(max(LEAST_WAIT_S, wait_s), self.run_round)
+
+    def _run_cores(self) -> float:
+        """Run all cores; seconds until the next one is due."""
+        wait_s = math.inf
+        for core in self._cores:
+            inbox = self._core_inboxes[id(core)]
+            self._core_inboxes[id(core)] = []
+            now = steady()
+            core.round(now, inbox, self)
+            wait_s = min(wait_s, core.next_at() - now)
+        return wait_s
 
-    def before(self):
-        """Before a round of the decisions: nothing that ends by itself is used after its end."""
-        for core in self.cores:
+    def before_engine_round(self) -> None:
+        """Publish what has ended by itself, so that the engine's next round does not use it."""
+        for core in self._cores:
             if steady() >= core.shrinks_at:
-                core.tell(steady(), self)
-
-    def count(self, now):
-        """How many share the limits, looked at after each change and each second."""
-        self.count_at = now + 1.0
-        lease = self.block.lease_s
-        counted = (
-            self.peer.sharers(now, lease, self.configured[0], self.block.zone),
-            self.peer.sharers(now, lease, self.configured[1]),
-        )
-        if counted != self.counted:
-            self.counted = counted
-            self.log("fleet", change="sharers", here=counted[0], all=counted[1])
-            self.event("peers", counted)
+                core.publish(steady(), self)
+
+    def _update_fleet_size(self, now: float) -> None:
+        """Tell the engine by how many limits are divided, after each change and each second."""
+        self._next_count_at = now + COUNT_INTERVAL_S
+        lease_s = self.settings.lease_s
+        in_zone = self.peer.estimate_fleet_size(now, lease_s, self.configured.in_zone, self.settings.zone)
+        total = self.peer.estimate_fleet_size(now, lease_s, self.configured.total)
+        if (in_zone, total) != self.fleet_size:
+            self.fleet_size = FleetSize(in_zone, total)
+            self.log("fleet", change="sharers", here=in_zone, all=total)
+            self.event("peers", (in_zone, total))
 
-    def spread(self, kind, *values):
+    # what the service asks
+
+    def spread(self, kind: str, *values: object) -> None:
+        """Tell all members something that tightens a rule."""
         self.peer.spread(time.monotonic(), kind, values, self)
 
-    async def leave(self):
-        """Tells the peers that this router goes, and closes."""
+    async def leave(self) -> None:
+        """Tell the members that this router goes, and close."""
         if self.transport is None:  # it never got to join
             return
         self.peer.leave(time.monotonic(), self)
-        await asyncio.sleep(LEAVING_S)
+        await asyncio.sleep(LEAVE_FLUSH_S)
         if self.timer is not None:
             self.timer.cancel()
-        if self.server is not None:
-            self.server.shutdown()
+        if self._metrics_server is not None:
+            self._metrics_server.shutdown()
         self.transport.close()
 
-    def shown(self, message, address):
-        """An operator looks: rows of the view from a place on, and how many there are."""
-        claim, _, _, _, method, values = message
-        if method != "look":
+    # status
+
+    def _answer_observer(self, received: Received, address: tuple) -> None:
+        """Send some rows of a topic, from an offset on."""
+        request = received.message
+        if not isinstance(request, StatusRequest):
             return
-        v, now, (at, what) = self.peer.view, time.monotonic(), values
-        if what == MEMBERS:
-            rows = [
-                (
-                    v.names[i],
-                    STATES[v.state[i]],
-                    round(now - v.since[i], 1),
-                    v.by[i],
-                    v.zone[i],
-                    "%s:%d" % v.address[i],
-                )
-                for i in range(len(v.names))
-            ]
-        else:
-            rows = next((core.shown(steady()) for core in self.cores if core.look == what), [])
+        rows = self._status_rows(request.topic)
         data = self.codec.write(
-            v.claim(v.index[self.peer.name], now),
-            v.digest(),
-            "seen",
-            (at, len(rows)),
+            self.peer.claim(time.monotonic()),
+            self.peer.view.digest(),
+            StatusResponse(request.offset, len(rows)),
             [],
-            rows[at : at + 6],
+            rows[request.offset : request.offset + STATUS_ROWS],
         )
         if data is not None:
             self.transport.sendto(data, address)
 
-    # the peer's writer
+    def _status_rows(self, topic: int) -> list[Row]:
+        if topic != StatusTopic.MEMBERS:
+            return next(
+                (core.status_rows(steady()) for core in self._cores if core.status_topic == topic), []
+            )
+        now = time.monotonic()
+        rows = []
+        for member in self.peer.members():
+            host, port = member.address
+            for_s = round(now - member.since, 1)
+            rows.append(
+                (member.name, member.state.label, for_s, member.reporter, member.zone, f"{host}:{port}")
+            )
+        return rows
 
-    def send(self, address, method, values, news, notices):
-        v = self.peer.view
-        data = self.codec.write(
-            v.claim(v.index[self.peer.name], time.monotonic()),
-            self.peer.digest(),
-            method,
-            values,
-            news,
-            notices,
-        )
+    # what the peer writes
+
+    def send(
+        self,
+        address: tuple[str, int],
+        message: msgspec.Struct,
+        updates: Sequence[Claim],
+        notices: Sequence[Notice],
+    ) -> None:
+        """Send a datagram; one that is too long even without updates is dropped and counted."""
+        claim = self.peer.claim(time.monotonic())
+        data = self.codec.write(claim, self.peer.digest(), message, updates, notices)
         if data is not None:
             self.transport.sendto(data, address)
 
-    def changed(self, change, name, by):
-        self.count_at = 0.0
+    def changed(self, change: MemberChange, name: str, reporter: str) -> None:
+        """Log a change of a member, and count the fleet anew."""
+        self._next_count_at = 0.0
         self.changes[change] += 1
-        if change == "taken":
+        if change is MemberChange.NAME_TAKEN:
             self.log(
                 "fleet",
                 change=change,
                 member=name,
-                by=by,
+                by=reporter,
                 why="an older process holds this name: this one stays out of the fleet",
             )
         else:
-            self.log("fleet", change=change, member=name, by=by, members=len(self.peer.view.living()))
+            present = len(self.peer.view.present())
+            self.log("fleet", change=change, member=name, by=reporter, members=present)
 
-    def notice(self, kind, values, by):
+    def notice(self, kind: str, values: tuple, reporter: str) -> None:
+        """Post a member's notice to the engine."""
         self.event("notice", (kind, values))
 
-    # the cores' writer
-
-    def add(self, make):
-        """make(talk, now): a core, made when the peer is."""
-        self.makers.append(make)
+    # what the cores write
 
-    def post_to(self, place, method, values, rows):
-        self.send(self.peer.view.address[place], method, values, [], rows)
+    def post_to(self, i: int, message: msgspec.Struct, rows: Sequence[Row]) -> None:
+        """Send a core's message to the member at a position."""
+        self.send(self.peer.view.addresses[i], message, [], rows)
 
-    def event_of(self, method, *values):
+    def event_of(self, method: str, *values: object) -> None:
+        """Post a core's event to the engine."""
         self.event(method, values)
--- a/brookhinge/membership/view.py
+++ b/brookhinge/membership/view.py
@@ -1,131 +1,225 @@
-"""What one router knows of each router of its fleet, and which of two claims about a router holds. No I/O, no clock.
+"""What one router knows of each of its fleet, and which of two claims holds. No I/O, no clock.
 
-A claim is (name, uid, born, inc, state, host, port, zone, version, age):
-    uid      a process: drawn at its start        born   its start by its own wall clock, ms: tells the older of two
-    inc      raised by the process itself alone, over all it has received under its name: the newer claim about it wins
-    age      seconds since it left or was lost; 0.0 else
-Claims merge in any order and any number to the same view: the properties in tests/membership hold it to that."""
+Claims merge in any order and any number to the same view: the properties in tests/membership hold it to that.
+"""
 
+import enum
 import zlib
 
 import xxhash
 
-ALIVE, SUSPECTED, LOST, LEFT = range(4)
-STATES = ("alive", "suspected", "lost", "left")
-BUCKETS = 64  # parts in which views are compared
-SHIFTS = 49  # places in a digest of 64 bits from which 16 bits can be taken
-
+from brookhinge.membership.claims import GONE_STATES, PRESENT_STATES, Claim, MemberState
 
-class View:
-    """Parallel arrays by place; a name has one place as long as it is remembered."""
-
-    def __init__(self, remember_s):
-        self.remember_s, self.index = remember_s, {}
-        self.arrays = [[] for _ in range(10)]
-        (
-            self.names,
-            self.uid,
-            self.born,
-            self.inc,
-            self.state,
-            self.address,
-            self.zone,
-            self.version,
-            self.since,
-            self.by,
-        ) = self.arrays
-        self.digests = [0] * BUCKETS
-        self.ghosts = []  # (when its process was last believed alive, its zone): replaced under its name, no leave received
-
-    def claim(self, i, now):
-        gone = self.state[i] in (LOST, LEFT)
-        return (
+BUCKETS = 64  # parts in which views are compared
+SHIFTS = 49  # positions in a digest of 64 bits from which 16 bits can be taken
+UINT64_MASK = 0xFFFFFFFFFFFFFFFF
+SHORT_DIGEST_MASK = 0xFFFF
+
+ALIVE = MemberState.ALIVE
+SUSPECTED = MemberState.SUSPECTED
+LOST = MemberState.LOST
+
+
+class MemberChange(enum.StrEnum):
+    """What a claim changed; the values stand in logs and metrics."""
+
+    JOINED = "joined"
+    SUSPECTED = "suspected"
+    CLEARED = "cleared"
+    LOST = "lost"
+    BACK = "back"
+    LEFT = "left"
+    RESTARTED = "restarted"
+    MOVED = "moved"
+    RENEWED = "renewed"
+    KNOWN_AS_LOST = "known as lost"
+    KNOWN_AS_LEFT = "known as left"
+    NAME_TAKEN = "taken"
+
+
+_STATE_CHANGES = {
+    MemberState.SUSPECTED: MemberChange.SUSPECTED,
+    MemberState.LOST: MemberChange.LOST,
+    MemberState.LEFT: MemberChange.LEFT,
+}
+_FIRST_KNOWN_CHANGES = {
+    MemberState.LOST: MemberChange.KNOWN_AS_LOST,
+    MemberState.LEFT: MemberChange.KNOWN_AS_LEFT,
+}
+
+
+class MembershipView:
+    """Parallel lists, one entry a member; `index` has the position of a name.
+
+    `since` is when the member came to its state, `reporters` by whose claim. `replaced` has, for each
+    process that was replaced under its name without a claim of leaving, when it was last believed alive,
+    and its zone.
+    """
+
+    def __init__(self, remember_s: float) -> None:
+        """Start empty; `remember_s`: how long the lost and the gone are kept."""
+        self.remember_s = remember_s
+        self.index: dict[str, int] = {}
+        self.names: list[str] = []
+        self.incarnation_ids: list[int] = []
+        self.started_at_ms: list[int] = []
+        self.incarnations: list[int] = []
+        self.states: list[MemberState] = []
+        self.addresses: list[tuple[str, int]] = []
+        self.zones: list[str] = []
+        self.versions: list[int] = []
+        self.since: list[float] = []
+        self.reporters: list[str] = []
+        self.replaced: list[tuple[float, str]] = []
+        self._bucket_digests = [0] * BUCKETS
+
+    def claim(self, i: int, now: float) -> Claim:
+        """What this router claims of the member at a position."""
+        state = self.states[i]
+        host, port = self.addresses[i]
+        return Claim(
             self.names[i],
-            self.uid[i],
-            self.born[i],
-            self.inc[i],
-            self.state[i],
-            *self.address[i],
-            self.zone[i],
-            self.version[i],
-            max(0.0, now - self.since[i]) if gone else 0,
+            self.incarnation_ids[i],
+            self.started_at_ms[i],
+            self.incarnations[i],
+            state,
+            host,
+            port,
+            self.zones[i],
+            self.versions[i],
+            max(0.0, now - self.since[i]) if state in GONE_STATES else 0,
         )
 
-    def holds(self, i, uid, inc, state):
-        """Whether a claim under the name of place i goes before what is known: the higher incarnation, which only the
-        process itself raises, and within one the worse news. Who has left raises it no more: leaving is for good."""
-        return (inc, uid, state) > (self.inc[i], self.uid[i], self.state[i])
+    def supersedes(self, i: int, incarnation_id: int, incarnation: int, state: MemberState) -> bool:
+        """Whether a claim about the member at a position goes before what is known.
+
+        The higher incarnation does, which only the process itself raises, and within one the worse state.
+        Who has left raises it no more: leaving is for good.
+        """
+        known = (self.incarnations[i], self.incarnation_ids[i], self.states[i])
+        return (incarnation, incarnation_id, state) > known
 
-    def take(self, now, claim, by):
-        """Merges a claim received from `by`; the name of the change, or None."""
-        name, uid, born, inc, state, host, port, zone, version, age = claim
-        if state in (LOST, LEFT) and age > self.remember_s:
+    def apply(self, now: float, claim: Claim, reporter: str) -> MemberChange | None:
+        """Merge a claim received from `reporter`; what it changed, or None."""
+        if claim.state in GONE_STATES and claim.age_s > self.remember_s:
             return None
-        i = self.index.get(name)
+        i = self.index.get(claim.name)
         if i is None:
-            i = self.index[name] = len(self.names)
-            for array, value in zip(
-                self.arrays, (name, uid, born, inc, state, (host, port), zone, version, now - age, by)
-            ):
-                array.append(value)
-            self.mix(i)
-            return "known as " + STATES[state] if state in (LOST, LEFT) else "joined"
-        if not self.holds(i, uid, inc, state):
+            self._add(now, claim, reporter)
+            return _FIRST_KNOWN_CHANGES.get(claim.state, MemberChange.JOINED)
+        if not self.supersedes(i, claim.incarnation_id, claim.incarnation, claim.state):
             return None
-        old, other, moved = self.state[i], uid != self.uid[i], (host, port) != self.address[i]
-        if other and old in (ALIVE, SUSPECTED):  # no leave was received: what it was lent may still be out
-            self.ghosts.append((now, self.zone[i]))
-        elif other and old == LOST:
-            self.ghosts.append((self.since[i], self.zone[i]))
-        self.mix(i)
-        self.uid[i], self.born[i], self.inc[i], self.state[i] = uid, born, inc, state
-        self.address[i], self.zone[i], self.version[i] = (host, port), zone, version
-        if other or old != state:
-            self.since[i], self.by[i] = now - age, by
-        self.mix(i)
-        if other:
-            return "restarted" if state in (ALIVE, SUSPECTED) else STATES[state]
-        if old == state:
-            return "moved" if moved else None if state != ALIVE else "renewed"
-        return "back" if state == ALIVE and old == LOST else "cleared" if state == ALIVE else STATES[state]
-
-    def mix(self, i):
-        """Takes a member's part into its bucket's digest, or out again. Suspicion is passing and stays out of it."""
-        state = 0 if self.state[i] == SUSPECTED else self.state[i]
-        part = f"{self.names[i]} {self.uid[i]} {self.inc[i]} {state}"
-        self.digests[self.bucket(i)] ^= xxhash.xxh64_intdigest(part.encode())
-
-    def bucket(self, i):
+        old_state = self.states[i]
+        is_other_process = claim.incarnation_id != self.incarnation_ids[i]
+        has_moved = claim.address != self.addresses[i]
+        if is_other_process:
+            self._note_replaced(now, i)
+        self._replace(now, i, claim, reporter)
+        if is_other_process:
+            return MemberChange.RESTARTED if claim.state in PRESENT_STATES else _STATE_CHANGES[claim.state]
+        return _change_of_state(old_state, claim.state, has_moved)
+
+    def _add(self, now: float, claim: Claim, reporter: str) -> None:
+        i = self.index[claim.name] = len(self.names)
+        self.names.append(claim.name)
+        self.incarnation_ids.append(claim.incarnation_id)
+        self.started_at_ms.append(claim.started_at_ms)
+        self.incarnations.append(claim.incarnation)
+        self.states.append(claim.state)
+        self.addresses.append(claim.address)
+        self.zones.append(claim.zone)
+        self.versions.append(claim.version)
+        self.since.append(now - claim.age_s)
+        self.reporters.append(reporter)
+        self._toggle_digest(i)
+
+    def _note_replaced(self, now: float, i: int) -> None:
+        """Remember a process that did not leave: what it was lent may still be in use."""
+        if self.states[i] in PRESENT_STATES:
+            self.replaced.append((now, self.zones[i]))
+        elif self.states[i] == LOST:
+            self.replaced.append((self.since[i], self.zones[i]))
+
+    def _replace(self, now: float, i: int, claim: Claim, reporter: str) -> None:
+        self._toggle_digest(i)
+        if claim.incarnation_id != self.incarnation_ids[i] or claim.state != self.states[i]:
+            self.since[i] = now - claim.age_s
+            self.reporters[i] = reporter
+        self.incarnation_ids[i] = claim.incarnation_id
+        self.started_at_ms[i] = claim.started_at_ms
+        self.incarnations[i] = claim.incarnation
+        self.states[i] = claim.state
+        self.addresses[i] = claim.address
+        self.zones[i] = claim.zone
+        self.versions[i] = claim.version
+        self._toggle_digest(i)
+
+    def _toggle_digest(self, i: int) -> None:
+        """Take a member into its bucket's digest, or out again. Suspicion passes and stays out of it."""
+        state = ALIVE if self.states[i] == SUSPECTED else self.states[i]
+        part = f"{self.names[i]} {self.incarnation_ids[i]} {self.incarnations[i]} {int(state)}"
+        self._bucket_digests[self.bucket(i)] ^= xxhash.xxh64_intdigest(part.encode())
+
+    def bucket(self, i: int) -> int:
+        """The bucket of the member at a position."""
         return zlib.crc32(self.names[i].encode()) % BUCKETS
 
-    def digest(self):
+    def digest(self) -> int:
         """One number for the whole view: two that are equal are the same view."""
         total = 0
-        for k, part in enumerate(self.digests):
-            total = (total * 31 + part) & 0xFFFFFFFFFFFFFFFF
+        for bucket_digest in self._bucket_digests:
+            total = (total * 31 + bucket_digest) & UINT64_MASK
         return total
 
-    def short_digests(self, shift):
-        """16 bits of each bucket's digest from bit `shift` on: two that are alike by chance differ at another shift."""
-        return b"".join((part >> shift & 0xFFFF).to_bytes(2, "big") for part in self.digests)
+    def short_digests(self, shift: int) -> bytes:
+        """16 bits of each bucket's digest, from bit `shift` on.
 
-    def living(self):
-        """Places of those not known to be gone."""
-        return [i for i, state in enumerate(self.state) if state in (ALIVE, SUSPECTED)]
+        Two that are alike by chance differ at another shift.
+        """
+        return b"".join(
+            (bucket_digest >> shift & SHORT_DIGEST_MASK).to_bytes(2, "big")
+            for bucket_digest in self._bucket_digests
+        )
+
+    def present(self) -> list[int]:
+        """Positions of those not known to be gone."""
+        return [i for i, state in enumerate(self.states) if state in PRESENT_STATES]
 
-    def forget(self, now):
-        """Drops who has been gone for longer than is remembered; places close up. Whether any did."""
-        old = {
+    def forget_gone(self, now: float) -> bool:
+        """Drop who has been gone for longer than is remembered; return whether positions changed."""
+        self.replaced = [(at, zone) for at, zone in self.replaced if now - at <= self.remember_s]
+        dropped = {
             i
-            for i, state in enumerate(self.state)
-            if state in (LOST, LEFT) and now - self.since[i] > self.remember_s
+            for i, state in enumerate(self.states)
+            if state in GONE_STATES and now - self.since[i] > self.remember_s
         }
-        self.ghosts = [(at, zone) for at, zone in self.ghosts if now - at <= self.remember_s]
-        if not old:
+        if not dropped:
             return False
-        for i in old:
-            self.mix(i)
-        for array in self.arrays:
-            array[:] = [value for i, value in enumerate(array) if i not in old]
+        for i in dropped:
+            self._toggle_digest(i)
+        for column in (
+            self.names,
+            self.incarnation_ids,
+            self.started_at_ms,
+            self.incarnations,
+            self.states,
+            self.addresses,
+            self.zones,
+            self.versions,
+            self.since,
+            self.reporters,
+        ):
+            column[:] = [value for i, value in enumerate(column) if i not in dropped]
         self.index = {name: i for i, name in enumerate(self.names)}
         return True
+
+
+def _change_of_state(old: MemberState, new: MemberState, has_moved: bool) -> MemberChange | None:
+    """What a newer claim about the same process changed."""
+    if old == new:
+        if has_moved:
+            return MemberChange.MOVED
+        return MemberChange.RENEWED if new == ALIVE else None
+    if new == ALIVE:
+        return MemberChange.BACK if old == LOST else MemberChange.CLEARED
+    return _STATE_CHANGES[new]
--- /dev/null
+++ b/brookhinge/membership/warm_start.py
@@ -0,0 +1,112 @@
+"""Warm-start state: what a router that has just started is told by a member of its zone. No I/O, no clock.
+
+That is sub-ranges of the beacon rings, what requests take, and which servers hold what is asked for most.
+It loosens
+nothing: a wrong hint costs a miss. The engine takes it as the event `remember`.
+"""
+
+import math
+from collections.abc import Callable, Sequence
+
+import xxhash
+
+from brookhinge.membership.claims import MemberState
+from brookhinge.membership.core import CoreWriter
+from brookhinge.membership.messages import CoreMessage, Row, WarmStartRequest, WarmStartState
+from brookhinge.membership.view import MembershipView
+
+RETRY_INTERVAL_S = 0.5
+MAX_ATTEMPTS = 6
+ROWS_PER_DATAGRAM = 10
+MAX_ROWS = 200
+
+
+class WarmStart:
+    """Asks one member after another until one answers; from then on answers others."""
+
+    message_types = (WarmStartRequest, WarmStartState)
+    status_topic = None
+    shrinks_at = math.inf
+
+    def __init__(
+        self,
+        view: MembershipView,
+        name: str,
+        zone: str,
+        version: int,
+        known_rows: Callable[[], list[Row]],
+        now: float,
+    ) -> None:
+        """Begin to ask at once.
+
+        Args:
+            view: the fleet's.
+            name: this router's.
+            zone: only members that stand there are asked.
+            version: of the protocol; only members that speak it are asked.
+            known_rows: what this router knows, (kind, text, number, text, number, number) each.
+            now: seconds.
+        """
+        self.view = view
+        self.name = name
+        self.zone = zone
+        self.version = version
+        self.known_rows = known_rows
+        self.is_done = False
+        self._next_attempt_at = now
+        self._attempts = 0
+
+    def next_at(self) -> float:
+        """When the next member is asked."""
+        return math.inf if self.is_done else self._next_attempt_at
+
+    def round(self, now: float, inbox: Sequence[CoreMessage], writer: CoreWriter) -> None:
+        """Answer, take an answer, or ask."""
+        for received in inbox:
+            if isinstance(received.message, WarmStartRequest):
+                self._answer(received.sender_id, writer)
+            elif self._attempts and received.rows:
+                self.is_done = True
+                writer.event_of("remember", [tuple(row) for row in received.rows])
+        if not self.is_done and now >= self._next_attempt_at:
+            self._ask(now, writer)
+
+    def _answer(self, sender_id: int, writer: CoreWriter) -> None:
+        """Send what is known, if this router has done asking itself."""
+        if not self.is_done or sender_id not in self.view.incarnation_ids:
+            return
+        sender = self.view.incarnation_ids.index(sender_id)
+        rows = self.known_rows()[:MAX_ROWS]
+        for offset in range(0, len(rows), ROWS_PER_DATAGRAM):
+            part = rows[offset : offset + ROWS_PER_DATAGRAM]
+            writer.post_to(sender, WarmStartState(offset, len(rows)), part)
+
+    def _ask(self, now: float, writer: CoreWriter) -> None:
+        """Ask the next member; whoever has nobody to ask has started with the others."""
+        self._next_attempt_at = now + RETRY_INTERVAL_S
+        self._attempts += 1
+        members = self._candidates()
+        if self._attempts > MAX_ATTEMPTS:
+            self.is_done = True
+        elif members:
+            writer.post_to(members[self._attempts % len(members)], WarmStartRequest(0, 0), [])
+
+    def _candidates(self) -> list[int]:
+        """Positions of the members that may be asked, in an order of this router's own."""
+        view = self.view
+        members = [
+            i
+            for i in range(len(view.names))
+            if view.states[i] == MemberState.ALIVE
+            and view.zones[i] == self.zone
+            and view.versions[i] == self.version
+            and view.names[i] != self.name
+        ]
+        return sorted(members, key=lambda i: xxhash.xxh64_intdigest(f"{self.name} {view.names[i]}".encode()))
+
+    def publish(self, now: float, writer: CoreWriter) -> None:
+        """Post nothing: nothing here ends by itself."""
+
+    def status_rows(self, now: float) -> list[Row]:
+        """No rows: there is no status topic."""
+        return []
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -149,11 +149,13 @@
 
     def join_peers(self, fleet, controls):
         """What a router of a fleet talks about with its peers, as its block `fleet` has it."""
-        from brookhinge.membership.udp_transport import Talk
+        from brookhinge.membership.udp_transport import UdpTransport
 
         place = self.site.decisions["place"]
-        self.talk = Talk(fleet, self.site.seed, (place.routers_here, place.routers), self.post, self.log)
-        self.rounds.before.append(self.talk.before)
+        self.talk = UdpTransport(
+            fleet, self.site.seed, (place.routers_here, place.routers), self.post, self.log
+        )
+        self.rounds.before.append(self.talk.before_engine_round)
         if fleet.share_limits:
             from brookhinge.limits.limits import Limits
 
@@ -163,16 +165,16 @@
                     fleet.name,
                     fleet.zone,
                     talk.peer.version,
-                    lambda: talk.counted,
+                    lambda: talk.fleet_size,
                     self.reducer.demand,
                     now,
                 )
             )
         if fleet.share_memory:
-            from brookhinge.membership.memory import Memory
+            from brookhinge.membership.warm_start import WarmStart
 
             self.talk.add(
-                lambda talk, now: Memory(
+                lambda talk, now: WarmStart(
                     talk.peer.view,
                     fleet.name,
                     fleet.zone,
@@ -191,7 +193,7 @@
                     fleet.name,
                     fleet.zone,
                     talk.peer.version,
-                    lambda: talk.counted[0],
+                    lambda: talk.fleet_size[0],
                     self.reducer.seen,
                     lambda: len(own.own),
                     now,
--- a/brookhinge/purgelog/codec.py
+++ b/brookhinge/purgelog/codec.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from brookhinge.membership.codec import Guard
+from brookhinge.membership.codec import ReplayGuard
 from brookhinge.purgelog import messages
 
 MOST_BYTES = 1400
@@ -35,7 +35,7 @@
     REASONS = ("sent", "received", "torn", "forged", "repeated", "unreadable")
 
     def __init__(self, site, key, sender):
-        self.key, self.sender, self.sequence, self.guard = key, sender, 0, Guard()
+        self.key, self.sender, self.sequence, self.guard = key, sender, 0, ReplayGuard()
         self.person = hashlib.blake2b(site.encode(), digest_size=16).digest()
         self.encoder = msgspec.msgpack.Encoder()
         self.decoder = msgspec.msgpack.Decoder(Envelope)
@@ -71,7 +71,7 @@
             return "unreadable", None
         if envelope.sender <= 0 or envelope.sequence <= 0 or not bounded(envelope.message):
             return "unreadable", None
-        if not self.guard.fresh(envelope.sender, envelope.sequence):
+        if not self.guard.accept(envelope.sender, envelope.sequence):
             return "repeated", None
         return "received", envelope
 
--- a/brookhinge/standin/capacity/hollow.py
+++ b/brookhinge/standin/capacity/hollow.py
@@ -7,7 +7,7 @@
 import time
 
 from brookhinge.limits.limits import Limits
-from brookhinge.membership.udp_transport import Talk
+from brookhinge.membership.udp_transport import UdpTransport
 from brookhinge.operator.schema import FLEET as FLEET_SETTINGS
 from brookhinge.operator.schema import MUST, Fleet
 from brookhinge.standin.capacity.links import LinkedTransport, Links, Traffic
@@ -27,7 +27,7 @@
     return Fleet(**{**defaults, **values})
 
 
-class CountedTalk(Talk):
+class CountedTalk(UdpTransport):
     """Membership on UDP whose datagrams take the links and are counted."""
 
     def __init__(self, links, traffic, held, *args):
@@ -39,7 +39,7 @@
         """Starts to speak."""
         if self.held:
             self.held = False
-            self.turn()
+            self.run_round()
 
     def datagram_received(self, data, address):
         """Counts a datagram and takes it."""
@@ -48,12 +48,12 @@
         self.traffic.count_received(data)
         super().datagram_received(data, address)
 
-    def turn(self):
+    def run_round(self):
         """The first one comes before anything was sent: from there on datagrams take the links."""
         if self.transport is not None and not isinstance(self.transport, LinkedTransport):
             self.transport = LinkedTransport(self.transport, self.links, self.traffic)
         if not self.held:
-            super().turn()
+            super().run_round()
 
 
 class HollowRouter:
@@ -132,8 +132,8 @@
             self.name,
             self.site.zone,
             version,
-            lambda: talk.counted,
-            lambda: self.demand(talk.counted[0]),
+            lambda: talk.fleet_size,
+            lambda: self.demand(talk.fleet_size[0]),
             now,
         )
 
@@ -145,7 +145,7 @@
             self.name,
             self.site.zone,
             version,
-            lambda: talk.counted[0],
+            lambda: talk.fleet_size[0],
             dict,
             lambda: len(self.servers),
             now,
@@ -223,14 +223,13 @@
 
     def claim(self):
         """What it says of itself to its peers."""
-        view = self.talk.peer.view
-        return view.claim(view.index[self.name], time.monotonic())
+        return self.talk.peer.claim(time.monotonic())
 
     def fill(self, claims):
         """Takes claims of the whole fleet, as if it had long known it."""
         view, now = self.talk.peer.view, time.monotonic()
         for claim in claims:
-            view.take(now, tuple(claim), self.name)
+            view.apply(now, claim, self.name)
 
     def sample(self):
         """Its counters up to now."""
@@ -242,6 +241,6 @@
             traffic.sent_bytes,
             traffic.received,
             traffic.received_bytes,
-            self.talk.counted[1],
-            len(self.talk.peer.view.living()),
+            self.talk.fleet_size[1],
+            len(self.talk.peer.view.present()),
         )
--- a/brookhinge/standin/capacity/messages.py
+++ b/brookhinge/standin/capacity/messages.py
@@ -2,6 +2,7 @@
 
 import msgspec
 
+from brookhinge.membership.claims import Claim
 from brookhinge.operator.capacity import Capacity
 
 
@@ -35,14 +36,14 @@
 class Started(Message):
     """Claims of the routers, as membership sends them, and their addresses."""
 
-    claims: list[tuple]
+    claims: list[Claim]
     addresses: list[tuple[str, int]]
 
 
 class Fill(Message):
     """Fills the views with all routers of the fleet, as if they had long known each other. -> Done"""
 
-    claims: list[tuple]
+    claims: list[Claim]
 
 
 class Begin(Message):
--- a/brookhinge/standin/capacity/virtual.py
+++ b/brookhinge/standin/capacity/virtual.py
@@ -7,6 +7,7 @@
 from typing import NamedTuple
 
 from brookhinge.membership.codec import VERSION, Codec
+from brookhinge.membership.local_member import Identity
 from brookhinge.membership.peer import Peer
 from brookhinge.standin.capacity.hollow import FLEET, GROUP_OF_OBJECTS, KEY
 from brookhinge.standin.capacity.links import HEADERS, Links, Traffic
@@ -106,11 +107,7 @@
         self.name, self.on_notice, self.changes = router.name, on_notice, {}
         self.codec = Codec(FLEET, KEY)
         self.core = Peer(
-            router.name,
-            tuple(self.address),
-            router.site.zone,
-            VERSION,
-            born_ms,
+            Identity(router.name, tuple(self.address), router.site.zone, VERSION, born_ms),
             [tuple(one) for one in join],
             random.Random(f"peer {router.seed} {router.name} {starts}"),
             network.now,
@@ -118,9 +115,9 @@
 
     def take(self, data, _):
         """A datagram into the core."""
-        message = self.codec.read(data)
-        if message is not None:
-            self.core.round(self.network.now, [message], self)
+        received = self.codec.read(data)
+        if received is not None:
+            self.core.round(self.network.now, [received], self)
 
     def tick(self):
         """What is due."""
@@ -132,8 +129,7 @@
 
     def claim(self):
         """What it says of itself."""
-        view = self.core.view
-        return view.claim(view.index[self.name], self.network.now)
+        return self.core.claim(self.network.now)
 
     def leave(self):
         """Tells its peers that it goes."""
@@ -145,17 +141,17 @@
 
     # the core's writer
 
-    def send(self, address, method, values, news, notices):
+    def send(self, address, message, updates, notices):
         """A message of the core onto its links."""
-        data = self.codec.write(self.claim(), self.core.view.digest(), method, values, news, notices)
+        data = self.codec.write(self.claim(), self.core.view.digest(), message, updates, notices)
         if data is not None:
             self.network.send(self, data, address)
 
-    def changed(self, change, name, by):
+    def changed(self, change, name, reporter):
         """A change of a member."""
         self.changes[change] = self.changes.get(change, 0) + 1
 
-    def notice(self, kind, values, by):
+    def notice(self, kind, values, reporter):
         """A notice of a peer."""
         self.on_notice(kind, values)
 
@@ -252,7 +248,7 @@
         claims = [router.peer.claim() for router in self.routers.values() if self.membership]
         for router in self.routers.values():
             for claim in claims:
-                router.peer.core.view.take(0.0, claim, router.name)
+                router.peer.core.view.apply(0.0, claim, router.name)
             router.begin()
 
     def run(self, seconds):
@@ -322,7 +318,7 @@
     def known_members(self):
         """Router that is up -> how many it believes alive or suspects."""
         up = [router for router in self.routers.values() if router.started_at is not None]
-        return {router.name: len(router.peer.core.view.living()) for router in up}
+        return {router.name: len(router.peer.core.view.present()) for router in up}
 
     def restart(self, name, graceful=False):
         """A router starts anew, after a word of leaving if graceful."""
--- a/brookhinge/standin/lending.py
+++ b/brookhinge/standin/lending.py
@@ -7,7 +7,9 @@
 
 from brookhinge.limits.lease_terms import DRIFT
 from brookhinge.limits.limits import Limits
-from brookhinge.membership.view import ALIVE, LOST, View
+from brookhinge.membership.claims import Claim, MemberState
+from brookhinge.membership.messages import CoreMessage
+from brookhinge.membership.view import MembershipView
 
 COLD = ("cache", "s-1", 5)
 NOTICE_S, GIVEN_UP_S = 0.5, 6.0  # till a restart is known, and till a crash is
@@ -29,9 +31,9 @@
         self.starts += 1
         self.uid = self.n * 1000 + self.starts
         self.offset += 3600.0 * (self.starts > 1)
-        self.view = View(600.0)
+        self.view = MembershipView(600.0)
         for other in self.world.members.values():
-            self.notice(other.n, ALIVE)
+            self.notice(other.n, MemberState.ALIVE)
         self.limits = Limits(
             self.view,
             self.name,
@@ -46,7 +48,8 @@
     def notice(self, n, state):
         other, world = self.world.members[n], self.world
         world.told += 1  # as the incarnation: what is told last holds
-        self.view.take(0.0, (other.name, other.uid, 1, world.told, state, "h", n, "z", 1, 0.0), "n0")
+        claim = Claim(other.name, other.uid, 1, world.told, state, "h", n, "z", 1, 0.0)
+        self.view.apply(0.0, claim, "n0")
 
     def round(self, inbox):
         self.limits.round(self.clock(), inbox, self)
@@ -55,15 +58,13 @@
         """What the decisions would use now: what was told, but nothing past its end."""
         now = self.clock()
         if now >= self.limits.shrinks_at:
-            self.limits.tell(now, self)
+            self.limits.publish(now, self)
         return self.used.get(limit, self.used.get(("own", "", 0), 0.0) / self.world.count)
 
     # the writer
 
-    def post_to(self, place, method, values, rows):
-        self.world.send(
-            self, self.view.names[place], (self.uid, method, values, [(*r[:3], *r[3:]) for r in rows])
-        )
+    def post_to(self, i, message, rows):
+        self.world.send(self, self.view.names[i], CoreMessage(self.uid, message, list(rows)))
 
     def event_of(self, method, rows):
         for *limit, part in rows:
@@ -89,7 +90,7 @@
             member.start()
         for member in self.members.values():
             for other in self.members:
-                member.notice(other, ALIVE)
+                member.notice(other, MemberState.ALIVE)
 
     def send(self, sender, name, message):
         to = next(m for m in self.members.values() if m.name == name)
@@ -145,11 +146,14 @@
     def crash(self, n):
         self.members[n].up = False
         starts = self.members[n].starts
-        self.later(GIVEN_UP_S, lambda: self.tell_all(n, LOST) if self.members[n].starts == starts else None)
+        self.later(
+            GIVEN_UP_S,
+            lambda: self.tell_all(n, MemberState.LOST) if self.members[n].starts == starts else None,
+        )
 
     def restart(self, n):
         self.members[n].start()
-        self.later(NOTICE_S, lambda: self.tell_all(n, ALIVE))
+        self.later(NOTICE_S, lambda: self.tell_all(n, MemberState.ALIVE))
 
     def tell_all(self, n, state):
         for other in self.members.values():
--- a/brookhinge/standin/rig.py
+++ b/brookhinge/standin/rig.py
@@ -19,7 +19,8 @@
 from pathlib import Path
 
 from brookhinge.box import Box, wire
-from brookhinge.membership.status_query import LIMITS, VERDICTS, look
+from brookhinge.membership.messages import StatusTopic
+from brookhinge.membership.status_query import query_status
 from brookhinge.standin.caller import ThriftCaller
 from brookhinge.standin.channel import CommandChannel
 from brookhinge.standin.origin import Origin
@@ -448,19 +449,19 @@
 
     async def view(self, name):
         """What a router believes: {member: state}, or None if it does not answer."""
-        seen = await look((self.host, self.udp[name]), "rig", bytes.fromhex(KEY))
+        seen = await query_status((self.host, self.udp[name]), "rig", bytes.fromhex(KEY))
         return seen and {row[0]: row[1] for row in seen[0]}
 
     async def parts(self, name):
         """What a router says of the limits that it shares."""
-        return await self.shown(name, LIMITS)
+        return await self.shown(name, StatusTopic.LIMITS)
 
     async def verdicts(self, name):
         """What it says of servers in question."""
-        return await self.shown(name, VERDICTS)
+        return await self.shown(name, StatusTopic.VERDICTS)
 
     async def shown(self, name, what):
-        seen = await look((self.host, self.udp[name]), "rig", bytes.fromhex(KEY), what)
+        seen = await query_status((self.host, self.udp[name]), "rig", bytes.fromhex(KEY), what)
         return seen and seen[0]
 
     async def one_view(self, names=None, but=(), others=()):
--- a/brookhinge/standin/sharing.py
+++ b/brookhinge/standin/sharing.py
@@ -6,8 +6,10 @@
 from brookhinge.interface import Allowed, ColdStart, Place, Supply, Track
 from brookhinge.limits.limits import Limits
 from brookhinge.limits.shared import Sharing
+from brookhinge.membership.claims import Claim, MemberState
+from brookhinge.membership.messages import CoreMessage
 from brookhinge.membership.safety_notices import Tight
-from brookhinge.membership.view import ALIVE, View
+from brookhinge.membership.view import MembershipView
 from brookhinge.standin.model import Model
 from brookhinge.verdicts.outlier_detection import Verdicts
 from brookhinge.verdicts.shared import Judging
@@ -24,8 +26,8 @@
     def __init__(self, fleet, n):
         self.fleet, self.n = fleet, n
 
-    def post_to(self, place, method, values, rows):
-        self.fleet.datagram(self.n, self.fleet.views[self.n].names[place], method, values, rows)
+    def post_to(self, i, message, rows):
+        self.fleet.datagram(self.n, self.fleet.views[self.n].names[i], message, rows)
 
     def event_of(self, method, rows):
         self.fleet.told[self.n].append((method, (rows,)))
@@ -69,9 +71,10 @@
         ]
         self.told, self.views, self.cores, self.writers = [[] for _ in range(routers)], [], [], []
         for n in range(routers if share else 0):
-            view = View(600.0)
+            view = MembershipView(600.0)
             for k in range(routers):
-                view.take(0.0, (f"n{k}", k + 1, 1, 1, ALIVE, "h", k + 1, "z", 1, 0.0), "n0")
+                claim = Claim(f"n{k}", k + 1, 1, 1, MemberState.ALIVE, "h", k + 1, "z", 1, 0.0)
+                view.apply(0.0, claim, "n0")
             reducer, own = self.routers[n], self.routers[n].router.fleet
             self.views.append(view)
             self.writers.append(Writer(self, n))
@@ -103,17 +106,15 @@
             self.flush(n)
         self.at(max(one.next_at(), self.now + 0.001), self.turn, n, core)
 
-    def datagram(self, n, name, method, values, rows):
+    def datagram(self, n, name, message, rows):
         self.datagrams += 1
         to = int(name[1:])
         if not self.cut(n, to) and self.chance.random() >= self.loss:
-            self.at(
-                self.now + WIRE_S * (0.5 + self.chance.random()), self.letter, to, n + 1, method, values, rows
-            )
+            self.at(self.now + WIRE_S * (0.5 + self.chance.random()), self.letter, to, n + 1, message, rows)
 
-    def letter(self, n, uid, method, values, rows):
-        core = next(core for core in self.cores[n] if method in core.methods)
-        core.round(self.now, [(uid, method, values, rows)], self.writers[n])
+    def letter(self, n, uid, message, rows):
+        core = next(core for core in self.cores[n] if type(message) in core.message_types)
+        core.round(self.now, [CoreMessage(uid, message, rows)], self.writers[n])
         self.flush(n)
 
     def flush(self, n):
@@ -123,7 +124,7 @@
     def hear(self, n, *events):
         for core in self.cores[n] if self.share else ():
             if self.now >= core.shrinks_at:
-                core.tell(self.now, self.writers[n])
+                core.publish(self.now, self.writers[n])
         before, self.told[n] = self.told[n], []
         super().hear(n, *before, *events)
 
--- a/brookhinge/standin/virtual.py
+++ b/brookhinge/standin/virtual.py
@@ -6,9 +6,10 @@
 import math
 import random
 
-from brookhinge.membership.codec import Codec
+from brookhinge.membership.claims import PRESENT_STATES
+from brookhinge.membership.codec import Codec, wire_name
+from brookhinge.membership.local_member import Identity
 from brookhinge.membership.peer import Peer
-from brookhinge.membership.view import ALIVE, SUSPECTED
 
 SITE, KEY = "virtual", b"a key of sixteen"
 HEADERS = 28  # bytes of the IPv4 and UDP headers of a datagram
@@ -58,11 +59,7 @@
         self.started_at = self.net.now
         self.codec = Codec(SITE, KEY, self.version)
         self.peer = Peer(
-            self.name,
-            ("10.0.0.1", self.n),
-            self.zone,
-            self.version,
-            born,
+            Identity(self.name, ("10.0.0.1", self.n), self.zone, self.version, born),
             seeds,
             random.Random(f"{self.net.seed} {self.n} {self.starts}"),
             self.net.now,
@@ -71,31 +68,31 @@
 
     def read(self, data):
         """Messages of a datagram that has come: one or none."""
-        message = self.codec.read(data)
-        if message is None:
+        received = self.codec.read(data)
+        if received is None:
             return []
-        self.traffic.add(self.net.now, "received", message[4], len(data))
-        return [message]
+        self.traffic.add(self.net.now, "received", wire_name(received.message), len(data))
+        return [received]
 
     # the writer
 
-    def send(self, address, method, values, news, notices):
-        net, view = self.net, self.peer.view
-        claim = view.claim(view.index[self.name], net.now)
-        data = self.codec.write(claim, self.peer.digest(), method, values, news, notices)
+    def send(self, address, message, updates, notices):
+        net = self.net
+        claim = self.peer.claim(net.now)
+        data = self.codec.write(claim, self.peer.digest(), message, updates, notices)
         self.sent += 1
         self.bytes += len(data) + HEADERS
-        self.traffic.add(net.now, "sent", method, len(data))
+        self.traffic.add(net.now, "sent", wire_name(message), len(data))
         to = net.hosts.get(address[1])
         if to is None or not to.up or net.cut(self.n, to.n) or net.chance.random() < net.loss:
             return
         for _ in range(1 + (net.chance.random() < net.double)):
             net.push(net.now + net.delay * (0.5 + net.chance.random()), to, data)
 
-    def changed(self, change, name, by):
-        self.log.append((self.net.now, change, name, by))
+    def changed(self, change, name, reporter):
+        self.log.append((self.net.now, change, name, reporter))
 
-    def notice(self, kind, values, by):
+    def notice(self, kind, values, reporter):
         self.notices[(kind, *values)] = self.net.now
 
 
@@ -158,12 +155,12 @@
         self.hosts[n].up = False
 
     def living(self):
-        return [h for h in self.hosts.values() if h.up and not h.frozen and not h.peer.out]
+        return [h for h in self.hosts.values() if h.up and not h.frozen and not h.peer.stopped]
 
     def one_view(self):
         """Whether all that live hold just each other for living."""
         living = self.living()
         names = {h.name for h in living}
         return all(
-            {m for m, state, *_ in h.peer.members() if state in (ALIVE, SUSPECTED)} == names for h in living
+            {m for m, state, *_ in h.peer.members() if state in PRESENT_STATES} == names for h in living
         )
--- a/brookhinge/verdicts/outlier_detection.py
+++ b/brookhinge/verdicts/outlier_detection.py
@@ -10,8 +10,8 @@
 
 import xxhash
 
-from brookhinge.membership.status_query import VERDICTS
-from brookhinge.membership.view import ALIVE
+from brookhinge.membership.claims import MemberState
+from brookhinge.membership.messages import EvidenceReport, EvidenceTable, StatusTopic
 from brookhinge.verdicts import detector as judge
 from brookhinge.verdicts.evidence import Evidence, T
 
@@ -35,12 +35,12 @@
     """counts(): {(server, start): (tries, failed)} totals of this process; servers(): how many caches there are to choose
     from; sharers(): how many routers stand at this place."""
 
-    methods, look = ("evidence", "table"), VERDICTS
+    message_types, status_topic = (EvidenceReport, EvidenceTable), StatusTopic.VERDICTS
 
     def __init__(self, view, name, zone, version, sharers, counts, servers, now):
         self.view, self.name, self.zone, self.version = view, name, zone, version
         self.sharers, self.counts, self.servers = sharers, counts, servers
-        self.uid = view.uid[view.index[name]]
+        self.uid = view.incarnation_ids[view.index[name]]
         self.evidence, self.asked, self.number, self.beat_at = (
             Evidence(),
             {},
@@ -62,7 +62,7 @@
         return [
             i
             for i in range(len(v.names))
-            if v.state[i] == ALIVE and v.version[i] == self.version and v.zone[i] == self.zone
+            if v.states[i] == MemberState.ALIVE and v.versions[i] == self.version and v.zones[i] == self.zone
         ]
 
     def collector(self, server):
@@ -74,11 +74,11 @@
         )
 
     def round(self, now, inbox, writer):
-        for sender, method, values, rows in inbox:
-            if method == "evidence":
-                self.collect(now, sender, values, rows)
+        for sender, message, rows in inbox:
+            if isinstance(message, EvidenceReport):
+                self.collect(now, sender, message, rows)
             else:
-                self.table(now, sender, values, rows)
+                self.table(now, message, rows)
         if now >= self.beat_at:
             self.beat_at = now + BEAT
             self.beat(now, writer)
@@ -106,7 +106,7 @@
         for place, rows in to.items():
             for at in range(0, len(rows), ROWS):
                 self.number += 1
-                writer.post_to(place, "evidence", (self.number, round(now * 1000)), rows[at : at + ROWS])
+                writer.post_to(place, EvidenceReport(self.number, round(now * 1000)), rows[at : at + ROWS])
         for server in collected:
             self.tell_all(now, server, mine, writer)
         self.decide(now, seen, writer)
@@ -135,13 +135,12 @@
                 self.number += 1
                 writer.post_to(
                     place,
-                    "table",
-                    (int(place in turns), 0),
+                    EvidenceTable(int(place in turns), 0),
                     rows[at : at + ROWS] or [(*server, 0, 0, 0, 0, 0)],
                 )
 
-    def collect(self, now, sender, values, rows):
-        number, stamp = values
+    def collect(self, now, sender, message, rows):
+        number, stamp = message.number, message.sent_at_ms
         for name, start, tries, failed in rows:
             server = name, start
             self.asked[server] = now + T
@@ -152,9 +151,9 @@
             now, sender, number, stamp / 1000.0, [((row[0], row[1]), *row[2:]) for row in rows]
         )
 
-    def table(self, now, sender, values, rows):
+    def table(self, now, message, rows):
         """Totals that a collector passes on: merged by the router that counted them, each by its own number and clock."""
-        turn, _ = values
+        turn = message.has_trial_turn
         for name, start, uid, number, stamp, tries, failed in rows:
             server = name, start
             self.asked[server] = now + T
@@ -214,10 +213,10 @@
         if rows:
             writer.event_of("verdicts", rows)
 
-    def tell(self, now, writer):
+    def publish(self, now, writer):
         """Nothing that ends by itself: what is said to the decisions has its end with it."""
 
-    def shown(self, now):
+    def status_rows(self, now):
         """(server, state, for how many seconds, why, witnesses, tries, failed, own trouble) of each in question."""
         rows = []
         for server in sorted(self.asked.keys() | self.resting.keys()):
--- a/tests/limits/test_bound.py
+++ b/tests/limits/test_bound.py
@@ -11,7 +11,7 @@
 from brookhinge.limits.lease_terms import DRIFT, LEND, START, TERM
 from brookhinge.limits.lessee import Holder
 from brookhinge.limits.lessor import Keeper
-from brookhinge.membership.view import ALIVE, LOST
+from brookhinge.membership.claims import MemberState
 from brookhinge.standin.lending import COLD, World
 
 STEPS = ("pass", "drop", "double", "late", "beat", "lease", "restart 1", "restart 2", "freeze 1", "turn")
@@ -99,7 +99,10 @@
         elif what < 0.85:
             world.cut = lambda a, b: False
         elif what < 0.95 and member.up:  # one takes another for lost, or for alive again: keepers differ
-            member.notice(chance.choice([k for k in world.members if k != n]), chance.choice((ALIVE, LOST)))
+            member.notice(
+                chance.choice([k for k in world.members if k != n]),
+                chance.choice((MemberState.ALIVE, MemberState.LOST)),
+            )
         world.run(chance.choice((0.05, 0.3, 1.0, 2.0)), lambda: whole(world))
 
 
@@ -195,7 +198,7 @@
         if gone in (1, 2):
             break
         world.crash(gone)
-        world.tell_all(gone, LOST)
+        world.tell_all(gone, MemberState.LOST)
         world.run(LEND / 3, lambda: whole(world))
     world.run(TERM, lambda: whole(world))
     assert world.members[1].part() > 0.35  # lent again by whoever keeps it now
--- a/tests/limits/test_rig.py
+++ b/tests/limits/test_rig.py
@@ -123,7 +123,7 @@
             await asyncio.sleep(4.0)
 
     lavish = (
-        "import brookhinge.limits.keeper as k; k.Keeper.lend = lambda self, now: {limit: {holder: 1.0 for holder, "
+        "import brookhinge.limits.lessor as k; k.Keeper.lend = lambda self, now: {limit: {holder: 1.0 for holder, "
         "(need, until) in self.needs[limit].items() if need > 0 and until > now} for limit in self.wanting(now)}"
     )
     with pytest.raises(AssertionError, match="within"):
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -9,10 +9,28 @@
 from hypothesis import strategies as st
 
 from brookhinge.membership import codec
-from brookhinge.membership.codec import MOST_BYTES, Codec, Guard
+from brookhinge.membership.claims import Claim
+from brookhinge.membership.codec import MAX_DATAGRAM_BYTES, WIRE_NAMES, Codec, ReplayGuard
+from brookhinge.membership.messages import (
+    ForeignMessage,
+    Ping,
+    PingRequest,
+    Received,
+    SyncRequest,
+    SyncResponse,
+)
 
-ME = ("n1", 7, 100, 100, 0, "127.0.0.1", 9000, "east", 1, 0.0)
+ME = Claim("n1", 7, 100, 100, 0, "127.0.0.1", 9000, "east", 1, 0.0)
 KEY = b"k" * 16
+ENCODER = msgspec.msgpack.Encoder()
+
+
+class NewMessage(msgspec.Struct):
+    """A message that only a later version has."""
+
+    first: int
+    second: int
+    third: int
 
 
 def pair(key=KEY, site="s"):
@@ -22,55 +40,57 @@
 def test_read_as_written_and_once():
     a, b = pair()
     notices = [("drain", "s-1", 5)]
-    data = a.write(ME, 77, "ask", (1, "127.0.0.1", 9001, 3), [ME], notices)
-    assert b.read(data) == (ME, 77, (ME,), (("drain", "s-1", 5),), "ask", (1, "127.0.0.1", 9001, 3))
+    data = a.write(ME, 77, PingRequest(1, "127.0.0.1", 9001, 3), [ME], notices)
+    assert b.read(data) == Received(
+        ME, 77, (ME,), (("drain", "s-1", 5),), PingRequest(1, "127.0.0.1", 9001, 3)
+    )
     assert b.read(data) is None and b.counts["again"] == 1
 
 
 def test_late_doubled_and_reordered_datagrams():
-    guard = Guard()
+    guard = ReplayGuard()
     chance, came = random.Random(5), []
     numbers = [n for n in range(1, 400) for _ in range(2)]
     numbers.sort(key=lambda n: n + chance.random() * 40)
-    came = [n for n in numbers if guard.fresh(1, n)]
+    came = [n for n in numbers if guard.accept(1, n)]
     assert sorted(came) == list(range(1, 400))
-    assert not guard.fresh(1, 100)  # later than a window: not believed, new or not
+    assert not guard.accept(1, 100)  # later than a window: not believed, new or not
 
 
 def test_wrong_key_other_site_other_version(monkeypatch):
     a, b = pair(key=b"z" * 16)
-    assert b.read(a.write(ME, 0, "ping", (1, 0, 0, 0), [], [])) is None and b.counts["forged"] == 1
+    assert b.read(a.write(ME, 0, Ping(1, 0, 0, 0), [], [])) is None and b.counts["forged"] == 1
     a, b = pair(site="t")
-    assert b.read(a.write(ME, 0, "ping", (1, 0, 0, 0), [], [])) is None and b.counts["other_site"] == 1
+    assert b.read(a.write(ME, 0, Ping(1, 0, 0, 0), [], [])) is None and b.counts["other_site"] == 1
     a, b = pair()
     with monkeypatch.context() as later:
         later.setattr(codec, "VERSION", codec.VERSION + 1)
-        later.setattr(codec, "METHODS", {**codec.METHODS, "sing": 3})
-        data = a.write(ME, 0, "sing", (1, 2, 3), [ME], [])
-        asked = a.write(ME, 5, "ping", (7, 9, 3, 1), [ME], [("drain", "s", 1)])
-    assert b.read(data) == (ME, 0, (ME,), (), "foreign", ()) and b.counts["foreign"] == 1
-    assert b.read(asked) == (ME, 0, (ME,), (), "ping", (7, 9, 3, 1))  # a probe is read by any version
+        later.setattr(codec, "WIRE_NAMES", {**WIRE_NAMES, NewMessage: "sing"})
+        data = a.write(ME, 0, NewMessage(1, 2, 3), [ME], [])
+        asked = a.write(ME, 5, Ping(7, 9, 3, 1), [ME], [("drain", "s", 1)])
+    assert b.read(data) == Received(ME, 0, (ME,), (), ForeignMessage()) and b.counts["foreign"] == 1
+    assert b.read(asked) == Received(ME, 0, (ME,), (), Ping(7, 9, 3, 1))  # a probe is read by any version
 
 
 def test_never_too_long():
     a, b = pair()
-    long = ("n" * 64, 2**62, 2**45, 2**45, 0, "h" * 64, 65535, "z" * 64, 1, 1e9)
+    long = Claim("n" * 64, 2**62, 2**45, 2**45, 0, "h" * 64, 65535, "z" * 64, 1, 1e9)
     data = a.write(
-        long, 2**63, "buckets", (48, b"\xff" * codec.DIGEST_BYTES), [long] * 8, [("w" * 60,) * 6] * 6
+        long, 2**63, SyncRequest(48, b"\xff" * codec.BUCKET_DIGESTS_BYTES), [long] * 8, [("w" * 60,) * 6] * 6
     )
-    assert len(data) <= MOST_BYTES and b.read(data)[4] == "buckets"
-    for method in codec.PACKED:
-        data = a.write(long, 2**63, method, (), [long] * 100, [("w" * 60,) * 6] * 6)
-        assert len(data) <= MOST_BYTES and b.read(data)[4] == method
+    assert len(data) <= MAX_DATAGRAM_BYTES and type(b.read(data).message) is SyncRequest
+    for message_type in codec.COMPRESSED:
+        data = a.write(long, 2**63, message_type(), [long] * 100, [("w" * 60,) * 6] * 6)
+        assert len(data) <= MAX_DATAGRAM_BYTES and type(b.read(data).message) is message_type
 
 
 def test_claims_that_go_compressed_come_whole_and_in_order():
     a, b = pair()
     chance = random.Random(5)
-    claims = [(f"r{n}", chance.getrandbits(62), *ME[2:9], 0) for n in range(40)]
-    for method in codec.PACKED:
-        message = b.read(a.write(ME, 7, method, (), claims, [("drain", "s", 1)]))
-        assert message == (ME, 7, tuple(claims), (("drain", "s", 1),), method, ())
+    claims = [Claim(f"r{n}", chance.getrandbits(62), *ME[2:9], 0) for n in range(40)]
+    for message_type in codec.COMPRESSED:
+        received = b.read(a.write(ME, 7, message_type(), claims, [("drain", "s", 1)]))
+        assert received == Received(ME, 7, tuple(claims), (("drain", "s", 1),), message_type())
 
 
 @pytest.mark.parametrize(
@@ -78,18 +98,21 @@
     [
         b"",
         b"no stream at all",
-        zlib.compress(codec.pack.encode([ME]))[:-5],
-        zlib.compress(codec.pack.encode([(*ME[:4], 9, *ME[5:])])),
-        zlib.compress(codec.pack.encode([ME] * (codec.MOST_PACKED + 1))),
-        zlib.compress(codec.pack.encode([ME[:3]])),
+        zlib.compress(ENCODER.encode([ME]))[:-5],
+        zlib.compress(ENCODER.encode([(*ME[:4], 9, *ME[5:])])),
+        zlib.compress(ENCODER.encode([ME] * (codec.MAX_COMPRESSED_CLAIMS + 1))),
+        zlib.compress(ENCODER.encode([ME[:3]])),
         zlib.compress(b"\x00" * 50_000_000),
     ],
 )
 def test_compressed_claims_that_are_none_are_dropped(packed):
     a, b = pair()
-    assert len(packed) > MOST_BYTES or b.read(a.signed(a.body(ME, 0, "rows", (packed,), [], []))) is None
+    assert (
+        len(packed) > MAX_DATAGRAM_BYTES
+        or b.read(a.sign(a.encode_body(ME, 0, SyncResponse(), (packed,), [], []))) is None
+    )
     with pytest.raises((ValueError, zlib.error, msgspec.DecodeError)):
-        codec.unpacked([packed])
+        codec.decompress_claims([packed])
 
 
 @settings(max_examples=300, deadline=None)
@@ -104,9 +127,9 @@
     chance, b, read = random.Random(9), Codec("s", KEY), 0
     a = Codec("s", KEY)
     whole = [
-        a.write(ME, 5, "ping", (1, 0, 0, 0), [ME], [("drain", "s", 1)]),
-        a.write(ME, 5, "rows", (), [ME] * 4, []),
-        a.write(ME, 5, "buckets", tuple(range(64)), [], []),
+        a.write(ME, 5, Ping(1, 0, 0, 0), [ME], [("drain", "s", 1)]),
+        a.write(ME, 5, SyncResponse(), [ME] * 4, []),
+        a.sign(a.encode_body(ME, 5, SyncRequest(0, b""), tuple(range(64)), [], [])),
     ]
     for k in range(100_000):
         data = bytearray(chance.choice(whole))
@@ -121,8 +144,9 @@
         data = bytes(data)
         if k % 2:
             data = codec.hashlib.blake2b(data[16:], digest_size=16, key=KEY).digest() + data[16:]
-        message = b.read(data)
-        if message is not None:
+        received = b.read(data)
+        if received is not None:
             read += 1
-            assert codec.sound(message[0]) and message[4] in (*codec.METHODS, "foreign")
+            assert codec.is_sound(received.sender)
+            assert type(received.message) in (*WIRE_NAMES, ForeignMessage)
     assert b.counts["forged"] > 49_000 and read < 20_000 and sum(b.counts.values()) == 100_000
--- a/tests/membership/test_large_fleet.py
+++ b/tests/membership/test_large_fleet.py
@@ -8,7 +8,7 @@
 from benchmarks import view_traffic
 from benchmarks.view_traffic import SITE_ROUTERS, one_view, settled_fleet, watch
 from brookhinge.membership import peer
-from brookhinge.membership.view import ALIVE, LEFT, LOST, SUSPECTED
+from brookhinge.membership.claims import PRESENT_STATES, MemberState
 
 MEMBERS, LOSS = 530, 0.01
 WATCHED_S = 30.0
@@ -52,13 +52,13 @@
 def freed_at_once(view, now, lease_s, configured, zone=None):
     """The planted fault: who left is counted no more from that moment on."""
     using = sum(
-        state in (ALIVE, SUSPECTED) or state == LOST and now - since < lease_s
-        for state, since in zip(view.state, view.since)
+        state in PRESENT_STATES or state == MemberState.LOST and now - since < lease_s
+        for state, since in zip(view.states, view.since, strict=True)
     )
-    return max(using, configured - view.state.count(LEFT), 1)
+    return max(using, configured - view.states.count(MemberState.LEFT), 1)
 
 
 def test_a_share_freed_at_once_is_found_out(monkeypatch):
-    monkeypatch.setattr(peer, "sharers", freed_at_once)
+    monkeypatch.setattr(peer, "estimate_fleet_size", freed_at_once)
     _, _, (_, short) = restart(21)
     assert short > 0
--- a/tests/membership/test_memory.py
+++ b/tests/membership/test_memory.py
@@ -5,8 +5,11 @@
 from helpers import Bench
 
 from brookhinge.decide import Router
-from brookhinge.membership.memory import Memory, Remembering
-from brookhinge.membership.view import ALIVE, LOST, View
+from brookhinge.membership.claims import Claim, MemberState
+from brookhinge.membership.memory import Remembering
+from brookhinge.membership.messages import CoreMessage, WarmStartRequest, WarmStartState
+from brookhinge.membership.view import MembershipView
+from brookhinge.membership.warm_start import WarmStart
 from brookhinge.standin.rig import Rig
 
 
@@ -81,31 +84,35 @@
 
 
 def core(states):
-    view = View(600.0)
+    view = MembershipView(600.0)
     for n, state in enumerate(states):
-        view.take(0.0, (f"n{n}", n + 1, 1, 1, state, "h", n + 1, "z", 1, 0.0), "n0")
-    return Memory(view, "n0", "z", 1, lambda: [("takes", "page", 0, "", 0.1, 9.0)] * 23, 0.0), Writer()
+        view.apply(0.0, Claim(f"n{n}", n + 1, 1, 1, state, "h", n + 1, "z", 1, 0.0), "n0")
+    return WarmStart(view, "n0", "z", 1, lambda: [("takes", "page", 0, "", 0.1, 9.0)] * 23, 0.0), Writer()
 
 
 def test_one_peer_after_another_is_asked_until_one_answers():
-    memory, writer = core((ALIVE, ALIVE, ALIVE, LOST))
+    memory, writer = core((*[MemberState.ALIVE] * 3, MemberState.LOST))
     for k in range(4):
         memory.round(k * 0.5, [], writer)
-    assert {row[0] for row in writer.posted} == {1, 2} and [row[1] for row in writer.posted] == ["recall"] * 4
-    memory.round(2.0, [(2, "memory", (0, 1), [("takes", "page", 0, "", 0.1, 9.0)])], writer)
+    assert {row[0] for row in writer.posted} == {1, 2} and [row[1] for row in writer.posted] == [
+        WarmStartRequest(0, 0)
+    ] * 4
+    memory.round(2.0, [CoreMessage(2, WarmStartState(0, 1), [("takes", "page", 0, "", 0.1, 9.0)])], writer)
     assert writer.events == [
         ("remember", [("takes", "page", 0, "", 0.1, 9.0)])
     ] and memory.next_at() == float("inf")
-    memory.round(2.1, [(3, "recall", (0, 0), ())], writer)  # from now on it answers, in pieces
-    assert [len(row[3]) for row in writer.posted[4:]] == [10, 10, 3]
+    memory.round(
+        2.1, [CoreMessage(3, WarmStartRequest(0, 0), ())], writer
+    )  # from now on it answers, in pieces
+    assert [len(row[2]) for row in writer.posted[4:]] == [10, 10, 3]
 
 
 def test_nobody_to_ask_is_no_error_and_who_knows_nothing_tells_nothing():
-    memory, writer = core((ALIVE,))
-    memory.round(0.0, [(3, "recall", (0, 0), ())], writer)
+    memory, writer = core((MemberState.ALIVE,))
+    memory.round(0.0, [CoreMessage(3, WarmStartRequest(0, 0), ())], writer)
     for k in range(9):
         memory.round(k * 0.5, [], writer)
-    assert writer.posted == [] and memory.done
+    assert writer.posted == [] and memory.is_done
 
 
 def test_a_router_that_starts_among_processes_knows_what_its_peer_knew(tmp_path):
--- a/tests/membership/test_model.py
+++ b/tests/membership/test_model.py
@@ -8,8 +8,12 @@
 
 import pytest
 
+from brookhinge.membership.claims import MemberState
+from brookhinge.membership.failure_detector import FailureDetector
+from brookhinge.membership.local_member import Identity, LocalMember
+from brookhinge.membership.messages import Ping, Received
 from brookhinge.membership.peer import Peer
-from brookhinge.membership.view import ALIVE, LEFT, LOST, SUSPECTED, View
+from brookhinge.membership.view import MembershipView
 
 DEPTH = 3
 STEPS = ("oldest", "newest", "drop", "double", "timer", "leave", "crash", "cut")
@@ -23,11 +27,7 @@
         self.now, self.wires, self.up, self.notices = 0.0, [], [True] * 3, []
         self.peers = [
             Peer(
-                f"n{k}",
-                ("10.0.0.1", k + 1),
-                "z",
-                1,
-                1000 + k,
+                Identity(f"n{k}", ("10.0.0.1", k + 1), "z", 1, 1000 + k),
                 [("10.0.0.1", 1), ("10.0.0.1", 2)],
                 random.Random(k),
                 0.0,
@@ -36,15 +36,15 @@
         ]
         self.said, self.writing = [[] for _ in range(3)], 0
 
-    def send(self, address, method, values, news, notices):
-        v = self.peers[self.writing].view
-        mine = v.claim(v.index[f"n{self.writing}"], self.now)
-        self.wires.append((address[1] - 1, (mine, v.digest(), tuple(news), tuple(notices), method, values)))
+    def send(self, address, message, updates, notices):
+        peer = self.peers[self.writing]
+        received = Received(peer.claim(self.now), peer.view.digest(), tuple(updates), tuple(notices), message)
+        self.wires.append((address[1] - 1, received))
 
-    def changed(self, change, name, by):
+    def changed(self, change, name, reporter):
         self.said[self.writing].append((change, name))
 
-    def notice(self, kind, values, by):
+    def notice(self, kind, values, reporter):
         self.notices.append(self.writing)
 
     def round(self, k, inbox):
@@ -91,7 +91,7 @@
 
     def state(self, k, name):
         v = self.peers[k].view
-        return v.state[v.index[name]] if name in v.index else None
+        return v.states[v.index[name]] if name in v.index else None
 
 
 def joined():
@@ -115,15 +115,15 @@
 def settled(world, steps):
     """What must hold once things are quiet."""
     one, two = world.peers[0].view, world.peers[1].view
-    assert [world.state(0, "n1"), world.state(1, "n0")] == [ALIVE, ALIVE], steps
+    assert [world.state(0, "n1"), world.state(1, "n0")] == [MemberState.ALIVE, MemberState.ALIVE], steps
     assert one.digest() == two.digest(), steps
     third = {world.state(0, "n2"), world.state(1, "n2")}
     if "leave" in steps:
-        assert third <= {LEFT, LOST}, steps  # its word may have been lost with it
+        assert third <= {MemberState.LEFT, MemberState.LOST}, steps  # its word may have been lost with it
     elif "crash" in steps:
-        assert third == {LOST}, steps
+        assert third == {MemberState.LOST}, steps
     else:
-        assert third == {ALIVE} and one.digest() == world.peers[2].view.digest(), steps
+        assert third == {MemberState.ALIVE} and one.digest() == world.peers[2].view.digest(), steps
     assert len(world.wires) < 9, steps
 
 
@@ -146,14 +146,14 @@
     world.timer()
     world.peers[2].view.since[0] = 0.0
     world.writing = 2
-    world.send(("10.0.0.1", 1), "ping", (1, 0, 0, 0), [], [])
-    world.send(("10.0.0.1", 2), "ping", (1, 0, 0, 0), [], [])
+    world.send(("10.0.0.1", 1), Ping(1, 0, 0, 0), [], [])
+    world.send(("10.0.0.1", 2), Ping(1, 0, 0, 0), [], [])
     old = list(world.wires)
     world.step("leave")
     world.quiet(5.0)
     world.wires += old + old
     world.quiet(5.0)
-    assert [world.state(k, "n2") for k in (0, 1)] == [LEFT, LEFT]
+    assert [world.state(k, "n2") for k in (0, 1)] == [MemberState.LEFT, MemberState.LEFT]
 
 
 def test_a_leaver_never_comes_back_by_old_news():
@@ -162,17 +162,21 @@
 
 def planted_old_news(monkeypatch):
     """Whatever comes last is believed."""
-    monkeypatch.setattr(View, "holds", lambda self, i, uid, inc, state: state != self.state[i])
+    monkeypatch.setattr(
+        MembershipView,
+        "supersedes",
+        lambda self, i, incarnation_id, incarnation, state: state != self.states[i],
+    )
 
 
 def planted_no_refuting(monkeypatch):
     """Nobody answers what is said of it."""
-    monkeypatch.setattr(Peer, "assert_self", lambda self, now, inc: None)
-    monkeypatch.setattr(Peer, "acked", lambda self, nonce, writer: None)
+    monkeypatch.setattr(LocalMember, "assert_alive", lambda self, now, incarnation: False)
+    monkeypatch.setattr(Peer, "handle_ack", lambda self, nonce, writer: None)
 
 
 def planted_no_probing(monkeypatch):
-    monkeypatch.setattr(Peer, "next_probed", lambda self: None)
+    monkeypatch.setattr(FailureDetector, "next_target", lambda self: None)
 
 
 @pytest.mark.parametrize(
@@ -187,4 +191,6 @@
 def test_suspicions_end_one_way_or_the_other():
     for steps, world in itertools.islice(histories(2), 0, None, 1):
         world.quiet(QUIET_S)
-        assert all(SUSPECTED not in f.view.state for k, f in enumerate(world.peers) if world.up[k]), steps
+        assert all(
+            MemberState.SUSPECTED not in f.view.states for k, f in enumerate(world.peers) if world.up[k]
+        ), steps
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from brookhinge.membership.peer import Pace
-from brookhinge.membership.view import ALIVE, LEFT, LOST, SUSPECTED
+from brookhinge.membership import timing
+from brookhinge.membership.claims import MemberState
 from brookhinge.standin.virtual import Net
 
 SETTLE = 12.0  # seconds in which up to 64 peers hold one view again, by the note
@@ -77,20 +77,20 @@
     net.kill(4)
     net.hosts[4].start(1_000_004 - 3_600_000, [("10.0.0.1", 1)])
     assert net.run(SETTLE, net.one_view)
-    assert [h.peer.out for h in net.hosts.values()] == [False] * 6
+    assert [h.peer.stopped for h in net.hosts.values()] == [False] * 6
 
 
 def test_who_was_frozen_takes_nobody_for_dead_and_is_taken_back():
     net = fleet(12)
     net.freeze(6)
     net.run(10.0)
-    assert all(states(net, n)["n6"] == LOST for n in range(1, 13) if n != 6)
+    assert all(states(net, n)["n6"] == MemberState.LOST for n in range(1, 13) if n != 6)
     net.hosts[6].log.clear()
     net.thaw(6)
     assert net.run(SETTLE, net.one_view)
     net.run(10.0)
     assert [line for line in net.hosts[6].log if line[1] == "lost"] == []
-    assert all(states(net, n)["n6"] == ALIVE for n in range(1, 13))
+    assert all(states(net, n)["n6"] == MemberState.ALIVE for n in range(1, 13))
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -98,7 +98,7 @@
     net = fleet(16, seed)
     net.cut = lambda a, b: (a <= 8) != (b <= 8)
     net.run(30.0)
-    assert states(net, 1)["n12"] == LOST and states(net, 12)["n1"] == LOST
+    assert states(net, 1)["n12"] == MemberState.LOST and states(net, 12)["n1"] == MemberState.LOST
     net.add(20, seeds=(2,))  # a join on one side, a crash and a leave on the other
     net.kill(11)
     net.hosts[13].peer.leave(net.now, net.hosts[13])
@@ -106,7 +106,11 @@
     net.cut = lambda a, b: False
     assert net.run(10.0, net.one_view)
     net.run(5.0)
-    assert [states(net, 1)[n] for n in ("n11", "n13", "n20")] == [LOST, LEFT, ALIVE]
+    assert [states(net, 1)[n] for n in ("n11", "n13", "n20")] == [
+        MemberState.LOST,
+        MemberState.LEFT,
+        MemberState.ALIVE,
+    ]
     assert len({h.peer.view.digest() for h in net.living()}) == 1
 
 
@@ -115,7 +119,9 @@
     net = fleet(8)
     net.cut = lambda a, b: a == 3
     net.run(20.0)
-    assert states(net, 1)["n3"] == LOST and all(states(net, 1)[f"n{n}"] == ALIVE for n in (2, 4, 5, 6, 7, 8))
+    assert states(net, 1)["n3"] == MemberState.LOST and all(
+        states(net, 1)[f"n{n}"] == MemberState.ALIVE for n in (2, 4, 5, 6, 7, 8)
+    )
     net.cut = lambda a, b: False
     assert net.run(SETTLE, net.one_view)
 
@@ -146,21 +152,23 @@
     net = fleet(8)
     net.hosts[4].peer.leave(net.now, net.hosts[4])
     net.run(2.0)
-    assert all(states(net, n)["n4"] == LEFT for n in range(1, 9) if n != 4)
+    assert all(states(net, n)["n4"] == MemberState.LEFT for n in range(1, 9) if n != 4)
     assert changes(net, "lost", "suspected") == []
     net.run(60.0)
-    assert all(states(net, n)["n4"] == LEFT for n in range(1, 9) if n != 4)
+    assert all(states(net, n)["n4"] == MemberState.LEFT for n in range(1, 9) if n != 4)
 
 
 def test_one_name_used_by_two_processes_the_older_start_keeps_it():
     net = fleet(6)
     other = net.add(66, seeds=(2, 3), name="n4")
     net.run(SETTLE)
-    assert other.peer.out and [line[1:3] for line in other.log if line[1] == "taken"] == [("taken", "n4")]
-    assert not net.hosts[4].peer.out and other.sent < 100  # they don't answer each other's answers for good
-    assert all(states(net, n)["n4"] == ALIVE for n in (1, 2, 3, 5, 6))
+    assert other.peer.stopped and [line[1:3] for line in other.log if line[1] == "taken"] == [("taken", "n4")]
+    assert (
+        not net.hosts[4].peer.stopped and other.sent < 100
+    )  # they don't answer each other's answers for good
+    assert all(states(net, n)["n4"] == MemberState.ALIVE for n in (1, 2, 3, 5, 6))
     v = net.hosts[1].peer.view
-    assert v.address[v.index["n4"]] == ("10.0.0.1", 4)
+    assert v.addresses[v.index["n4"]] == ("10.0.0.1", 4)
 
 
 def test_flapping_member_settles():
@@ -230,13 +238,13 @@
 
 
 def test_probes_end_also_when_the_probed_is_forgotten(monkeypatch):
-    monkeypatch.setattr(Pace, "remember", 15.0)
+    monkeypatch.setattr(timing, "FORGET_AFTER_S", 15.0)
     net = fleet(5)
     for n in (2, 3):
         net.kill(n)
     net.run(60.0)
-    assert states(net, 1) == {"n1": ALIVE, "n4": ALIVE, "n5": ALIVE}
-    assert all(state in (ALIVE, SUSPECTED) for state in net.hosts[4].peer.view.state)
+    assert states(net, 1) == {"n1": MemberState.ALIVE, "n4": MemberState.ALIVE, "n5": MemberState.ALIVE}
+    assert all(state in (MemberState.ALIVE, MemberState.SUSPECTED) for state in net.hosts[4].peer.view.states)
 
 
 def test_peers_of_two_versions_hold_one_another_for_alive():
@@ -250,8 +258,8 @@
     net.kill(8)
     net.freeze(3)
     net.run(20.0)
-    assert [states(net, n)["n8"] for n in (1, 2, 7, 9)] == [LOST] * 4
-    assert [states(net, n)["n3"] for n in (1, 2, 7, 9)] == [LOST] * 4
+    assert [states(net, n)["n8"] for n in (1, 2, 7, 9)] == [MemberState.LOST] * 4
+    assert [states(net, n)["n3"] for n in (1, 2, 7, 9)] == [MemberState.LOST] * 4
     net.thaw(3)
     assert net.run(3 * SETTLE, net.one_view)
 
@@ -275,15 +283,14 @@
     net = fleet(5)
     peer, v = net.hosts[1].peer, net.hosts[1].peer.view
     first, last = (v.names[i] for i in sorted(v.index[f"n{n}"] for n in (2, 3, 4, 5))[::3])
-    for name, state, age in ((first, LOST, Pace.remember - 1.0), (last, SUSPECTED, 0.0)):
-        peer.believe(
-            net.now,
-            (*v.claim(v.index[name], net.now)[:4], state, *v.claim(v.index[name], net.now)[5:9], age),
-            "n9",
-            net.hosts[1],
-        )
-    peer.forget(net.now + 2.0)
+    for name, state, age in (
+        (first, MemberState.LOST, timing.FORGET_AFTER_S - 1.0),
+        (last, MemberState.SUSPECTED, 0.0),
+    ):
+        claim = v.claim(v.index[name], net.now)._replace(state=state, age_s=age)
+        peer.updates.apply_update(net.now, claim, "n9", net.hosts[1])
+    peer.failure_detector.forget_gone(net.now + 2.0)
     assert first not in v.index
     assert [v.names[i] for i in peer.suspicions] == [last]
-    peer.rumors.expire(net.now + 2.0, v.index)
-    assert last in peer.rumors and set(peer.rumors.names()) <= set(v.names)
+    peer.dissemination.queue.expire(net.now + 2.0, v.index)
+    assert last in peer.dissemination.queue and set(peer.dissemination.queue.names()) <= set(v.names)
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -5,47 +5,48 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brookhinge.membership.fleet_size import sharers
-from brookhinge.membership.view import ALIVE, LEFT, LOST, SUSPECTED, View
+from brookhinge.membership.claims import Claim, MemberState
+from brookhinge.membership.fleet_size import estimate_fleet_size
+from brookhinge.membership.view import MembershipView
 
 
-def claim(name="a", uid=1, inc=10, state=ALIVE, port=5, age=0.0):
-    return (name, uid, 10, inc, state, "10.0.0.1", port, "z", 1, age)
+def claim(name="a", uid=1, inc=10, state=MemberState.ALIVE, port=5, age=0.0):
+    return Claim(name, uid, 10, inc, state, "10.0.0.1", port, "z", 1, age)
 
 
 def told(view, *claims, now=0.0):
-    return [view.take(now, one, "x") for one in claims]
+    return [view.apply(now, one, "x") for one in claims]
 
 
 def test_what_changes_is_said_once():
-    v = View(600.0)
+    v = MembershipView(600.0)
     assert told(
         v,
         claim(),
         claim(),
-        claim(state=SUSPECTED),
+        claim(state=MemberState.SUSPECTED),
         claim(),
         claim(inc=11),
-        claim(state=LOST),
-        claim(inc=11, state=LOST),
+        claim(state=MemberState.LOST),
+        claim(inc=11, state=MemberState.LOST),
         claim(inc=12),
-        claim(inc=12, state=LEFT),
+        claim(inc=12, state=MemberState.LEFT),
         claim(inc=12),
     ) == ["joined", None, "suspected", None, "cleared", None, "lost", "back", "left", None]
 
 
 def test_a_leaver_never_comes_back_by_old_news_but_its_successor_does():
-    v = View(600.0)
-    told(v, claim(), claim(state=LEFT))
-    assert told(v, claim(inc=9), claim(state=LOST), claim(uid=2, inc=9)) == [None, None, None]
-    assert told(v, claim(uid=2, inc=11)) == ["restarted"] and v.state == [ALIVE]
-    assert told(v, claim(inc=10, state=LEFT)) == [None]  # the older process's word, late
+    v = MembershipView(600.0)
+    told(v, claim(), claim(state=MemberState.LEFT))
+    assert told(v, claim(inc=9), claim(state=MemberState.LOST), claim(uid=2, inc=9)) == [None, None, None]
+    assert told(v, claim(uid=2, inc=11)) == ["restarted"] and v.states == [MemberState.ALIVE]
+    assert told(v, claim(inc=10, state=MemberState.LEFT)) == [None]  # the older process's word, late
 
 
 def test_another_router_at_an_old_address_is_another():
-    v = View(600.0)
+    v = MembershipView(600.0)
     told(v, claim("a", 1), claim("b", 2))
-    assert v.names == ["a", "b"] and v.address == [("10.0.0.1", 5)] * 2
+    assert v.names == ["a", "b"] and v.addresses == [("10.0.0.1", 5)] * 2
 
 
 claims = st.builds(
@@ -56,7 +57,7 @@
 @settings(max_examples=400, deadline=None)
 @given(st.lists(claims, max_size=10), st.randoms(use_true_random=False))
 def test_order_and_doubling_change_nothing(rows, chance):
-    one, two = View(600.0), View(600.0)
+    one, two = MembershipView(600.0), MembershipView(600.0)
     again = rows + chance.sample(rows, len(rows))
     chance.shuffle(again)
     told(one, *rows)
@@ -65,47 +66,52 @@
     for view in (one, two):
         for i, name in enumerate(view.names):
             best = max((r[3], r[1], r[4]) for r in rows if r[0] == name)
-            assert (view.inc[i], view.uid[i], view.state[i]) == best
+            assert (view.incarnations[i], view.incarnation_ids[i], view.states[i]) == best
 
 
 def test_digests_follow_what_is_known():
-    chance, v = random.Random(3), View(600.0)
+    chance, v = random.Random(3), MembershipView(600.0)
     for k in range(300):
         told(
             v,
             claim(f"n{chance.randrange(20)}", chance.randrange(3), chance.randrange(9), chance.randrange(4)),
         )
-    fresh = View(600.0)
+    fresh = MembershipView(600.0)
     told(fresh, *(v.claim(i, 0.0) for i in range(len(v.names))))
     assert fresh.digest() == v.digest()
-    assert v.forget(601.0) and all(state in (ALIVE, SUSPECTED) for state in v.state)
-    fresh = View(600.0)
+    assert v.forget_gone(601.0) and all(
+        state in (MemberState.ALIVE, MemberState.SUSPECTED) for state in v.states
+    )
+    fresh = MembershipView(600.0)
     told(fresh, *(v.claim(i, 601.0) for i in range(len(v.names))), now=601.0)
     assert fresh.digest() == v.digest()
 
 
 def test_a_share_is_free_a_lease_after_its_router_left_or_was_lost():
-    v = View(600.0)
+    v = MembershipView(600.0)
     told(v, *(claim(name, k + 1) for k, name in enumerate("abcd")))
-    trace = [sharers(v, 0.0, 8.0, 6)]
-    told(v, claim("a", 1, state=SUSPECTED), claim("b", 2, state=LEFT))
+    trace = [estimate_fleet_size(v, 0.0, 8.0, 6)]
+    told(v, claim("a", 1, state=MemberState.SUSPECTED), claim("b", 2, state=MemberState.LEFT))
     trace += [
-        sharers(v, now, 8.0, 6) for now in (0.0, 7.9, 8.1)
+        estimate_fleet_size(v, now, 8.0, 6) for now in (0.0, 7.9, 8.1)
     ]  # b may be back, and not everybody know so yet
-    told(v, claim("a", 1, state=LOST), now=1.0)
-    trace += [sharers(v, now, 8.0, 3) for now in (1.0, 8.9, 9.1)]
-    trace.append(sharers(v, 9.1, 8.0, 6))  # the settings tell of more than were heard of
+    told(v, claim("a", 1, state=MemberState.LOST), now=1.0)
+    trace += [estimate_fleet_size(v, now, 8.0, 3) for now in (1.0, 8.9, 9.1)]
+    trace.append(estimate_fleet_size(v, 9.1, 8.0, 6))  # the settings tell of more than were heard of
     told(v, claim("c", 33, inc=20), now=20.0)  # killed and restarted, nobody heard it leave
-    trace += [sharers(v, now, 8.0, 2) for now in (20.0, 28.1)]
+    trace += [estimate_fleet_size(v, now, 8.0, 2) for now in (20.0, 28.1)]
     assert trace == [6, 6, 6, 5, 4, 3, 2, 5, 3, 2]
 
 
 def test_two_sides_of_a_cut_never_use_more_than_the_whole():
     """Each has given the other up for longer than a lease; both still divide by all that the settings tell."""
-    sides = [View(600.0), View(600.0)]
+    sides = [MembershipView(600.0), MembershipView(600.0)]
     for side, mine in zip(sides, ("ab", "cd")):
         told(
             side,
-            *(claim(name, k + 1, state=ALIVE if name in mine else LOST) for k, name in enumerate("abcd")),
+            *(
+                claim(name, k + 1, state=MemberState.ALIVE if name in mine else MemberState.LOST)
+                for k, name in enumerate("abcd")
+            ),
         )
-    assert sum(2 / sharers(side, 100.0, 8.0, 4) for side in sides) <= 1.0
+    assert sum(2 / estimate_fleet_size(side, 100.0, 8.0, 4) for side in sides) <= 1.0
--- a/tests/membership/test_wire_bytes.py
+++ b/tests/membership/test_wire_bytes.py
@@ -7,15 +7,16 @@
 
 import pytest
 
-from brookhinge.membership.codec import Codec
+from brookhinge.membership.claims import Claim
+from brookhinge.membership.codec import MESSAGE_TYPES, Codec
 from brookhinge.standin.lending import COLD, World
 from brookhinge.standin.sharing import Fleet
 from brookhinge.standin.virtual import Net
 
 SITE = "s"
 KEY = b"k" * 16
-SELF_CLAIM = ("n1", 7, 100, 101, 0, "127.0.0.1", 9000, "east", 2, 0)
-LOST_CLAIM = ("n2", 2**62 - 1, 90, 95, 2, "10.0.0.2", 9001, "west", 2, 1.5)
+SELF_CLAIM = Claim("n1", 7, 100, 101, 0, "127.0.0.1", 9000, "east", 2, 0)
+LOST_CLAIM = Claim("n2", 2**62 - 1, 90, 95, 2, "10.0.0.2", 9001, "west", 2, 1.5)
 DIGEST = 2**63 + 5
 NOTICES = [("draining", "s-1", 5), ("purge", 3, "", 1700000000000)]
 BUCKET_DIGESTS = bytes(range(128))
@@ -44,7 +45,7 @@
 def datagram(kind):
     """The first datagram that a router writes, with this message."""
     values, updates, notices = MESSAGES[kind]
-    return Codec(SITE, KEY).write(SELF_CLAIM, DIGEST, kind, values, updates, notices)
+    return Codec(SITE, KEY).write(SELF_CLAIM, DIGEST, MESSAGE_TYPES[kind](*values), updates, notices)
 
 
 class DatagramLog:
@@ -107,8 +108,8 @@
         super().__init__(*args, **links)
 
     def send(self, sender, name, message):
-        _, kind, values, rows = message
-        data = Codec(SITE, KEY).write(SELF_CLAIM, 0, kind, values, [], rows)
+        _, content, rows = message
+        data = Codec(SITE, KEY).write(SELF_CLAIM, 0, content, [], rows)
         self.datagrams.add(f"{self.now!r} {sender.name} {name} ", data)
         super().send(sender, name, message)
 
@@ -137,10 +138,10 @@
         self.log = DatagramLog()
         super().__init__(*args, **links)
 
-    def datagram(self, n, name, kind, values, rows):
-        data = Codec(SITE, KEY).write(SELF_CLAIM, 0, kind, values, [], rows)
+    def datagram(self, n, name, message, rows):
+        data = Codec(SITE, KEY).write(SELF_CLAIM, 0, message, [], rows)
         self.log.add(f"{self.now!r} {n} {name} ", data)
-        super().datagram(n, name, kind, values, rows)
+        super().datagram(n, name, message, rows)
 
 
 def verdicts_history():
