--- a/brookhinge/engine/scores.py
+++ b/brookhinge/engine/scores.py
@@ -2,7 +2,7 @@
 
 
 class Scores:
-    """tracks: of interface.py, by number; flow_kb_s: pace of one transfer to a client, 0 where it is not told.
+    """tracks: of decisions/settings.py, by number; flow_kb_s: pace of one transfer to a client, 0 where it is not told.
 
     totals: {figure: (queries, sum)}; worth counts 1 for an answer in its contract time and the track's late share after it."""
 
@@ -14,7 +14,7 @@
         if how == "forgotten":
             return
         t = self.tracks[track]
-        aim = t.contract_s + t.stretch * (size_kb / self.flow if self.flow else 0.0)
+        aim = t.latency_objective_s + t.objective_stretch * (size_kb / self.flow if self.flow else 0.0)
         good = how == "satisfied"
         worth = 0.0 if not good else 1.0 if took <= aim else t.late_share
         for figure, value in (
--- a/brookhinge/membership/__init__.py
+++ b/brookhinge/membership/__init__.py
@@ -21,5 +21,6 @@
     safety_notices.py        what members tell of servers and purges
     warm_start.py            what a router that has just started is told
 
-Times are float seconds of one monotonic clock per process; no moment of another process's clock is ever compared.
+Times are float seconds of one monotonic clock per process; no moment of another process's clock is ever
+compared.
 """
--- a/brookhinge/membership/memory.py
+++ b/brookhinge/membership/memory.py
@@ -1,11 +1,12 @@
 """The decisions of a router that is told warm-start state: see warm_start.py."""
 
 from brookhinge.decision_records import Doc
+from brookhinge.decisions.messages import WarmStartReceived
 from brookhinge.membership.warm_start import MAX_ROWS as MOST
 
 
 class Remembering:
-    """Goes before Router: beside its calls it takes `remember`, and `memory()` tells what a peer may want."""
+    """Goes before Router: beside its messages it takes `WarmStartReceived`, and `memory()` tells what a peer may want."""
 
     def memory(self):
         rows = [
@@ -15,7 +16,7 @@
         ]
         rows += [
             ("takes", track.name, 0, "", mean, count)
-            for track, mean, count in zip(self.tracks, self.sending, self.known)
+            for track, mean, count in zip(self.request_classes, self.sending, self.known)
         ]
         hot = sorted(
             (doc for doc in self.docs.values() if self.holders(doc) and len(doc.key) <= 64),
@@ -27,6 +28,12 @@
             for c in doc.holders
         ]
 
+    def handle(self, message):
+        if isinstance(message, WarmStartReceived):
+            self.remember(message.rows)
+        else:
+            super().handle(message)
+
     def remember(self, rows):
         """What it has learnt itself by now goes before what it is told."""
         for kind, name, number, other, one, two in rows:
@@ -39,7 +46,7 @@
                     ):
                         ends[:-1] = [one, two][: number - 1]
             elif kind == "takes":
-                for t, track in enumerate(self.tracks):
+                for t, track in enumerate(self.request_classes):
                     if track.name == name and two > self.known[t] and one > 0.0:
                         self.sending[t], self.known[t] = one, two
             elif kind == "holder":
--- a/brookhinge/verdicts/evidence.py
+++ b/brookhinge/verdicts/evidence.py
@@ -1,7 +1,7 @@
 """Outlier evidence: attempts and failures of servers, as counted by each router. No I/O, no clock.
 
-What goes over the wire are totals since a router's process began, with a number that rises: a datagram that comes twice,
-late or out of order changes nothing. What acts is the growth of a total within the last EVIDENCE_S seconds;
+What goes over the wire are totals since a router's process began, with a number that rises: a datagram that
+comes twice, late or out of order changes nothing. What acts is the growth of a total within the last EVIDENCE_S;
 what came before the first total that was received is nobody's evidence, for its age is not known.
 """
 
--- a/tests/limits/test_shared.py
+++ b/tests/limits/test_shared.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brookhinge.interface import ColdStart
+from brookhinge.decisions.settings import SlowStart
 from brookhinge.limits.lease_terms import (
     GRANT_TERM_S,
     LEASE_TERM_S,
@@ -18,7 +18,7 @@
 from brookhinge.limits.shared import SharedBudget, SharedCrowding
 
 LIMIT = ("cache", "s-1", 5)
-START_OF = ColdStart(0.3, 20.0, 3.0, 1.0)
+START_OF = SlowStart(0.3, 20.0, 3.0, 1.0)
 
 
 @settings(max_examples=300, deadline=None)
