--- a/brookhinge/limits/limits.py
+++ b/brookhinge/limits/limits.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Callable, Iterable, Sequence
 
+from brookhinge.engine.events import QuotasAssigned
 from brookhinge.limits.lease_protocol import LeaseProtocol
 from brookhinge.limits.lease_terms import REPORT_INTERVAL_S
 from brookhinge.limits.records import DemandSample, Limit
@@ -15,7 +16,7 @@
 class Limits:
     """Keeps the quotas of one router and posts to the engine what changes of them.
 
-    The event `parts` has rows (kind, server, start, quota) of each limit whose quota has changed, None for
+    QuotasAssigned has rows (kind, server, start, quota) of each limit whose quota has changed, None for
     one that is no longer shared; the row of OWN_FRACTION_ROW says how much of all other quotas of its own
     the router may use.
     """
@@ -88,7 +89,7 @@
             rows.append((*limit, None))
         self.shrinks_at = lessee.next_expiry(now)
         if rows:
-            writer.event_of("parts", rows)
+            writer.post_event(QuotasAssigned(rows))
 
     def status_rows(self, now: float) -> list[Row]:
         """Rows of kind, server, own quota, granted away, leased, quota, seconds till that shrinks, lessor."""
--- a/brookhinge/membership/core.py
+++ b/brookhinge/membership/core.py
@@ -5,6 +5,7 @@
 
 import msgspec
 
+from brookhinge.engine.events import Event
 from brookhinge.membership.messages import CoreMessage, Row, StatusTopic
 
 
@@ -14,7 +15,7 @@
     def post_to(self, i: int, message: msgspec.Struct, rows: Sequence[Row]) -> None:
         """Send a message to the member at a position of the view."""
 
-    def event_of(self, method: str, *values: object) -> None:
+    def post_event(self, event: Event) -> None:
         """Post an event to the engine."""
 
 
--- a/brookhinge/membership/udp_transport.py
+++ b/brookhinge/membership/udp_transport.py
@@ -12,6 +12,7 @@
 import msgspec
 
 from brookhinge.clock import steady
+from brookhinge.engine.events import Event, PeerNoticeReceived, RouterCountChanged
 from brookhinge.membership.claims import Claim
 from brookhinge.membership.codec import CORE_MESSAGES, VERSION, Codec
 from brookhinge.membership.core import Core
@@ -49,7 +50,7 @@
         settings: "Fleet",
         seed: object,
         configured: Sequence[int],
-        event: Callable[[str, tuple], None],
+        post: Callable[[Event], None],
         log: Callable[..., None],
     ) -> None:
         """Prepare a router; nothing is sent before `start`.
@@ -58,12 +59,12 @@
             settings: the block `fleet` of the operator's file.
             seed: of chance, with the moment of the start.
             configured: how many routers the settings tell of, in the zone and in all.
-            event: called with (method, values) for the engine: `notice` and `peers`.
+            post: takes the events for the engine.
             log: called as log(event, **values).
         """
         self.settings = settings
         self.seed = seed
-        self.event = event
+        self._post = post
         self.log = log
         self.codec = Codec(settings.site, settings.key)
         self.transport: asyncio.DatagramTransport | None = None
@@ -191,7 +192,7 @@
         if (in_zone, total) != self.fleet_size:
             self.fleet_size = FleetSize(in_zone, total)
             self.log("fleet", change="sharers", here=in_zone, all=total)
-            self.event("peers", (in_zone, total))
+            self._post(RouterCountChanged(in_zone, total))
 
     # what the service asks
 
@@ -277,7 +278,7 @@
 
     def notice(self, kind: str, values: tuple, reporter: str) -> None:
         """Post a member's notice to the engine."""
-        self.event("notice", (kind, values))
+        self._post(PeerNoticeReceived(kind, values))
 
     # what the cores write
 
@@ -285,6 +286,6 @@
         """Send a core's message to the member at a position."""
         self.send(self.peer.view.addresses[i], message, [], rows)
 
-    def event_of(self, method: str, *values: object) -> None:
+    def post_event(self, event: Event) -> None:
         """Post a core's event to the engine."""
-        self.event(method, values)
+        self._post(event)
--- a/brookhinge/membership/warm_start.py
+++ b/brookhinge/membership/warm_start.py
@@ -2,7 +2,7 @@
 
 That is sub-ranges of the beacon rings, what requests take, and which servers hold what is asked for most.
 It loosens
-nothing: a wrong hint costs a miss. The engine takes it as the event `remember`.
+nothing: a wrong hint costs a miss.
 """
 
 import math
@@ -10,6 +10,7 @@
 
 import xxhash
 
+from brookhinge.engine.events import WarmStartReceived
 from brookhinge.membership.claims import MemberState
 from brookhinge.membership.core import CoreWriter
 from brookhinge.membership.messages import CoreMessage, Row, WarmStartRequest, WarmStartState
@@ -67,7 +68,7 @@
                 self._answer(received.sender_id, writer)
             elif self._attempts and received.rows:
                 self.is_done = True
-                writer.event_of("remember", [tuple(row) for row in received.rows])
+                writer.post_event(WarmStartReceived([tuple(row) for row in received.rows]))
         if not self.is_done and now >= self._next_attempt_at:
             self._ask(now, writer)
 
--- a/brookhinge/net/write_guard.py
+++ b/brookhinge/net/write_guard.py
@@ -2,12 +2,13 @@
 
 from collections.abc import Callable
 
+from brookhinge.decisions.rules import HeldBack
+from brookhinge.engine.events import EndpointsListed, ObjectsPurged
 from brookhinge.engine.reducer import Reducer
-from brookhinge.engine.rounds import Rounds
+from brookhinge.engine.scheduler import EventScheduler
 from brookhinge.net.caches import Decided
 from brookhinge.net.channel import Channel
 from brookhinge.net.front import Front
-from brookhinge.decisions.rules import HeldBack
 
 MIN_TIME_LEFT_S = 0.002  # an attempt with less time than this cannot be answered in time
 
@@ -25,13 +26,13 @@
         *,
         now: Callable[[], float],
         reducer: Reducer,
-        rounds: Rounds,
+        scheduler: EventScheduler,
         command_channel: Channel,
         client_connections: Front,
     ) -> None:
         self._now = now
         self._reducer = reducer
-        self._rounds = rounds
+        self._scheduler = scheduler
         self._command_channel = command_channel
         self._client_connections = client_connections
 
@@ -42,8 +43,8 @@
         reason = self._reducer.held_back(decided.query, decided.push)
         if reason is not None:
             return reason
-        if not self._rounds.knows_all():
+        if not self._scheduler.is_caught_up():
             return HeldBack.STALLED
-        if self._command_channel.has_unread() or self._rounds.has_posted("listed", "purged"):
+        if self._command_channel.has_unread() or self._scheduler.has_posted(EndpointsListed, ObjectsPurged):
             return HeldBack.LIST_UNREAD
         return self._client_connections.held_back(*self._reducer.asker(decided.query))
--- a/brookhinge/standin/lending.py
+++ b/brookhinge/standin/lending.py
@@ -66,8 +66,8 @@
     def post_to(self, i, message, rows):
         self.world.send(self, self.view.names[i], CoreMessage(self.uid, message, list(rows)))
 
-    def event_of(self, method, rows):
-        for *limit, part in rows:
+    def post_event(self, event):
+        for *limit, part in event.quotas:
             if part is None:
                 self.used.pop(tuple(limit), None)
             else:
--- a/brookhinge/verdicts/outlier_detection.py
+++ b/brookhinge/verdicts/outlier_detection.py
@@ -4,6 +4,7 @@
 import math
 from collections.abc import Callable, Mapping, Sequence
 
+from brookhinge.engine.events import OutlierVerdictsChanged
 from brookhinge.membership.core import CoreWriter
 from brookhinge.membership.messages import CoreMessage, EvidenceReport, EvidenceTable, Row, StatusTopic
 from brookhinge.membership.view import MembershipView
@@ -18,7 +19,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """What a row of the event `verdicts` says of a server, for so many seconds."""
+    """What a row of OutlierVerdictsChanged says of a server, for so many seconds."""
 
     EJECTED = "rest"
     TRIAL = "trial"
@@ -46,7 +47,7 @@
 class OutlierDetection:
     """Decides by the evidence of all routers which servers this one leaves alone.
 
-    The event `verdicts` has rows (server, start, verdict, seconds): see Verdict.
+    OutlierVerdictsChanged has rows (server, start, verdict, seconds): see Verdict.
     """
 
     message_types = (EvidenceReport, EvidenceTable)
@@ -156,7 +157,7 @@
             rows.append((*server, verdict, 0.0))
         self._posted = posting
         if rows:
-            writer.event_of("verdicts", rows)
+            writer.post_event(OutlierVerdictsChanged(rows))
 
     def _verdict(self, now: float, server: Server, ejection: Ejection) -> tuple[Verdict, float]:
         """What is said of a server, and until when it holds."""
--- a/tests/membership/test_memory.py
+++ b/tests/membership/test_memory.py
@@ -6,6 +6,7 @@
 
 from brookhinge.decide import Router
 from brookhinge.decisions.messages import ObjectsPurged, WarmStartReceived
+from brookhinge.engine import events
 from brookhinge.membership.claims import Claim, MemberState
 from brookhinge.membership.memory import Remembering
 from brookhinge.membership.messages import CoreMessage, WarmStartRequest, WarmStartState
@@ -80,8 +81,8 @@
     def post_to(self, place, *what):
         self.posted.append((place, *what))
 
-    def event_of(self, *what):
-        self.events.append(what)
+    def post_event(self, event):
+        self.events.append(event)
 
 
 def core(states):
@@ -100,7 +101,7 @@
     ] * 4
     memory.round(2.0, [CoreMessage(2, WarmStartState(0, 1), [("takes", "page", 0, "", 0.1, 9.0)])], writer)
     assert writer.events == [
-        ("remember", [("takes", "page", 0, "", 0.1, 9.0)])
+        events.WarmStartReceived([("takes", "page", 0, "", 0.1, 9.0)])
     ] and memory.next_at() == float("inf")
     memory.round(
         2.1, [CoreMessage(3, WarmStartRequest(0, 0), ())], writer
