--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -78,7 +78,7 @@
     ) -> None:
         from brookhinge.membership.udp_transport import UdpTransport
 
-        place = site.decisions["location"]
+        place = site.decisions.location
         configured_sizes = (place.routers_here, place.routers)
         self._fleet = fleet
         self._reducer = reducer
