--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -18,7 +18,7 @@
 from brookhinge.startup import Site
 
 if TYPE_CHECKING:
-    from brookhinge.membership.safety_notices import Tight
+    from brookhinge.membership.safety_notices import SafetyNotices
     from brookhinge.membership.udp_transport import UdpTransport
     from brookhinge.operator.schema import Control, Fleet
     from brookhinge.purgelog.client import LogClient
@@ -26,15 +26,15 @@
 JOIN_RETRY_S = 0.05  # between two tries to bind the address that the process before still holds
 
 
-def safety_notices(started_at: float) -> Tight:
+def safety_notices(started_at: float) -> SafetyNotices:
     """Return the store of what peers tell that tightens a rule.
 
     Args:
         started_at: When this router started, in Unix seconds.
     """
-    from brookhinge.membership.safety_notices import Tight
+    from brookhinge.membership.safety_notices import SafetyNotices
 
-    return Tight(started_at)
+    return SafetyNotices(started_at)
 
 
 def router_class(fleet: Fleet | None) -> type[Router]:
--- a/brookhinge/standin/sharing.py
+++ b/brookhinge/standin/sharing.py
@@ -19,7 +19,7 @@
 from brookhinge.limits.shared import Sharing
 from brookhinge.membership.claims import Claim, MemberState
 from brookhinge.membership.messages import CoreMessage
-from brookhinge.membership.safety_notices import Tight
+from brookhinge.membership.safety_notices import SafetyNotices
 from brookhinge.membership.view import MembershipView
 from brookhinge.standin.model import Model
 from brookhinge.verdicts.outlier_detection import OutlierDetection
@@ -90,7 +90,7 @@
                 [b"pages"],
                 ["hub", "edge"],
                 None,
-                Tight(0.0),
+                SafetyNotices(0.0),
             )
             for n in range(routers)
         ]
--- a/tests/membership/test_safety_notices.py
+++ b/tests/membership/test_safety_notices.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from brookhinge.decisions.messages import Endpoint, RouterCountChanged
-from brookhinge.membership.safety_notices import WORSE, Tight
+from brookhinge.membership.safety_notices import SEVERITY, SafetyNotices
 
 
 def row(server="s", health="ready", born=None):
@@ -13,7 +13,7 @@
 
 
 def test_a_drain_received_binds_until_the_own_channel_has_caught_up():
-    t = Tight(1000.0)
+    t = SafetyNotices(1000.0)
     assert t.receive_row(row()) == (row(), None)
     assert t.receive_notice(("draining", "s", 0)) == row(health="draining")
     assert t.receive_notice(("draining", "s", 0)) is None  # once
@@ -23,7 +23,7 @@
 
 
 def test_a_late_notice_of_a_drain_that_is_over_holds_nothing():
-    t = Tight(1000.0)
+    t = SafetyNotices(1000.0)
     for health in ("ready", "draining", "ready"):
         t.receive_row(row(health=health))
     assert t.receive_notice(("draining", "s", 0)) is None and t.receive_row(row())[0] == row()
@@ -31,7 +31,7 @@
 
 
 def test_of_another_start_nothing_is_believed():
-    t = Tight(1000.0)
+    t = SafetyNotices(1000.0)
     t.receive_row(row(born=5.0))
     assert t.receive_notice(("gone", "s", 0)) is None and t.receive_row(row(born=5.0))[0] == row(born=5.0)
     assert t.receive_notice(("gone", "s", 1005000)) == row(health="gone", born=5.0)
@@ -39,19 +39,19 @@
 
 
 def test_received_before_the_own_channel_lists_it():
-    t = Tight(0.0)
+    t = SafetyNotices(0.0)
     assert t.receive_notice(("gone", "new", 7000)) is None
     assert t.receive_row(row("new", born=7.0))[0] == row("new", "gone", 7.0)
 
 
 def test_a_whole_list_that_leaves_one_out_is_a_notice():
-    t = Tight(0.0)
+    t = SafetyNotices(0.0)
     t.receive_row(row("a")), t.receive_row(row("b"))
     assert t.absent({"b"}) == [("gone", "a", 0)] and t.absent({"b"}) == []
 
 
 def test_notices_that_are_no_notices():
-    t = Tight(0.0)
+    t = SafetyNotices(0.0)
     t.receive_row(row())
     assert t.receive_notice(("ready", "s", 0)) is None and t.receive_notice(("draining", 5, 0)) is None
 
@@ -68,21 +68,21 @@
     )
 )
 def test_hearing_never_loosens(steps):
-    t, now = Tight(0.0), {}
+    t, now = SafetyNotices(0.0), {}
     for how, health, born in steps:
         if how == "row":
             used, _ = t.receive_row(row(health=health, born=born))
-            assert WORSE[used[1]] >= WORSE[health]
+            assert SEVERITY[used[1]] >= SEVERITY[health]
             now = {"health": used[1], "born": born} if health != "gone" else {}
         else:
             used = t.receive_notice((health, "s", t.stamp(born)))
             if used is not None:
-                assert now["born"] == born and WORSE[used[1]] > WORSE[now["health"]]
+                assert now["born"] == born and SEVERITY[used[1]] > SEVERITY[now["health"]]
                 now["health"] = used[1]
 
 
 def test_purges_are_taken_once():
-    t = Tight(0.0)
+    t = SafetyNotices(0.0)
     assert [t.purge_is_new(3, "", 5), t.purge_is_new(3, "", 5), t.purge_is_new(3, "", 6)] == [
         True,
         False,
