--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -16,12 +16,14 @@
 from collections import OrderedDict
 from pathlib import Path
 
+from xxhash import xxh3_64_intdigest
+
 from benchmarks import kept
-from brookhinge.store.admission import Admission
+from brookhinge.store.admission import AdmissionPolicy, Victim
+from brookhinge.store.copies import Copy, key_of
 from brookhinge.store.disk_tier import DiskTier
 from brookhinge.store.files import Files
-from brookhinge.store.index import FIELDS, Index
-from brookhinge.store.records import Copy, check_of, key_of
+from brookhinge.store.index import Extent, Index
 
 MB = 1024 * 1024
 BODY = 65536
@@ -76,7 +78,7 @@
 
 
 def tier_in(folder, disk_mb, segment_mb=16, admit=None):
-    tier = DiskTier(Files(folder), disk_mb * MB, segment_mb * MB, admit=admit)
+    tier = DiskTier(Files(folder), disk_mb * MB, segment_mb * MB, admits=admit)
     tier.open()
     return tier
 
@@ -93,7 +95,7 @@
     tier, plain = tier_in(folder / "tier", 4 * count * BODY // MB + 256), Plain(folder / "plain.db")
 
     def append(n):
-        tier.write(copy_of(n, bodies[n]), surely=True)
+        tier.write(copy_of(n, bodies[n]), bypass_admission=True)
         if n % 64 == 63:
             tier.sync()
 
@@ -110,7 +112,7 @@
     figures["plain_reads_s"], figures["plain_read_p99_ms"] = timed(plain.get, order)
     assert tier.read(b"%016x" % 5, 0).body == bodies[5] == plain.get(5)
     view = memoryview(body)[:BODY]
-    checks = timed(lambda _: check_of(view), range(2000))[0]
+    checks = timed(lambda _: xxh3_64_intdigest(view), range(2000))[0]
     figures["check_share_of_a_read"] = round(figures["reads_s"] / checks, 3)
     figures["check_gb_s"] = round(checks * BODY / 1e9, 1)
     figures["reads_over_plain"] = round(figures["reads_s"] / figures["plain_reads_s"], 2)
@@ -137,7 +139,7 @@
         tier = tier_in(place, size * 2 + 256)
         body = random.Random(2).randbytes(32768 + 4096)
         for n in range(size * MB // 33000):
-            tier.write(copy_of(n, body[n % 4096 : n % 4096 + 32768]), surely=True)
+            tier.write(copy_of(n, body[n % 4096 : n % 4096 + 32768]), bypass_admission=True)
         parts, segments = tier.index.parts, [s.number for s in tier.segments.values()]
         tier.close()
         forget(place)
@@ -155,9 +157,9 @@
             tier = DiskTier(Files(place), (size * 2 + 256) * MB, 16 * MB)
             forget(place)
             began = time.perf_counter()
-            figures = tier.open()
+            report = tier.open()
             row[name] = round(time.perf_counter() - began, 3)
-            assert figures["parts"] == parts
+            assert report.parts == parts
             tier.abandon()
         row["scan_pace_of_sequential"] = round(row["sequential_s"] / row["scan_s"], 2)
         rows.append(row)
@@ -188,11 +190,11 @@
     index = Index()
     began = time.perf_counter()
     for n in range(count):
-        index.add(mixed(n), 7, n >> 12, n & 4095, 33000, 32768, 1.0, 1, 0, 1, n & 255, n & 3)
+        index.add(Extent(mixed(n), 7, n >> 12, n & 4095, 33000, 32768, 1.0, 1, 0, 1, n & 255, n & 3))
     filled_s = time.perf_counter() - began
-    size = sum(getattr(index, name).buffer_info()[1] * getattr(index, name).itemsize for name, _ in FIELDS)
+    size = sum(column.buffer_info()[1] * column.itemsize for column in index.columns)
     size += len(index.slots) * 4
-    spare = sum(array.array.__sizeof__(getattr(index, name)) for name, _ in FIELDS) + index.slots.__sizeof__()
+    spare = sum(array.array.__sizeof__(column) for column in index.columns) + index.slots.__sizeof__()
     keys = [mixed(random.Random(n).randrange(count)) for n in range(20000)]
     finds = timed(index.find, keys)[0]
     few = min(count, 100_000)
@@ -324,12 +326,12 @@
 
 
 def admission(limit, bend=0.5):
-    decides = Admission(limit // 32768, bend=bend, room=0.5)
+    decides = AdmissionPolicy(limit // 32768, size_exponent=bend, free_share=0.5)
 
     def lets_in(code, size, disk, kept):
-        decides.used(code)
-        return not kept and decides.admit(
-            code, size, disk.limit - disk.bytes, ((mixed(k), s) for k, s in disk.held.items())
+        decides.record_use(code)
+        return not kept and decides.admits(
+            code, size, disk.limit - disk.bytes, (Victim(mixed(k), s) for k, s in disk.held.items())
         )
 
     return lets_in
@@ -372,9 +374,9 @@
             copy_of(int(chance.paretovariate(0.5)) % 3000, body[: chance.randrange(2000, 60000)])._replace(
                 tag=b"%d" % n, dated=float(n)
             ),
-            surely=True,
+            bypass_admission=True,
         )
-    counts = tier.counts
+    counts = tier.stats()
     tier.abandon()
     return {
         "amplification": round(
--- a/benchmarks/store_kills.py
+++ b/benchmarks/store_kills.py
@@ -18,8 +18,8 @@
 from brookhinge.standin.caller import LineCaller
 from brookhinge.standin.origin import body_of, group_of
 from brookhinge.standin.town import Town
-from brookhinge.store.purge_ledger import Ledger
-from brookhinge.store.records import FILE_HEAD
+from brookhinge.store.file_format import FILE_HEADER_BYTES
+from brookhinge.store.purge_ledger import PurgeLedger
 
 GRACE_S = 0.5
 OBJECTS, PARTS = 60, 5
@@ -97,8 +97,8 @@
     the number of a later poll; what came before the first list of this start was never told to the box."""
     heard = [number for number in polls if number]
     first, last = min(heard, default=0), max(heard, default=0)
-    ledger = Ledger()
-    ledger.replay((folder / "purges.log").read_bytes()[FILE_HEAD.size :])
+    ledger = PurgeLedger()
+    ledger.replay((folder / "purges.log").read_bytes()[FILE_HEADER_BYTES:])
     known = {**{name.decode(): when for name, when in ledger.objects.items()}, **ledger.groups}
     acknowledged = [
         (when, group if name is None else name)
--- a/brookhinge/box/metrics.py
+++ b/brookhinge/box/metrics.py
@@ -18,7 +18,7 @@
         self.box = box
 
     def collect(self):
-        told = {**self.box.counts, **self.box.store.figures()}
+        told = {**self.box.counts, **self.box.store.stats()}
         yield GaugeMetricFamily(
             "brookhinge_box_disk_on", "1 while the disk tier is used", told.pop("disk") == "on"
         )
--- a/brookhinge/box/service.py
+++ b/brookhinge/box/service.py
@@ -9,10 +9,10 @@
 from brookhinge.box.lines import LineServer
 from brookhinge.box.orders import Orders
 from brookhinge.net.caches import Caches
-from brookhinge.store import Copy, DiskTier, Store
+from brookhinge.store import Copy, DiskTier, DiskTimings, Store
+from brookhinge.store.copies import UNKNOWN_GROUP
 from brookhinge.store.files import Files
-from brookhinge.store.purge_ledger import GROUP, OBJECT
-from brookhinge.store.records import ANY_GROUP
+from brookhinge.store.purge_ledger import Purge, PurgeKind
 
 MB = 1024 * 1024
 SOCKETS, MULTIPLEX = 256, 64
@@ -46,12 +46,16 @@
         self.apart = now() - steady()  # of the two clocks: it falls when the one that people set steps back
         tier = stand.store
         disk = (
-            DiskTier(files or Files(tier.dir), tier.disk_mb * MB, tier.segment_mb * MB, say=say)
+            DiskTier(files or Files(tier.dir), tier.disk_mb * MB, tier.segment_mb * MB, log_event=say)
             if tier.dir or files
             else None
         )
         self.store = Store(
-            int(tier.memory_mb * MB), disk, say, tier.stall_s, tier.sync_s, tier.snapshot_s, now=steady
+            int(tier.memory_mb * MB),
+            disk,
+            log_event=say,
+            timings=DiskTimings(tier.stall_s, tier.sync_s, tier.snapshot_s),
+            now=steady,
         )
         self.lines = LineServer(self.serve, say, self.now, stand.idle_s)
         self.caches = Caches(
@@ -94,7 +98,7 @@
         """Listens and begins to open the store; (host, port)."""
         await self.store.start()
         if self.store.opened is not None:
-            self.store.opened.add_done_callback(lambda _: self.store.bound_purges(self.clock()))
+            self.store.opened.add_done_callback(lambda _: self.store.limit_purge_dates(self.clock()))
         address = self.lines.listen(*self.stand.listen)
         self.tasks = [asyncio.ensure_future(part()) for part in (self.orders.run, self.sweep, self.figures)]
         self.say("listening", address="%s:%d" % address)
@@ -131,8 +135,8 @@
         if apart < self.apart - STEP_S:
             self.say("clock stepped back", by_s=round(self.apart - apart, 3))
             self.unsure_until = self.now() + min(self.apart - apart, UNSURE_S)
-            self.store.aside_all()
-            self.store.bound_purges(self.clock())
+            self.store.require_revalidation()
+            self.store.limit_purge_dates(self.clock())
         self.apart = apart
 
     async def figures(self):
@@ -141,7 +145,7 @@
             self.say(
                 "figures",
                 **self.counts,
-                **self.store.figures(),
+                **self.store.stats(),
                 open=self.lines.open(),
                 fills=len(self.fills),
             )
@@ -153,7 +157,7 @@
             self.listed(*values)
         elif method == "purged":
             number, group, moment, name = values
-            kind, name = (OBJECT, name.encode()) if name else (GROUP, group)
+            kind, name = (PurgeKind.OBJECT, name.encode()) if name else (PurgeKind.GROUP, group)
             self.purge(number, kind, name, moment)
         else:
             self.say("command skipped", cursor=values[0], why=values[1])
@@ -183,17 +187,17 @@
 
     def purge(self, number, kind, name, moment):
         when = moment + self.start_at
-        if kind == GROUP and not 0 <= name <= 255 or kind == OBJECT and len(name) > 255:
+        if kind == PurgeKind.GROUP and not 0 <= name <= 255 or kind == PurgeKind.OBJECT and len(name) > 255:
             return self.say("command skipped", why=f"a purge of {name!r:.80}")
         self.counts["purges"] += 1
         # what the channel tells first happened before, by stamps alone; all else just now
         told_s = rules.event_time(self.now(), moment) if self.orders.met else moment
         for fill in self.fills.values():  # what is on its way may be from before
-            if kind == GROUP or fill.key[0] == name:
+            if kind == PurgeKind.GROUP or fill.key[0] == name:
                 fill.purged = max(fill.purged, when)
                 fill.doubtful |= told_s != moment  # by the stamps it could not be told from what comes after
         when = min(when, self.clock()) if told_s == moment else self.clock()
-        done = self.store.purge(kind, name, when)
+        done = self.store.purge(Purge(kind, name, when))
         if not done.done():
             self.pending[number] = done
             done.add_done_callback(lambda _: self.pending.get(number) is done and self.pending.pop(number))
@@ -212,7 +216,7 @@
         self.told_at = None
         self.servers = {}
         self.pending.clear()  # their numbers are of an earlier count
-        self.store.aside_all()
+        self.store.require_revalidation()
 
     # queries
 
@@ -224,11 +228,13 @@
         track = self.tracks.get(pull.sort, j.Track())
         found = await self.store.get(pull.object, pull.part, pull.patience_s)
         if found is not None and not rules.stamp_is_plausible(self.clock(), found.dated):
-            found = found._replace(aside=True, dated=0.0)  # from before a clock was set back: of unknown age
+            found = found._replace(
+                needs_revalidation=True, dated=0.0
+            )  # from before a clock was set back: of unknown age
         if (
             self.told_at is None and found is not None
         ):  # what was purged before we were told anything is not known
-            found = found._replace(aside=True)
+            found = found._replace(needs_revalidation=True)
         age = None if found is None else max(0.0, self.clock() - found.dated)
         fill = self.joinable.get(key)
         bound = self.bound(pull, track, found)
@@ -236,7 +242,7 @@
             pull,
             track,
             age,
-            found is not None and found.aside,
+            found is not None and found.needs_revalidation,
             self.state(pull.source),
             fill is not None and (not bound or fill.bound_s and fill.bound_s <= bound),
             len(self.fills),
@@ -253,7 +259,7 @@
         if verdict == j.FILL:
             fill = self.fill(pull, found, bound)
         result, got, source_note = await asyncio.shield(fill.done)
-        if result == "satisfied" and self.store.purges.purged(pull.object, got.group, got.dated):
+        if result == "satisfied" and self.store.purges.is_purged(pull.object, got.group, got.dated):
             result = "errored"  # it was purged while it was under way
         word, filled = j.after_fill(
             result,
@@ -279,7 +285,9 @@
         now = self.now()
         since_purge = max(0.001, self.clock() - purged) if purged > float("-inf") else None
         since_told = None if self.told_at is None else max(0.001, now - self.told_at)
-        return j.bound_of(pull, track, since_purge, since_told, found is not None and found.aside)
+        return j.bound_of(
+            pull, track, since_purge, since_told, found is not None and found.needs_revalidation
+        )
 
     def good(self, name, pull, found, note, waited):
         self.counts[note] += 1
@@ -289,7 +297,7 @@
             (b"digest", found.tag or b"-"),
             (b"dated", b"%d" % round(found.dated * 1000)),
         ]
-        if found.group != ANY_GROUP:
+        if found.group != UNKNOWN_GROUP:
             fields.append((b"lot", b"%d" % found.group))
         if waited:
             fields.append((b"first", b"%d" % (waited * 1000)))
@@ -312,7 +320,7 @@
                 "util": len(self.fills) / self.stand.fills,
                 "inflight": self.lines.open(),
                 "x0": self.lately,
-                "queue": 0 if self.store.readers is None else self.store.readers.waiting(),
+                "queue": self.store.waiting_reads(),
                 "x1": len(self.fills),
             }
             fields.append((b"l", b";".join(b"%b:%.3g" % (r.encode(), told.get(r, 0)) for r in self.reports)))
@@ -385,7 +393,7 @@
         if fill.held is None or when is None or when <= fill.purged or fill.doubtful:
             return None
         when = self.date_of(fill, when)
-        return self.store.renew(*fill.key, fill.held, max(when, fill.held.dated))
+        return self.store.mark_revalidated(*fill.key, fill.held, max(when, fill.held.dated))
 
     def date_of(self, fill, when):
         """The moment from which a copy's age counts here. A stamp of the future is that of another setting of the clocks, and so
@@ -405,7 +413,7 @@
         self.counts["filled_bytes"] += len(body)
         if fill.doubtful:
             return None
-        group = int(lot) if lot and lot.isdigit() and int(lot) <= 255 else ANY_GROUP
+        group = int(lot) if lot and lot.isdigit() and int(lot) <= 255 else UNKNOWN_GROUP
         copy = Copy(
             *fill.key,
             b"" if tag in (None, b"-") else tag,
@@ -418,9 +426,9 @@
         if (
             when is not None
             and when <= fill.purged
-            and self.store.purges.purged(copy.object, group, copy.dated)
+            and self.store.purges.is_purged(copy.object, group, copy.dated)
         ):
             return None
         if body and fill.keep:
             self.store.put(copy)
-        return copy.found()
+        return copy.as_read_result()
--- a/brookhinge/store/cleaning.py
+++ b/brookhinge/store/cleaning.py
@@ -1,24 +1,40 @@
-"""Which segment is cleaned, and what has to go. No I/O.
+"""Which segment is cleaned, and how much may be live. No I/O.
 
-Records are never overwritten: what is dropped leaves dead bytes in its segment, and a segment is freed by copying what
-lives in it to the end of the log. Copying a segment of which a share u lives writes u / (1 - u) bytes for each byte it
-frees. No more than FULL of the sealed segments may live, so the emptiest of them has u of FULL at most: whatever is
-written, cleaning writes four times as much at the worst. RESERVE segments are left out of that reckoning: the one that is
-written to, the one that cleaning copies to, and the one that is being freed."""
+Records are never overwritten: what is dropped leaves dead bytes in its segment, and a segment is freed by
+copying its live records to the end of the log (LFS: Rosenblum, Ousterhout, 1992). Copying a segment of which
+a share u is live writes u / (1 - u) bytes for each byte it frees. No more than MAX_LIVE_SHARE of the sealed
+segments may be live, so the emptiest of them has that share at most: whatever is written, cleaning writes
+four times as much at the worst.
+"""
 
-FULL, RESERVE = 0.8, 3
+MAX_LIVE_SHARE = 0.8
+RESERVED_SEGMENTS = 3  # the one written to, the one cleaning copies to, the one being freed
 
 
-def room(limit, segment_bytes):
-    """Bytes that may live on a disk of `limit` bytes."""
-    return max(0, int(FULL * (limit - RESERVE * segment_bytes)))
+def max_live_bytes(limit_bytes: int, segment_bytes: int) -> int:
+    """Bytes that may be live on a disk of `limit_bytes`."""
+    return max(0, int(MAX_LIVE_SHARE * (limit_bytes - RESERVED_SEGMENTS * segment_bytes)))
 
 
-def choose(sizes, live, active, limit, segment_bytes):
-    """The segment to clean, or None while there is room for two more.
+def choose_segment(
+    sizes: dict[int, int],
+    live_bytes: dict[int, int],
+    active: int | None,
+    limit_bytes: int,
+    segment_bytes: int,
+) -> int | None:
+    """The segment to clean, or None while there is space for two more.
 
-    sizes: bytes of each segment; live: bytes of records in use, by segment; active: the one that is written to."""
-    if sum(sizes.values()) + 2 * segment_bytes <= limit:
+    Args:
+        sizes: Bytes of each segment.
+        live_bytes: Bytes of the records in use, by segment.
+        active: The segment that is written to, which is never chosen.
+        limit_bytes: Bytes that all segments may take.
+        segment_bytes: Bytes of a full segment.
+    """
+    if sum(sizes.values()) + 2 * segment_bytes <= limit_bytes:
         return None
-    sealed = [s for s in sizes if s != active]
-    return min(sealed, key=lambda s: (live.get(s, 0) / max(1, sizes[s]), s), default=None)
+    sealed = [number for number in sizes if number != active]
+    return min(
+        sealed, key=lambda number: (live_bytes.get(number, 0) / max(1, sizes[number]), number), default=None
+    )
--- a/brookhinge/store/index.py
+++ b/brookhinge/store/index.py
@@ -1,114 +1,170 @@
-"""The index of what is on disk: parallel arrays under an open-addressing table, some 75 bytes a part where a dict of
-objects takes several times that (measured in benchmarks/store.py). No I/O.
+"""The index of the disk tier: parallel arrays under an open-addressing hash table. No I/O.
 
-An entry is an extent: a run of a part's chunks in one record. The entries of a part form a chain, all of one version;
-the first of them stands in the table and in the list of its rank by last use."""
+A million parts take some 70 bytes each, where a dict of objects takes several times that
+(benchmarks/store.py).
+
+An entry is an extent: a run of a part's chunks in one record. The entries of a part form a chain, all of one
+version; the first of them stands in the hash table and in the LRU list of its eviction rank.
+"""
 
 from array import array
+from collections.abc import Iterator
+from typing import NamedTuple
+
+from brookhinge.store.copies import EVICTION_RANKS
+from brookhinge.store.record_format import RECORD_ALIGN_BYTES
 
 NONE = 0xFFFFFFFF
-FIELDS = (
-    ("key", "Q"),
-    ("version", "I"),
-    ("segment", "I"),
-    ("place", "I"),
-    ("length", "I"),
-    ("size", "I"),
-    ("dated", "d"),
-    ("epoch", "I"),
-    ("first", "H"),
-    ("count", "H"),
-    ("group", "H"),
-    ("rank", "B"),
-    ("chain", "I"),
-    ("older", "I"),
-    ("newer", "I"),
-)
-RANKS = 4
+_INITIAL_SLOTS = 1024
 
 
-class Index:
-    """Entries are small integers. `live` counts the bytes of records in use by segment."""
+class Extent(NamedTuple):
+    """One record as the index keeps it; the fields are the first columns of the index."""
+
+    key: int
+    version: int
+    segment: int
+    aligned_offset: int  # of the record in its segment, in units of RECORD_ALIGN_BYTES
+    record_bytes: int
+    part_bytes: int
+    dated: float
+    epoch: int  # copies of an earlier epoch than the tier's need revalidation
+    first_chunk: int
+    chunk_count: int
+    group: int
+    rank: int
+
+
+class IndexDump(NamedTuple):
+    """All of an index as it stands in memory."""
+
+    counters: list[int]
+    buffers: list[bytes]
 
-    def __init__(self):
-        self.set_columns([array(kind) for _, kind in FIELDS])
-        self.slots = array("I", [NONE]) * 1024
-        self.free, self.parts, self.entries = NONE, 0, 0
-        self.oldest, self.newest = [NONE] * RANKS, [NONE] * RANKS
-        self.bytes = [0] * RANKS
-        self.live = {}
 
-    def set_columns(self, columns):
-        self.columns = columns
-        for (name, _), column in zip(FIELDS, columns):
-            setattr(self, name, column)
+DUMP_COUNTERS = 5 + 3 * EVICTION_RANKS
 
-    # the table
 
-    def find(self, key):
+class Index:
+    """Entries are small integers, row numbers of the columns."""
+
+    def __init__(self) -> None:
+        self.key = array("Q")
+        self.version = array("I")
+        self.segment = array("I")  # NONE in a row that is free
+        self.aligned_offset = array("I")
+        self.record_bytes = array("I")
+        self.part_bytes = array("I")
+        self.dated = array("d")
+        self.epoch = array("I")
+        self.first_chunk = array("H")
+        self.chunk_count = array("H")
+        self.group = array("H")
+        self.rank = array("B")
+        self.next_extent = array("I")  # of the part, or the next free row
+        self.older = array("I")
+        self.newer = array("I")
+        self.columns = (  # in the order in which snapshots hold them
+            self.key,
+            self.version,
+            self.segment,
+            self.aligned_offset,
+            self.record_bytes,
+            self.part_bytes,
+            self.dated,
+            self.epoch,
+            self.first_chunk,
+            self.chunk_count,
+            self.group,
+            self.rank,
+            self.next_extent,
+            self.older,
+            self.newer,
+        )
+        self.slots = array("I", [NONE]) * _INITIAL_SLOTS
+        self.free = NONE
+        self.parts = 0
+        self.entries = 0
+        self.oldest = [NONE] * EVICTION_RANKS
+        self.newest = [NONE] * EVICTION_RANKS
+        self.bytes_by_rank = [0] * EVICTION_RANKS
+        self.live_bytes: dict[int, int] = {}  # of records in use, by segment
+
+    # Hash table
+
+    def find(self, key: int) -> int | None:
         """The first entry of a part, or None."""
-        slots, keys = self.slots, self.key
+        slots = self.slots
+        keys = self.key
         mask = len(slots) - 1
-        i = key & mask
-        while (entry := slots[i]) != NONE:
+        slot = key & mask
+        while (entry := slots[slot]) != NONE:
             if keys[entry] == key:
                 return entry
-            i = i + 1 & mask
+            slot = slot + 1 & mask
         return None
 
-    def slot_of(self, entry):
+    def _slot_of(self, entry: int) -> int:
         mask = len(self.slots) - 1
-        i = self.key[entry] & mask
-        while self.slots[i] != entry:
-            i = i + 1 & mask
-        return i
+        slot = self.key[entry] & mask
+        while self.slots[slot] != entry:
+            slot = slot + 1 & mask
+        return slot
 
-    def enter(self, entry):
+    def _insert_slot(self, entry: int) -> None:
         if 3 * (self.parts + 1) > 2 * len(self.slots):
-            old, self.slots = self.slots, array("I", [NONE]) * (2 * len(self.slots))
-            for known in old:
-                if known != NONE:
-                    self.put_slot(known)
-        self.put_slot(entry)
+            self._grow_slots()
+        self._fill_slot(entry)
         self.parts += 1
 
-    def put_slot(self, entry):
+    def _grow_slots(self) -> None:
+        old_slots = self.slots
+        self.slots = array("I", [NONE]) * (2 * len(old_slots))
+        for entry in old_slots:
+            if entry != NONE:
+                self._fill_slot(entry)
+
+    def _fill_slot(self, entry: int) -> None:
         mask = len(self.slots) - 1
-        i = self.key[entry] & mask
-        while self.slots[i] != NONE:
-            i = i + 1 & mask
-        self.slots[i] = entry
-
-    def clear_slot(self, i):
-        """Empties a slot and moves up what stood behind it, so that no search ends early."""
-        slots, keys = self.slots, self.key
+        slot = self.key[entry] & mask
+        while self.slots[slot] != NONE:
+            slot = slot + 1 & mask
+        self.slots[slot] = entry
+
+    def _clear_slot(self, slot: int) -> None:
+        """Empties a slot and moves up the entries behind it, so that no probe ends early."""
+        slots = self.slots
+        keys = self.key
         mask = len(slots) - 1
-        j = i
+        probe = slot
         while True:
-            j = j + 1 & mask
-            if slots[j] == NONE:
+            probe = probe + 1 & mask
+            if slots[probe] == NONE:
                 break
-            home = keys[slots[j]] & mask
-            if (j - home & mask) >= (j - i & mask):
-                slots[i] = slots[j]
-                i = j
-        slots[i] = NONE
+            home = keys[slots[probe]] & mask
+            if (probe - home & mask) >= (probe - slot & mask):
+                slots[slot] = slots[probe]
+                slot = probe
+        slots[slot] = NONE
         self.parts -= 1
 
-    # use
+    # LRU lists by rank
 
-    def link(self, entry):
+    def _link_newest(self, entry: int) -> None:
         rank = self.rank[entry]
         last = self.newest[rank]
-        self.older[entry], self.newer[entry] = last, NONE
+        self.older[entry] = last
+        self.newer[entry] = NONE
         if last != NONE:
             self.newer[last] = entry
         else:
             self.oldest[rank] = entry
         self.newest[rank] = entry
 
-    def unlink(self, entry):
-        rank, older, newer = self.rank[entry], self.older[entry], self.newer[entry]
+    def _unlink(self, entry: int) -> None:
+        rank = self.rank[entry]
+        older = self.older[entry]
+        newer = self.newer[entry]
         if older != NONE:
             self.newer[older] = newer
         else:
@@ -118,197 +174,227 @@
         else:
             self.newest[rank] = older
 
-    def touch(self, entry):
+    def touch(self, entry: int) -> None:
+        """Marks a part, by its first entry, as the one used last."""
         if self.newest[self.rank[entry]] != entry:
-            self.unlink(entry)
-            self.link(entry)
+            self._unlink(entry)
+            self._link_newest(entry)
 
-    def set_rank(self, entry, rank):
-        if self.rank[entry] == rank:
+    def _set_rank(self, entry: int, rank: int) -> None:
+        old_rank = self.rank[entry]
+        if old_rank == rank:
             return
-        self.unlink(entry)
-        moved = sum(self.length[e] for e in self.chain_of(entry))
-        self.bytes[self.rank[entry]] -= moved
-        self.bytes[rank] += moved
-        for e in self.chain_of(entry):
-            self.rank[e] = rank
-        self.link(entry)
-
-    def victims(self, rank):
-        """Parts in the order in which they are dropped for a copy of that rank: the lowest rank first, then what was
-        unused longest; never one of a higher rank."""
-        for lower in range(rank + 1):
-            entry = self.oldest[lower]
+        self._unlink(entry)
+        moved = self.chain_bytes(entry)
+        self.bytes_by_rank[old_rank] -= moved
+        self.bytes_by_rank[rank] += moved
+        for extent in self.chain_of(entry):
+            self.rank[extent] = rank
+        self._link_newest(entry)
+
+    def victims(self, rank: int) -> Iterator[int]:
+        """Parts in the order in which they are evicted for a copy of that rank.
+
+        The lowest rank comes first, in it the least recently used; never one of a higher rank.
+        """
+        for victim_rank in range(rank + 1):
+            entry = self.oldest[victim_rank]
             while entry != NONE:
-                after = self.newer[entry]
+                newer = self.newer[entry]
                 yield entry
-                entry = after
+                entry = newer
 
-    # entries
+    # Parts and their extents
 
-    def chain_of(self, entry):
+    def chain_of(self, entry: int) -> Iterator[int]:
+        """The extents of a part from `entry` on."""
         while entry != NONE:
-            after = self.chain[entry]
+            following = self.next_extent[entry]
             yield entry
-            entry = after
-
-    def chunks(self, entry):
-        held = 0
-        for e in self.chain_of(entry):
-            held |= (1 << self.count[e]) - 1 << self.first[e]
-        return held
-
-    def add(self, key, version, segment, place, length, size, dated, epoch, first, count, group, rank):
-        """Takes a record. One of another version than what is held takes its place, unless it is older; of the same
-        version it joins it. Returns the part's first entry, or None if the record is older."""
-        known = self.find(key)
-        if known is not None and self.version[known] != version:
-            if dated < self.dated[known]:
+            entry = following
+
+    def chain_bytes(self, entry: int) -> int:
+        """Bytes on disk of the extents of a part."""
+        return sum(self.record_bytes[extent] for extent in self.chain_of(entry))
+
+    def stored_chunks(self, entry: int) -> int:
+        """Bit mask of the chunks of a part that are stored."""
+        chunks = 0
+        for extent in self.chain_of(entry):
+            chunks |= (1 << self.chunk_count[extent]) - 1 << self.first_chunk[extent]
+        return chunks
+
+    def add(self, extent: Extent) -> int | None:
+        """Adds a record to its part.
+
+        A record of another version than the stored one replaces the part, unless it is older.
+
+        Returns:
+            The first entry of the part, or None if the record is older than what is stored.
+        """
+        known = self.find(extent.key)
+        if known is not None and self.version[known] != extent.version:
+            if extent.dated < self.dated[known]:
                 return None
             self.drop(known)
             known = None
-        entry = self.free
-        values = (
-            key,
-            version,
-            segment,
-            place,
-            length,
-            size,
-            dated,
-            epoch,
-            first,
-            count,
-            group,
-            rank,
-            NONE,
-            NONE,
-            NONE,
-        )
-        if entry != NONE:
-            self.free = self.chain[entry]
-            for column, value in zip(self.columns, values):
-                column[entry] = value
-        else:
-            entry = len(self.key)
-            for column, value in zip(self.columns, values):
-                column.append(value)
+        entry = self._new_row(extent)
         self.entries += 1
-        self.live[segment] = self.live.get(segment, 0) + length
-        self.bytes[rank] += length
+        self.live_bytes[extent.segment] = self.live_bytes.get(extent.segment, 0) + extent.record_bytes
+        self.bytes_by_rank[extent.rank] += extent.record_bytes
         if known is None:
-            self.enter(entry)
-            self.link(entry)
+            self._insert_slot(entry)
+            self._link_newest(entry)
             return entry
-        self.set_rank(known, rank)
-        self.shed(known, first, count)
-        if self.find(key) is None:  # all that was held is in the new record
-            self.enter(entry)
-            self.link(entry)
+        self._set_rank(known, extent.rank)
+        self._drop_covered(known, extent.first_chunk, extent.chunk_count)
+        first = self.find(extent.key)
+        if first is None:  # the new record covers all that was stored
+            self._insert_slot(entry)
+            self._link_newest(entry)
+            return entry
+        self.next_extent[entry] = self.next_extent[first]
+        self.next_extent[first] = entry
+        for member in self.chain_of(first):  # a copy has one date
+            self.dated[member] = max(extent.dated, self.dated[member])
+            self.epoch[member] = extent.epoch
+        return first
+
+    def _new_row(self, extent: Extent) -> int:
+        values = (*extent, NONE, NONE, NONE)
+        entry = self.free
+        if entry != NONE:
+            self.free = self.next_extent[entry]
+            for column, value in zip(self.columns, values, strict=True):
+                column[entry] = value
             return entry
-        known = self.find(key)
-        self.chain[entry], self.chain[known] = self.chain[known], entry
-        for e in self.chain_of(known):  # one copy has one moment
-            self.dated[e] = max(dated, self.dated[e])
-            self.epoch[e] = epoch
-        return known
-
-    def shed(self, entry, first, count):
-        """Drops the extents of a part that lie whole within a newer one."""
-        for e in list(self.chain_of(entry)):
-            if first <= self.first[e] and self.first[e] + self.count[e] <= first + count:
-                self.drop_extent(e)
-
-    def drop(self, entry):
-        """Forgets a part."""
-        self.clear_slot(self.slot_of(entry))
-        self.unlink(entry)
-        for e in list(self.chain_of(entry)):
-            self.release(e)
-
-    def drop_extent(self, entry):
-        """Forgets one record of a part; the part goes with its last."""
-        head = self.find(self.key[entry])
-        if entry == head:
-            after = self.chain[entry]
-            if after == NONE:
-                return self.drop(entry)
-            self.unlink(entry)
-            self.slots[self.slot_of(entry)] = after
-            self.link(after)
+        entry = len(self.key)
+        for column, value in zip(self.columns, values, strict=True):
+            column.append(value)
+        return entry
+
+    def _drop_covered(self, entry: int, first_chunk: int, chunk_count: int) -> None:
+        end_chunk = first_chunk + chunk_count
+        for extent in list(self.chain_of(entry)):
+            begin = self.first_chunk[extent]
+            if first_chunk <= begin and begin + self.chunk_count[extent] <= end_chunk:
+                self.drop_extent(extent)
+
+    def drop(self, entry: int) -> None:
+        """Removes a part by its first entry."""
+        self._clear_slot(self._slot_of(entry))
+        self._unlink(entry)
+        for extent in list(self.chain_of(entry)):
+            self._free_row(extent)
+
+    def drop_extent(self, entry: int) -> None:
+        """Removes one record of a part, and the part with its last record."""
+        first = self.find(self.key[entry])
+        if entry == first:
+            following = self.next_extent[entry]
+            if following == NONE:
+                self.drop(entry)
+                return
+            self._unlink(entry)
+            self.slots[self._slot_of(entry)] = following
+            self._link_newest(following)
         else:
-            before = next(e for e in self.chain_of(head) if self.chain[e] == entry)
-            self.chain[before] = self.chain[entry]
-        self.release(entry)
+            before = next(e for e in self.chain_of(first) if self.next_extent[e] == entry)
+            self.next_extent[before] = self.next_extent[entry]
+        self._free_row(entry)
 
-    def release(self, entry):
+    def _free_row(self, entry: int) -> None:
         segment = self.segment[entry]
-        if segment in self.live:  # else the segment has gone before what was known of it
-            self.live[segment] -= self.length[entry]
-        self.bytes[self.rank[entry]] -= self.length[entry]
+        if segment in self.live_bytes:  # else the segment was removed before its records were dropped
+            self.live_bytes[segment] -= self.record_bytes[entry]
+        self.bytes_by_rank[self.rank[entry]] -= self.record_bytes[entry]
         self.entries -= 1
         self.segment[entry] = NONE
-        self.chain[entry], self.free = self.free, entry
-
-    def move(self, entry, segment, place):
-        """A record has been copied elsewhere by cleaning."""
-        length = self.length[entry]
-        if self.segment[entry] in self.live:
-            self.live[self.segment[entry]] -= length
-        self.live[segment] = self.live.get(segment, 0) + length
-        self.segment[entry], self.place[entry] = segment, place
-
-    def of_segment(self, segment):
-        """The entries whose records lie there, by place."""
-        places = self.segment
-        found = [e for e in range(len(places)) if places[e] == segment]
-        return sorted(found, key=self.place.__getitem__)
-
-    def at(self, key, segment, place):
-        """The entry of the record at a place, if the part still uses it."""
-        head = self.find(key)
-        if head is not None:
-            for e in self.chain_of(head):
-                if self.segment[e] == segment and self.place[e] == place:
-                    return e
+        self.next_extent[entry] = self.free
+        self.free = entry
+
+    # Segments
+
+    def byte_offset(self, entry: int) -> int:
+        """Where a record begins in its segment, in bytes."""
+        return self.aligned_offset[entry] * RECORD_ALIGN_BYTES
+
+    def move(self, entry: int, segment: int, offset: int) -> None:
+        """Notes that a record was copied to another segment; `offset` in bytes."""
+        length = self.record_bytes[entry]
+        if self.segment[entry] in self.live_bytes:
+            self.live_bytes[self.segment[entry]] -= length
+        self.live_bytes[segment] = self.live_bytes.get(segment, 0) + length
+        self.segment[entry] = segment
+        self.aligned_offset[entry] = offset // RECORD_ALIGN_BYTES
+
+    def entries_of_segment(self, segment: int) -> list[int]:
+        """The entries whose records lie in a segment, by offset."""
+        segments = self.segment
+        found = [entry for entry in range(len(segments)) if segments[entry] == segment]
+        return sorted(found, key=self.aligned_offset.__getitem__)
+
+    def entry_at(self, key: int, segment: int, offset: int) -> int | None:
+        """The entry of the record at a byte offset, if its part still uses it."""
+        aligned = offset // RECORD_ALIGN_BYTES
+        first = self.find(key)
+        if first is None:
+            return None
+        for entry in self.chain_of(first):
+            if self.segment[entry] == segment and self.aligned_offset[entry] == aligned:
+                return entry
         return None
 
-    def forget_segments(self, gone):
-        for e in range(len(self.segment)):
-            if self.segment[e] != NONE and self.segment[e] in gone:
-                self.drop_extent(e)
-        for segment in gone:
-            self.live.pop(segment, None)
-
-    # a picture
-
-    def picture(self):
-        """(figures, buffers): all of it as it stands, copied."""
-        return (
-            [
-                len(self.key),
-                len(self.slots),
-                self.free,
-                self.parts,
-                self.entries,
-                *self.oldest,
-                *self.newest,
-                *self.bytes,
-            ],
-            [column.tobytes() for column in self.columns] + [self.slots.tobytes()],
-        )
+    def drop_segments(self, numbers: set[int]) -> None:
+        """Removes all records of segments that are no longer there."""
+        for entry in range(len(self.segment)):
+            if self.segment[entry] != NONE and self.segment[entry] in numbers:
+                self.drop_extent(entry)
+        for number in numbers:
+            self.live_bytes.pop(number, None)
+
+    def drop_all(self) -> None:
+        """Removes every record; the segments stay."""
+        for entry in range(len(self.segment)):
+            if self.segment[entry] != NONE:
+                self.drop_extent(entry)
+
+    # Snapshots
+
+    def dump(self) -> IndexDump:
+        """A copy of the whole index."""
+        counters = [
+            len(self.key),
+            len(self.slots),
+            self.free,
+            self.parts,
+            self.entries,
+            *self.oldest,
+            *self.newest,
+            *self.bytes_by_rank,
+        ]
+        return IndexDump(counters, [column.tobytes() for column in (*self.columns, self.slots)])
 
     @classmethod
-    def from_picture(cls, figures, data, at):
+    def load(cls, counters: list[int], data: bytes, at: int) -> "Index":
+        """The index of a dump whose buffers begin at `at`. `live_bytes` is left empty."""
         index = cls()
-        count, slots, index.free, index.parts, index.entries = figures[:5]
-        index.oldest, index.newest, index.bytes = (
-            list(figures[5 + RANKS * i : 5 + RANKS * (i + 1)]) for i in range(3)
-        )
+        rows, slots, index.free, index.parts, index.entries = counters[:5]
+        ranks = EVICTION_RANKS
+        index.oldest = list(counters[5 : 5 + ranks])
+        index.newest = list(counters[5 + ranks : 5 + 2 * ranks])
+        index.bytes_by_rank = list(counters[5 + 2 * ranks : DUMP_COUNTERS])
         for column in index.columns:
-            end = at + count * column.itemsize
+            end = at + rows * column.itemsize
             column.frombytes(data[at:end])
             at = end
         index.slots = array("I")
-        index.slots.frombytes(data[at : at + 4 * slots])
+        index.slots.frombytes(data[at : at + slots * index.slots.itemsize])
         return index
+
+    @classmethod
+    def dump_bytes(cls, counters: list[int]) -> int:
+        """Bytes of the buffers of a dump with these counters."""
+        rows, slots = counters[:2]
+        empty = cls()
+        return rows * sum(column.itemsize for column in empty.columns) + slots * empty.slots.itemsize
--- a/brookhinge/store/index_snapshot.py
+++ b/brookhinge/store/index_snapshot.py
@@ -1,62 +1,95 @@
-"""Pictures of the index as files: a start reads the last one and the records that came after it. No I/O.
+"""Index snapshots as files: a start reads the last one and the records that were written after it. No I/O.
 
-    head (32 bytes, number = serial of the picture) | 19 figures | segments: (number, bytes covered, bytes alive) each
-    | the index's arrays as they stand in memory | check of all that
+    file header (number: of the snapshot) | counters | for each segment: number, bytes covered, bytes in use
+    | the arrays of the index as they stand in memory | checksum of all that
 
-The arrays are those of a little-endian machine with four-byte `I`; another machine takes the file for damaged and reads
-the segments instead."""
+The arrays are those of a little-endian machine with four-byte `I`. Another machine takes the file for damaged
+and reads the segments instead.
+"""
 
 import struct
 import sys
 from array import array
+from typing import NamedTuple
 
 from xxhash import xxh3_64
 
-from brookhinge.store.index import FIELDS, Index
-from brookhinge.store.records import FILE_HEAD, PICTURE, Damaged, file_head, read_file_head
+from brookhinge.store.errors import DamagedError
+from brookhinge.store.file_format import (
+    FILE_HEADER_BYTES,
+    FileKind,
+    decode_file_header,
+    encode_file_header,
+)
+from brookhinge.store.index import DUMP_COUNTERS, Index, IndexDump
 
-FIGURES = struct.Struct("<21Q")
-COVERED = struct.Struct("<QQQ")
-FITS = sys.byteorder == "little" and array("I").itemsize == 4
+_COUNTERS = struct.Struct(f"<{2 + DUMP_COUNTERS + 2}Q")  # serial, segments, the index's counters, two spare
+_SEGMENT_ROW = struct.Struct("<QQQ")
+_CHECKSUM = struct.Struct("<Q")
+_ARRAYS_ARE_PORTABLE = sys.byteorder == "little" and array("I").itemsize == 4
 
 
-def encode(store, number, serial, covered, live, picture):
-    """Buffers of the file. covered: {segment: bytes}; picture: Index.picture()."""
-    figures, arrays = picture
-    rows = b"".join(COVERED.pack(n, size, live.get(n, 0)) for n, size in sorted(covered.items()))
+class IndexSnapshot(NamedTuple):
+    """What a snapshot file holds."""
+
+    number: int
+    last_serial: int  # of the records it covers
+    covered_bytes: dict[int, int]  # by segment; what lies behind them was written later
+    index: Index
+
+
+def encode_snapshot(
+    store_id: int,
+    number: int,
+    last_serial: int,
+    covered_bytes: dict[int, int],
+    live_bytes: dict[int, int],
+    dump: IndexDump,
+) -> list[bytes]:
+    """The buffers of a snapshot file."""
+    rows = [
+        _SEGMENT_ROW.pack(segment, size, live_bytes.get(segment, 0))
+        for segment, size in sorted(covered_bytes.items())
+    ]
     buffers = [
-        file_head(PICTURE, store, number),
-        FIGURES.pack(serial, len(covered), *figures, 0, 0),
-        rows,
-        *arrays,
+        encode_file_header(FileKind.INDEX_SNAPSHOT, store_id, number),
+        _COUNTERS.pack(last_serial, len(covered_bytes), *dump.counters, 0, 0),
+        b"".join(rows),
+        *dump.buffers,
     ]
-    check = xxh3_64()
-    for part in buffers:
-        check.update(part)
-    return buffers + [struct.pack("<Q", check.intdigest())]
-
-
-def decode(data, store):
-    """(number, serial, covered, index) of a file; Damaged if it can't be relied on."""
-    if not FITS:
-        raise Damaged("a picture of another kind of machine")
-    whose, number = read_file_head(PICTURE, data)
-    if whose != store:
-        raise Damaged("a picture of another store")
-    check = xxh3_64(memoryview(data)[:-8]).intdigest()
+    checksum = xxh3_64()
+    for buffer in buffers:
+        checksum.update(buffer)
+    return [*buffers, _CHECKSUM.pack(checksum.intdigest())]
+
+
+def decode_snapshot(data: bytes, store_id: int) -> IndexSnapshot:
+    """Reads a snapshot file.
+
+    Raises:
+        DamagedError: The file can't be relied on, or belongs to another store or kind of machine.
+        UnsupportedVersionError: It is in another version of the format.
+    """
+    if not _ARRAYS_ARE_PORTABLE:
+        raise DamagedError("a picture of another kind of machine")
+    header = decode_file_header(FileKind.INDEX_SNAPSHOT, data)
+    if header.store_id != store_id:
+        raise DamagedError("a picture of another store")
+    checksum = xxh3_64(memoryview(data)[: -_CHECKSUM.size]).intdigest()
     if (
-        len(data) < FILE_HEAD.size + FIGURES.size + 8
-        or struct.unpack_from("<Q", data, len(data) - 8)[0] != check
+        len(data) < FILE_HEADER_BYTES + _COUNTERS.size + _CHECKSUM.size
+        or _CHECKSUM.unpack_from(data, len(data) - _CHECKSUM.size)[0] != checksum
     ):
-        raise Damaged("a picture that does not fit its check")
-    serial, segments, *figures = FIGURES.unpack_from(data, FILE_HEAD.size)
-    figures = figures[:17]
-    at = FILE_HEAD.size + FIGURES.size
-    rows = [COVERED.unpack_from(data, at + COVERED.size * i) for i in range(segments)]
-    at += COVERED.size * segments
-    widths = sum(array(kind).itemsize for _, kind in FIELDS)
-    if len(data) != at + figures[0] * widths + 4 * figures[1] + 8:
-        raise Damaged("a picture of another length")
-    index = Index.from_picture(figures, data, at)
-    index.live = {n: live for n, _, live in rows}
-    return number, serial, {n: size for n, size, _ in rows}, index
+        raise DamagedError("a picture that does not fit its check")
+    last_serial, segments, *counters = _COUNTERS.unpack_from(data, FILE_HEADER_BYTES)
+    counters = counters[:DUMP_COUNTERS]
+    rows_at = FILE_HEADER_BYTES + _COUNTERS.size
+    arrays_at = rows_at + segments * _SEGMENT_ROW.size
+    if len(data) != arrays_at + Index.dump_bytes(counters) + _CHECKSUM.size:
+        raise DamagedError("a picture of another length")
+    index = Index.load(counters, data, arrays_at)
+    covered_bytes = {}
+    for segment, covered, live in _SEGMENT_ROW.iter_unpack(data[rows_at:arrays_at]):
+        covered_bytes[segment] = covered
+        index.live_bytes[segment] = live
+    return IndexSnapshot(header.number, last_serial, covered_bytes, index)
--- a/brookhinge/store/memory_tier.py
+++ b/brookhinge/store/memory_tier.py
@@ -1,62 +1,70 @@
-"""The memory tier: whole parts, dropped in the brief's order: the lowest rank first, then what was unused longest, and
-nothing for a copy of lower rank. No I/O, no clock."""
+"""The memory tier: whole parts within a limit of bytes. No I/O, no clock.
+
+Eviction takes the lowest rank first, in it the least recently used, and nothing for a copy of a lower rank.
+"""
 
 from collections import OrderedDict
+from collections.abc import Hashable, Iterator
+
+from brookhinge.store.copies import EVICTION_RANKS, ReadResult
 
-RANKS = 4
-OVERHEAD = 400  # bytes a part beside its own: key, record, links (measured with tracemalloc: 350 to 420)
+OVERHEAD_BYTES = 400  # of a part beside its body: key, record, links
 
 
-class Memory:
-    """`limit` bytes. Keys are (object, part)."""
+class MemoryTier:
+    """Parts by key, which is (object, part) in the store."""
 
-    def __init__(self, limit):
-        self.limit, self.bytes = limit, 0
-        self.shelves = [OrderedDict() for _ in range(RANKS)]
-        self.rank = {}
+    def __init__(self, limit_bytes: int) -> None:
+        self.limit_bytes = limit_bytes
+        self.used_bytes = 0
+        self.by_rank: list[OrderedDict[Hashable, ReadResult]] = [OrderedDict() for _ in range(EVICTION_RANKS)]
+        self.ranks: dict[Hashable, int] = {}
 
-    def get(self, key):
-        rank = self.rank.get(key)
+    def get(self, key: Hashable) -> ReadResult | None:
+        """The part, which counts as used."""
+        rank = self.ranks.get(key)
         if rank is None:
             return None
-        self.shelves[rank].move_to_end(key)
-        return self.shelves[rank][key]
+        self.by_rank[rank].move_to_end(key)
+        return self.by_rank[rank][key]
 
-    def put(self, key, found):
-        """Keeps a part; False if nothing may go for it."""
-        rank, need = found.rank, len(found.body) + OVERHEAD
+    def put(self, key: Hashable, copy: ReadResult) -> bool:
+        """Stores a part in place of the one under this key; False if there is no space that it may have."""
+        needed = len(copy.body) + OVERHEAD_BYTES
         self.drop(key)
-        if need > self.limit or need > self.limit - self.bytes + sum(
-            self.weight(shelf, need) for shelf in self.shelves[: rank + 1]
-        ):
+        free = self.limit_bytes - self.used_bytes
+        evictable = sum(_bytes_up_to(parts, needed) for parts in self.by_rank[: copy.rank + 1])
+        if needed > self.limit_bytes or needed > free + evictable:
             return False
-        for lower in range(rank + 1):
-            while self.bytes + need > self.limit and self.shelves[lower]:
-                self.drop(next(iter(self.shelves[lower])))
-        self.shelves[rank][key] = found
-        self.rank[key] = rank
-        self.bytes += need
+        for rank in range(copy.rank + 1):
+            while self.used_bytes + needed > self.limit_bytes and self.by_rank[rank]:
+                self.drop(next(iter(self.by_rank[rank])))
+        self.by_rank[copy.rank][key] = copy
+        self.ranks[key] = copy.rank
+        self.used_bytes += needed
         return True
 
-    @staticmethod
-    def weight(shelf, enough):
-        """Bytes on a shelf, counted no further than what is needed."""
-        total = 0
-        for found in shelf.values():
-            total += len(found.body) + OVERHEAD
-            if total >= enough:
-                break
-        return total
-
-    def replace(self, key, found):
-        """The same bytes with another moment."""
-        self.shelves[self.rank[key]][key] = found
-
-    def drop(self, key):
-        rank = self.rank.pop(key, None)
+    def replace(self, key: Hashable, copy: ReadResult) -> None:
+        """Puts the same bytes with other metadata in the place of a part."""
+        self.by_rank[self.ranks[key]][key] = copy
+
+    def drop(self, key: Hashable) -> None:
+        """Removes a part if it is stored."""
+        rank = self.ranks.pop(key, None)
         if rank is not None:
-            self.bytes -= len(self.shelves[rank].pop(key).body) + OVERHEAD
+            self.used_bytes -= len(self.by_rank[rank].pop(key).body) + OVERHEAD_BYTES
+
+    def items(self) -> Iterator[tuple[Hashable, ReadResult]]:
+        """All parts, by rank and last use; the tier may be changed meanwhile."""
+        for parts in self.by_rank:
+            yield from list(parts.items())
+
 
-    def items(self):
-        for shelf in self.shelves:
-            yield from list(shelf.items())
+def _bytes_up_to(parts: OrderedDict[Hashable, ReadResult], enough: int) -> int:
+    """Bytes of the parts, counted until there are enough."""
+    total = 0
+    for copy in parts.values():
+        total += len(copy.body) + OVERHEAD_BYTES
+        if total >= enough:
+            break
+    return total
--- /dev/null
+++ b/brookhinge/store/part_writer.py
@@ -0,0 +1,143 @@
+"""Writes copies to the log: admission, eviction, and the segment that takes the record."""
+
+from collections.abc import Callable, Iterable, Iterator
+
+from brookhinge.store import cleaning
+from brookhinge.store.admission import Victim
+from brookhinge.store.cleaner import Cleaner
+from brookhinge.store.copies import CHUNK_BYTES, Copy, chunk_count, key_of, validate_copy, version_of
+from brookhinge.store.file_format import FILE_HEADER_BYTES
+from brookhinge.store.index import Extent
+from brookhinge.store.record_format import (
+    RECORD_ALIGN_BYTES,
+    chunk_checksums,
+    encode_record,
+    location_seed,
+    record_bytes,
+)
+from brookhinge.store.segment import Segment
+from brookhinge.store.segment_writer import SegmentWriter
+from brookhinge.store.tier_state import TierState
+
+AdmissionCheck = Callable[[int, int, int, Iterable[Victim]], bool]  # admits(key, size, free, victims)
+
+_MAX_CLEANED_PER_RECORD = 4
+
+
+class PartWriter:
+    """Writes of a disk tier. `admits`, if set, decides on copies that do not bypass admission."""
+
+    def __init__(
+        self, state: TierState, writer: SegmentWriter, cleaner: Cleaner, admits: AdmissionCheck | None
+    ) -> None:
+        self._state = state
+        self._writer = writer
+        self._cleaner = cleaner
+        self.admits = admits
+        self.max_live_bytes = cleaning.max_live_bytes(state.limit_bytes, state.segment_bytes)
+
+    def write(self, copy: Copy, bypass_admission: bool = False) -> bool:
+        """Stores a copy if it is worth its place; True if it was written.
+
+        Raises:
+            ValueError: The copy can't be stored at all.
+            OSError: The disk failed; what was half written is never served.
+        """
+        validate_copy(copy)
+        state = self._state
+        key = key_of(copy.object, copy.part)
+        length = record_bytes(len(copy.object), len(copy.tag), chunk_count(len(copy.body)), len(copy.body))
+        if length > state.segment_bytes - FILE_HEADER_BYTES:
+            state.counters.kept_out += 1
+            return False
+        with state.write_lock:
+            with state.lock:
+                if state.ledger.is_purged(copy.object, copy.group, copy.dated):
+                    return False
+                admitted = bypass_admission or self._is_admitted(key, length, copy.rank)
+                if not admitted or not self._evict_for(key, length, copy.rank):
+                    state.counters.kept_out += 1
+                    return False
+            segment = self._segment_for(length)
+            if segment is None:
+                state.counters.kept_out += 1
+                return False
+            self._append(copy, key, length, segment)
+            return True
+
+    def _is_admitted(self, key: int, length: int, rank: int) -> bool:
+        if not self.admits:
+            return True
+        free = self.max_live_bytes - self._state.live_bytes()
+        return self.admits(key, length, free, self._victims(key, rank))
+
+    def _victims(self, key: int, rank: int) -> Iterator[Victim]:
+        """What would be evicted for a copy of that rank, but for the part itself."""
+        index = self._state.index
+        for entry in index.victims(rank):
+            if index.key[entry] != key:
+                yield Victim(index.key[entry], index.chain_bytes(entry))
+
+    def _evict_for(self, key: int, length: int, rank: int) -> bool:
+        """Drops what has to go for a record; False, and nothing dropped, if that is not enough."""
+        state = self._state
+        index = state.index
+        excess = state.live_bytes() + length - self.max_live_bytes
+        if excess <= 0:
+            return True
+        evicted = []
+        for entry in index.victims(rank):
+            if excess <= 0:
+                break
+            if index.key[entry] != key:
+                evicted.append(entry)
+                excess -= index.chain_bytes(entry)
+        if excess > 0:
+            return False
+        for entry in evicted:
+            index.drop(entry)
+        state.counters.evicted += len(evicted)
+        return True
+
+    def _segment_for(self, length: int) -> Segment | None:
+        """The segment that a record goes to, or None if no space can be made for a new one."""
+        writer = self._writer
+        if writer.has_space(length):
+            return writer.active
+        writer.seal()
+        for _ in range(_MAX_CLEANED_PER_RECORD):
+            if not self._cleaner.clean_if_needed():
+                break
+        if writer.has_space(length):  # in a segment that cleaning has begun
+            return writer.active
+        if self._state.disk_bytes() + length > self._state.limit_bytes:
+            return None
+        return writer.begin_segment()
+
+    def _append(self, copy: Copy, key: int, length: int, segment: Segment) -> None:
+        state = self._state
+        serial = state.next_serial()
+        seed = location_seed(state.store_id, segment.number, segment.size)
+        checksums = chunk_checksums(copy.body)
+        offset = self._writer.append(segment, encode_record(copy, serial, seed, checksums), length)
+        with state.lock:
+            # a purge that came during the write did not see this copy
+            if not state.ledger.is_purged(copy.object, copy.group, copy.dated):
+                state.index.add(
+                    Extent(
+                        key=key,
+                        version=version_of(copy.tag, copy.dated, copy.size),
+                        segment=segment.number,
+                        aligned_offset=offset // RECORD_ALIGN_BYTES,
+                        record_bytes=length,
+                        part_bytes=copy.size,
+                        dated=copy.dated,
+                        epoch=state.epoch,
+                        first_chunk=copy.start // CHUNK_BYTES,
+                        chunk_count=len(checksums),
+                        group=copy.group,
+                        rank=copy.rank,
+                    )
+                )
+            state.counters.written += 1
+            state.counters.written_bytes += length
--- a/brookhinge/store/purge_ledger.py
+++ b/brookhinge/store/purge_ledger.py
@@ -1,103 +1,169 @@
-"""What was purged, and when: looked at before anything is served, and durable before a purge counts as taken.
+"""The purge ledger: what was purged, and when. No I/O; `purge_ledger_file` writes its records to disk.
 
-A copy is purged if it is no younger than the purge of its object or group. Nothing is looked for at a purge: copies are
-judged when they are asked for, so a purge costs the same whatever it hits. The ledger is bounded: past `most` objects the
-oldest half is folded into the floor, under which every copy counts as purged. Clocks of this machine play no part:
-both moments come from the origin and the command channel. Records are bytes here; the tier writes them."""
+A copy is purged if it is no younger than the last purge of its object or its group. Copies are judged when
+they are asked for, so a purge costs the same whatever it hits. The ledger is bounded: beyond `max_objects`
+the oldest half is folded into a floor, at or before which every copy counts as purged. The clock of this
+machine plays no part: both dates come from the origin and the command channel.
+"""
 
 import struct
+from enum import IntEnum
+from typing import NamedTuple
 
-from brookhinge.store.records import ANY_GROUP, Damaged, check_of
+from xxhash import xxh3_64_intdigest
 
-RECORD = struct.Struct("<4sBBHdQQ")  # magic kind group length when serial check
-MAGIC = b"BKPG"
-OBJECT, GROUP, FLOOR = 1, 2, 3
-ALIGN = 8
+from brookhinge.store.copies import UNKNOWN_GROUP
+from brookhinge.store.errors import DamagedError
 
+DEFAULT_MAX_OBJECTS = 65536
+NEVER = float("-inf")
+_RECORD = struct.Struct("<4sBBHdQQ")  # magic, kind, group, object bytes, date, serial, checksum
+_MAGIC = b"BKPG"
+_CHECKSUM = struct.Struct("<Q")
+_ALIGN_BYTES = 8
 
-class Ledger:
-    """Moments are Unix seconds."""
 
-    def __init__(self, most=65536):
-        self.most, self.objects, self.groups, self.floor, self.serial = most, {}, {}, float("-inf"), 0
-        self.last_group = float("-inf")  # of all groups
+class PurgeKind(IntEnum):
+    """What a purge names; the values are those of the file."""
 
-    def purged_at(self, object_, group):
-        of_group = self.last_group if group == ANY_GROUP else self.groups.get(group, self.floor)
-        return max(self.objects.get(object_, self.floor), of_group, self.floor)
+    OBJECT = 1
+    GROUP = 2
+    FLOOR = 3  # everything
 
-    def purged(self, object_, group, dated):
+
+_KINDS = frozenset(kind.value for kind in PurgeKind)
+
+
+class Purge(NamedTuple):
+    """One purge. `name` is the object's name (bytes), the group's number, or 0 for the floor."""
+
+    kind: PurgeKind
+    name: bytes | int
+    when: float
+
+
+class ReplayResult(NamedTuple):
+    """What became of the bytes of a ledger."""
+
+    records: int
+    unreadable_bytes: int
+
+
+class _DecodedRecord(NamedTuple):
+    purge: Purge
+    serial: int
+    size: int
+
+
+class PurgeLedger:
+    """The purges that are known. Dates are Unix seconds."""
+
+    def __init__(self, max_objects: int = DEFAULT_MAX_OBJECTS) -> None:
+        self.max_objects = max_objects
+        self.objects: dict[bytes, float] = {}
+        self.groups: dict[int, float] = {}
+        self.floor = NEVER
+        self.last_group = NEVER  # date of the latest purge of any group
+        self.serial = 0
+
+    def purged_at(self, object_: bytes, group: int) -> float:
+        """The date of the latest purge that hits an object of a group; -inf if there is none."""
+        any_group = group == UNKNOWN_GROUP
+        group_purge = self.last_group if any_group else self.groups.get(group, self.floor)
+        return max(self.objects.get(object_, self.floor), group_purge, self.floor)
+
+    def is_purged(self, object_: bytes, group: int, dated: float) -> bool:
+        """Whether a copy of that date has been purged."""
         return dated <= self.purged_at(object_, group)
 
-    def take(self, kind, name, when):
-        """A purge of an object (bytes) or a group (number). Returns its record."""
-        self.note(kind, name, when)
-        self.fold()
-        return self.record(kind, name, when)
+    def add(self, purge: Purge) -> bytes:
+        """Notes a purge and returns its record for the file."""
+        self._note(purge)
+        self._fold_oldest()
+        return self._encode(purge)
 
-    def note(self, kind, name, when):
-        if kind == FLOOR:
-            self.floor = max(self.floor, when)
+    def _note(self, purge: Purge) -> None:
+        if purge.kind == PurgeKind.FLOOR:
+            self.floor = max(self.floor, purge.when)
             return
-        known = self.objects if kind == OBJECT else self.groups
-        known[name] = max(when, known.get(name, when))
-        if kind == GROUP:
-            self.last_group = max(self.last_group, when)
+        known = self.objects if purge.kind == PurgeKind.OBJECT else self.groups
+        known[purge.name] = max(purge.when, known.get(purge.name, purge.when))
+        if purge.kind == PurgeKind.GROUP:
+            self.last_group = max(self.last_group, purge.when)
 
-    def bound(self, now):
-        """Takes no purge for later than `now`."""
+    def limit_dates(self, now: float) -> None:
+        """Takes purges that are dated later than `now` for purges of `now`."""
         for known in (self.objects, self.groups):
             for name, when in known.items():
                 known[name] = min(when, now)
-        self.floor, self.last_group = min(self.floor, now), min(self.last_group, now)
+        self.floor = min(self.floor, now)
+        self.last_group = min(self.last_group, now)
 
-    def fold(self):
-        if len(self.objects) <= self.most:
+    def _fold_oldest(self) -> None:
+        if len(self.objects) <= self.max_objects:
             return
-        by_age = sorted(self.objects.items(), key=lambda pair: pair[1])
-        for name, when in by_age[: len(by_age) // 2]:
+        by_date = sorted(self.objects.items(), key=lambda item: item[1])
+        for name, when in by_date[: len(by_date) // 2]:
             self.floor = max(self.floor, when)
             del self.objects[name]
 
-    def record(self, kind, name, when):
+    def purges(self) -> list[Purge]:
+        """The fewest purges that say all that is known."""
+        floor = [Purge(PurgeKind.FLOOR, 0, self.floor)] if self.floor > NEVER else []
+        groups = [Purge(PurgeKind.GROUP, group, when) for group, when in sorted(self.groups.items())]
+        objects = [Purge(PurgeKind.OBJECT, name, when) for name, when in sorted(self.objects.items())]
+        return [*floor, *groups, *objects]
+
+    def encode_all(self) -> list[bytes]:
+        """The records of a file that is written anew."""
+        return [self._encode(purge) for purge in self.purges()]
+
+    def _encode(self, purge: Purge) -> bytes:
         self.serial += 1
-        text = name if kind == OBJECT else b""
-        fixed = RECORD.pack(MAGIC, kind, name if kind == GROUP else 0, len(text), when, self.serial, 0)[:-8]
-        check = check_of(fixed + text, seed=kind)
-        raw = fixed + struct.pack("<Q", check) + text
-        return raw + b"\0" * (-len(raw) % ALIGN)
-
-    def records(self):
-        """The ledger as it stands, in the fewest records: what a file written anew holds."""
-        rows = [(FLOOR, 0, self.floor)] if self.floor > float("-inf") else []
-        rows += [(GROUP, group, when) for group, when in sorted(self.groups.items())]
-        rows += [(OBJECT, name, when) for name, when in sorted(self.objects.items())]
-        return [self.record(*row) for row in rows]
-
-    def replay(self, data):
-        """Takes all records in data that can be read. Returns how many there were, and how many bytes could not be
-        read. Zeros at the end were never written; anything else may have been a purge that counted as taken."""
-        at, count, bad, gap = 0, 0, 0, 0
-        while at + RECORD.size <= len(data):
+        name = purge.name if purge.kind == PurgeKind.OBJECT else b""
+        group = purge.name if purge.kind == PurgeKind.GROUP else 0
+        packed = _RECORD.pack(_MAGIC, purge.kind, group, len(name), purge.when, self.serial, 0)
+        fixed = packed[: -_CHECKSUM.size]
+        checksum = xxh3_64_intdigest(fixed + name, seed=purge.kind)
+        record = fixed + _CHECKSUM.pack(checksum) + name
+        return record + b"\0" * (-len(record) % _ALIGN_BYTES)
+
+    def replay(self, data: bytes | memoryview) -> ReplayResult:
+        """Notes all purges of a file that can be read.
+
+        Zeros at the end were never written; any other bytes that can't be read may have been a purge.
+        """
+        at = 0
+        records = 0
+        unreadable = 0
+        gap = 0
+        while at + _RECORD.size <= len(data):
             try:
-                kind, name, when, serial, size = read_record(data, at)
-            except Damaged:
-                at, gap = at + ALIGN, gap + ALIGN
+                record = _decode(data, at)
+            except DamagedError:
+                at += _ALIGN_BYTES
+                gap += _ALIGN_BYTES
                 continue
-            self.note(kind, name, when)
-            self.serial, count, at = max(self.serial, serial), count + 1, at + size
-            bad, gap = bad + gap, 0
-        self.fold()
+            self._note(record.purge)
+            self.serial = max(self.serial, record.serial)
+            records += 1
+            at += record.size
+            unreadable += gap
+            gap = 0
+        self._fold_oldest()
         tail = bytes(data[max(0, at - gap) :])
-        return count, bad + len(tail.rstrip(b"\0"))
-
-
-def read_record(data, at):
-    """(kind, name, when, serial, bytes) of the record at `at`."""
-    magic, kind, group, size, when, serial, check = RECORD.unpack_from(data, at)
-    text = bytes(data[at + RECORD.size : at + RECORD.size + size])
-    if magic != MAGIC or len(text) < size or kind not in (OBJECT, GROUP, FLOOR):
-        raise Damaged("no purge")
-    if check_of(bytes(data[at : at + RECORD.size - 8]) + text, seed=kind) != check:
-        raise Damaged("a purge that does not fit its check")
-    return kind, text if kind == OBJECT else group, when, serial, -(-(RECORD.size + size) // ALIGN) * ALIGN
+        return ReplayResult(records, unreadable + len(tail.rstrip(b"\0")))
+
+
+def _decode(data: bytes | memoryview, at: int) -> _DecodedRecord:
+    magic, kind, group, name_bytes, when, serial, checksum = _RECORD.unpack_from(data, at)
+    name_at = at + _RECORD.size
+    name = bytes(data[name_at : name_at + name_bytes])
+    if magic != _MAGIC or len(name) < name_bytes or kind not in _KINDS:
+        raise DamagedError("no purge")
+    checked = bytes(data[at : name_at - _CHECKSUM.size]) + name
+    if xxh3_64_intdigest(checked, seed=kind) != checksum:
+        raise DamagedError("a purge that does not fit its check")
+    purge = Purge(PurgeKind(kind), name if kind == PurgeKind.OBJECT else group, when)
+    size = -(-(_RECORD.size + name_bytes) // _ALIGN_BYTES) * _ALIGN_BYTES
+    return _DecodedRecord(purge, serial, size)
--- /dev/null
+++ b/brookhinge/store/purge_ledger_file.py
@@ -0,0 +1,90 @@
+"""The file of the purge ledger: appended to at each purge, rewritten when it has grown too long."""
+
+import contextlib
+import errno
+
+from brookhinge.store.errors import DamagedError, StoreUnusableError, UnsupportedVersionError
+from brookhinge.store.file_format import (
+    FILE_HEADER_BYTES,
+    FileKind,
+    decode_file_header,
+    encode_file_header,
+)
+from brookhinge.store.files import read_file, write_file_atomically
+from brookhinge.store.folder_layout import LEDGER_FILE
+from brookhinge.store.purge_ledger import ReplayResult
+from brookhinge.store.tier_state import TierState
+
+_REWRITE_MIN_BYTES = 65536
+_REWRITE_BYTES_PER_PURGE = 4 * 64  # four times what a purge takes, about
+
+
+class PurgeLedgerFile:
+    """The ledger on disk."""
+
+    def __init__(self, state: TierState) -> None:
+        self._state = state
+        self._handle: int | None = None
+        self._size = 0
+
+    def replay(self) -> ReplayResult:
+        """Reads the file into the ledger of the tier.
+
+        Raises:
+            StoreUnusableError: The file is in another version of the format.
+        """
+        state = self._state
+        data = read_file(state.files, LEDGER_FILE)
+        try:
+            if decode_file_header(FileKind.PURGE_LEDGER, data).store_id != state.store_id:
+                raise DamagedError("a ledger of another store")
+        except UnsupportedVersionError as error:
+            raise StoreUnusableError(f"a ledger of {error}") from None
+        except DamagedError:
+            state.ledger.replay(data[FILE_HEADER_BYTES:])
+            return ReplayResult(records=0, unreadable_bytes=len(data))
+        return state.ledger.replay(memoryview(data)[FILE_HEADER_BYTES:])
+
+    def append(self, record: bytes) -> None:
+        """Writes the record of one purge; it is durable on return.
+
+        Raises:
+            OSError: The file is closed until `rewrite` succeeds.
+        """
+        state = self._state
+        with state.write_lock:
+            if self._handle is None:
+                raise OSError(errno.EIO, "the ledger is closed")
+            try:
+                state.files.write(self._handle, self._size, [record])
+                state.files.sync(self._handle)
+            except OSError:
+                handle = self._handle
+                self._handle = None
+                with contextlib.suppress(OSError):
+                    state.files.close(handle)
+                raise
+            self._size += len(record)
+            purges = len(state.ledger.objects) + len(state.ledger.groups)
+            if self._size > _REWRITE_MIN_BYTES + _REWRITE_BYTES_PER_PURGE * purges:
+                self.rewrite()
+
+    def rewrite(self) -> None:
+        """Replaces the file by the fewest records that say what memory knows."""
+        state = self._state
+        with state.write_lock:
+            if self._handle is not None:
+                state.files.close(self._handle)
+                self._handle = None
+            with state.lock:
+                header = encode_file_header(FileKind.PURGE_LEDGER, state.store_id, 0)
+                data = b"".join([header, *state.ledger.encode_all()])
+            write_file_atomically(state.files, LEDGER_FILE, [data])
+            self._handle = state.files.open(LEDGER_FILE, write=True)
+            self._size = len(data)
+
+    def detach(self) -> int | None:
+        """Gives up the handle, for the caller to close."""
+        handle = self._handle
+        self._handle = None
+        return handle
--- a/brookhinge/store/verification.py
+++ b/brookhinge/store/verification.py
@@ -1,38 +1,72 @@
-"""Looks through all files of an open tier for places that are not what was written."""
-
-from brookhinge.store import index_snapshot
-from brookhinge.store.disk_tier import numbered, picture_name, segment_name
-from brookhinge.store.files import read_whole
-from brookhinge.store.records import FILE_HEAD, Damaged, OtherVersion
-
-
-def check_folder(tier, said, went):
-    """(records that are whole, rows of file, place and why). said: what the tier logged as it opened; went(bytes): how far
-    it is. What was appended last and never synced may be torn without a fault of anybody's: it is named as well."""
-    rows = [{"file": name, "place": 0, "why": why} for name, why in tier.head_faults]
-    rows += [
-        {"file": "purges.log", "place": "", "why": f"{values['bytes']} bytes cannot be read"}
-        for event, values in said
-        if event == "ledger damaged"
+"""Reads all files of an open disk tier and names every place that is not what was written."""
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+from brookhinge.store.disk_tier import DiskTier
+from brookhinge.store.errors import DamagedError, UnsupportedVersionError
+from brookhinge.store.file_format import FILE_HEADER_BYTES
+from brookhinge.store.files import read_file
+from brookhinge.store.folder_layout import LEDGER_FILE, segment_name, snapshot_name, snapshot_numbers
+from brookhinge.store.index_snapshot import decode_snapshot
+from brookhinge.store.segment import Segment, SegmentScan
+
+
+class DamagedPlace(NamedTuple):
+    """One place that can't be read. `place` is an offset, or "" where none is known."""
+
+    file: str
+    place: int | str
+    why: str
+
+
+class VerificationReport(NamedTuple):
+    """The number of whole records, and the places that are not whole."""
+
+    whole_records: int
+    damaged: list[DamagedPlace]
+
+
+def verify_tier(
+    tier: DiskTier, ledger_unreadable_bytes: list[int], on_progress: Callable[[int], None]
+) -> VerificationReport:
+    """Verifies every segment and snapshot.
+
+    What was appended last and never synced may be torn without any fault; it is named as well.
+
+    Args:
+        tier: An open tier.
+        ledger_unreadable_bytes: What the tier logged of damage to its ledger as it opened.
+        on_progress: Called with the bytes of each segment that was read.
+    """
+    damaged = [
+        DamagedPlace(LEDGER_FILE, "", f"{unreadable} bytes cannot be read")
+        for unreadable in ledger_unreadable_bytes
     ]
-    found = 0
+    whole_records = 0
     for number, segment in sorted(tier.segments.items()):
-        places, ends = [], [FILE_HEAD.size]
-
-        def take(place, head, _):
-            if place != ends[-1]:
-                places.append(ends[-1])
-            ends.append(place + head.length)
-
-        whole, _ = tier.scan(segment, FILE_HEAD.size, take)
-        if ends[-1] < segment.size:
-            places.append(ends[-1])
-        found += whole
-        rows += [{"file": segment_name(number), "place": place, "why": "no whole record"} for place in places]
-        went(segment.size)
-    for number in numbered(tier.files.names(), "index-", ".snap"):
+        scan = SegmentScan(tier.files, tier.store_id, segment)
+        places = _gaps(scan, segment)
+        whole_records += scan.whole_records
+        damaged += [DamagedPlace(segment_name(number), place, "no whole record") for place in places]
+        on_progress(segment.size)
+    for number in snapshot_numbers(tier.files.names()):
+        name = snapshot_name(number)
         try:
-            index_snapshot.decode(read_whole(tier.files, picture_name(number)), tier.store)
-        except (Damaged, OtherVersion) as fault:
-            rows.append({"file": picture_name(number), "place": "", "why": str(fault)})
-    return found, rows
+            decode_snapshot(read_file(tier.files, name), tier.store_id)
+        except (DamagedError, UnsupportedVersionError) as error:
+            damaged.append(DamagedPlace(name, "", str(error)))
+    return VerificationReport(whole_records, damaged)
+
+
+def _gaps(scan: SegmentScan, segment: Segment) -> list[int]:
+    """Offsets at which a record should begin and none does."""
+    places = []
+    expected = FILE_HEADER_BYTES
+    for record in scan:
+        if record.offset != expected:
+            places.append(expected)
+        expected = record.offset + record.header.record_bytes
+    if expected < segment.size:
+        places.append(expected)
+    return places
--- a/tests/store/data/make_store.py
+++ b/tests/store/data/make_store.py
@@ -6,6 +6,7 @@
 FOLDER/expected.json.
 """
 
+import importlib
 import json
 import pathlib
 import random
@@ -24,49 +25,39 @@
     return random.Random(name).randbytes(size)
 
 
-def write(tier, copy_type, name, **values):
+def copy_fields(name, **values):
     size = values.pop("size", 300)
     fields = {"object": name, "part": 0, "tag": b"tag-" + name, "dated": 100.0, "group": 1, "rank": 1}
-    fields |= {"size": size, "body": body_of(name, size)}
-    assert tier.write(copy_type(**{**fields, **values}), surely=True)
+    return {**fields, "size": size, "body": body_of(name, size), **values}
 
 
-def write_scene(tier, copy_type, object_kind, group_kind):
-    """Fills three segments, the last of them unsealed, with two snapshots and purges between the records."""
+def write_scene(write, purge_object, purge_group, revalidate, snapshot, sync):
+    """Fills three segments, the last of them unsealed, with two snapshots and purges between the records.
+
+    write(**fields of a copy) returns whether it was written; revalidate(object, part, tag, size, date)
+    whether it was there.
+    """
+
+    def put(name, **values):
+        assert write(**copy_fields(name, **values))
+
     for n in range(12):
-        write(
-            tier,
-            copy_type,
-            b"old-%02d" % n,
-            part=n % 3,
-            dated=100.0 + n,
-            group=n % 4,
-            rank=n % 4,
-            size=200 + 40 * n,
-        )
-    write(tier, copy_type, b"untagged", tag=b"", dated=150.25, group=256)
-    write(tier, copy_type, b"replaced", tag=b"v1", dated=151.0)
-    tier.snapshot()
-    tier.purge(object_kind, b"old-03", 500.0)
-    tier.purge(group_kind, 2, 105.5)
-    write(tier, copy_type, b"replaced", tag=b"v2", dated=152.0, size=400)
-    tail = CHUNK_BYTES + 100
-    write(
-        tier,
-        copy_type,
-        b"tail-only",
-        size=tail,
-        body=body_of(b"tail-only", 100),
-        start=CHUNK_BYTES,
-        dated=153.0,
-    )
-    assert tier.renew(b"old-05", 2, b"tag-old-05", 400, 170.0)
-    tier.snapshot()
+        put(b"old-%02d" % n, part=n % 3, dated=100.0 + n, group=n % 4, rank=n % 4, size=200 + 40 * n)
+    put(b"untagged", tag=b"", dated=150.25, group=256)
+    put(b"replaced", tag=b"v1", dated=151.0)
+    snapshot()
+    purge_object(b"old-03", 500.0)
+    purge_group(2, 105.5)
+    put(b"replaced", tag=b"v2", dated=152.0, size=400)
+    tail = body_of(b"tail-only", 100)
+    put(b"tail-only", size=CHUNK_BYTES + len(tail), body=tail, start=CHUNK_BYTES, dated=153.0)
+    assert revalidate(b"old-05", 2, b"tag-old-05", 400, 170.0)
+    snapshot()
     for n in range(5):
-        tier.purge(object_kind, b"purged-%d" % n, 50.0 + n)
+        purge_object(b"purged-%d" % n, 50.0 + n)
     for n in range(3):
-        write(tier, copy_type, b"new-%02d" % n, dated=200.0 + n, group=7, rank=3, size=500)
-    tier.sync()
+        put(b"new-%02d" % n, dated=200.0 + n, group=7, rank=3, size=500)
+    sync()
 
 
 def expected_of(folder, tier_in, copy_names):
@@ -100,11 +91,11 @@
 
 
 def main(target):
-    from brookhinge.store.ledger import GROUP, OBJECT
-
     from brookhinge.store import Copy, DiskTier
     from brookhinge.store.files import Files
 
+    ledger = importlib.import_module("brookhinge.store.ledger")  # as that version names it
+
     def tier_in(folder):
         return DiskTier(Files(folder), LIMIT_BYTES, SEGMENT_BYTES, most_purges=MAX_PURGED_OBJECTS)
 
@@ -112,7 +103,14 @@
     tier = tier_in(target / "store")
     with mock.patch("secrets.randbits", return_value=STORE_ID):
         tier.open()
-    write_scene(tier, Copy, OBJECT, GROUP)
+    write_scene(
+        write=lambda **fields: tier.write(Copy(**fields), surely=True),
+        purge_object=lambda name, when: tier.purge(ledger.OBJECT, name, when),
+        purge_group=lambda group, when: tier.purge(ledger.GROUP, group, when),
+        revalidate=tier.renew,
+        snapshot=tier.snapshot,
+        sync=tier.sync,
+    )
     tier.abandon()  # as a killed process leaves it: no last snapshot, the last segment unsealed
     (target / "store" / "lock").unlink()
     names = [(b"old-%02d" % n, n % 3) for n in range(12)]
--- a/tests/store/simfiles.py
+++ b/tests/store/simfiles.py
@@ -4,7 +4,7 @@
 import errno
 import os
 
-from brookhinge.store.files import Owned
+from brookhinge.store.errors import FolderInUseError
 
 
 class Crash(BaseException):
@@ -142,7 +142,7 @@
     def lock(self, name):
         self.step("lock")
         if self.locked:
-            raise Owned(errno.EAGAIN, "in use by process 1")
+            raise FolderInUseError(errno.EAGAIN, "in use by process 1")
         self.locked = True
         self.next += 1
         self.handles[self.next] = "lock"
--- a/tests/store/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -9,7 +9,7 @@
 
 from brookhinge.store import Copy, DiskTier
 from brookhinge.store.files import Files
-from brookhinge.store.purge_ledger import GROUP, OBJECT
+from brookhinge.store.purge_ledger import Purge, PurgeKind
 from tests.store.data.make_store import (
     CHUNK_BYTES,
     LIMIT_BYTES,
@@ -34,7 +34,7 @@
 
 
 def tier_in(folder):
-    return DiskTier(Files(folder), LIMIT_BYTES, SEGMENT_BYTES, most_purges=MAX_PURGED_OBJECTS)
+    return DiskTier(Files(folder), LIMIT_BYTES, SEGMENT_BYTES, max_purged_objects=MAX_PURGED_OBJECTS)
 
 
 @pytest.fixture
@@ -46,7 +46,7 @@
     """Every copy, field by field; a date that a revalidation moved is kept by the snapshot alone."""
     for copy in EXPECTED["copies"]:
         name, part = copy["object"].encode(), copy["part"]
-        held = tier.look(name, part)
+        held = tier.lookup(name, part)
         if copy["held"] is None:
             assert held is None and tier.read(name, part) is None, name
             continue
@@ -73,13 +73,13 @@
 
 def test_a_folder_of_version_1_is_read_whole(folder):
     tier = tier_in(folder)
-    assert tier.open() == EXPECTED["opened"]
+    assert tier.open().log_values() == EXPECTED["opened"]
     check_copies(tier)
     check_purges(tier)
-    assert tier.figures() == EXPECTED["figures"]
+    assert tier.stats() == EXPECTED["figures"]
     tier.close()
     again = tier_in(folder)
-    assert again.open()["parts"] == EXPECTED["figures"]["parts"]
+    assert again.open().parts == EXPECTED["figures"]["parts"]
     check_copies(again)
     check_purges(again, opened=2)
     again.abandon()
@@ -88,8 +88,8 @@
 def test_a_folder_of_version_1_is_read_from_its_older_snapshot(folder):
     (folder / "index-00000002.snap").write_bytes(b"damaged")
     tier = tier_in(folder)
-    figures = tier.open()
-    assert (figures["pictures"], figures["damaged"]) == (1, 1)
+    report = tier.open()
+    assert (report.pictures, report.damaged) == (1, 1)
     check_copies(tier, without_snapshot=True)
     check_purges(tier)
     tier.abandon()
@@ -99,8 +99,8 @@
     for path in folder.glob("*.snap"):
         path.unlink()
     tier = tier_in(folder)
-    figures = tier.open()
-    assert (figures["pictures"], figures["segments"], figures["damaged"]) == (0, 3, 0)
+    report = tier.open()
+    assert (report.pictures, report.segments, report.damaged) == (0, 3, 0)
     check_copies(tier, without_snapshot=True)
     check_purges(tier)
     tier.abandon()
@@ -110,7 +110,14 @@
     tier = tier_in(tmp_path / "store")
     with mock.patch("secrets.randbits", return_value=STORE_ID):
         tier.open()
-    write_scene(tier, Copy, OBJECT, GROUP)
+    write_scene(
+        write=lambda **fields: tier.write(Copy(**fields), bypass_admission=True),
+        purge_object=lambda name, when: tier.purge(Purge(PurgeKind.OBJECT, name, when)),
+        purge_group=lambda group, when: tier.purge(Purge(PurgeKind.GROUP, group, when)),
+        revalidate=tier.mark_revalidated,
+        snapshot=tier.snapshot,
+        sync=tier.sync,
+    )
     tier.abandon()
     written = {path.name: path.read_bytes() for path in (tmp_path / "store").iterdir() if path.name != "lock"}
     assert sorted(written) == FILES
--- a/tests/store/test_tools.py
+++ b/tests/store/test_tools.py
@@ -7,9 +7,10 @@
 
 import pytest
 
-from brookhinge.store.disk_tier import OBJECT, DiskTier
+from brookhinge.store.copies import Copy
+from brookhinge.store.disk_tier import DiskTier
 from brookhinge.store.files import Files
-from brookhinge.store.records import Copy
+from brookhinge.store.purge_ledger import Purge, PurgeKind
 
 
 def run(*args):
@@ -24,8 +25,8 @@
     tier.open()
     for n in range(count):
         body = random.Random(n).randbytes(50_000)
-        tier.write(Copy(b"%016x" % n, 0, b"t%d" % n, 5.0, 1, 1, len(body), body), surely=True)
-    tier.purge(OBJECT, b"%016x" % 3, 99.0)
+        tier.write(Copy(b"%016x" % n, 0, b"t%d" % n, 5.0, 1, 1, len(body), body), bypass_admission=True)
+    tier.purge(Purge(PurgeKind.OBJECT, b"%016x" % 3, 99.0))
     tier.close()
     return folder
 
