--- a/tests/box/test_box.py
+++ b/tests/box/test_box.py
@@ -255,7 +255,9 @@
         await p.ask(Y, parent="s-0")
         hold, sync = threading.Event(), p.box.store.disk.files.sync
         p.box.store.disk.files.sync = lambda handle: (hold.wait(5), sync(handle))
-        p.box.store.supervisor.health.record_fault = lambda *_: False  # as long as nobody has noticed that it stalls
+        p.box.store.supervisor.health.record_fault = lambda *_: (
+            False
+        )  # as long as nobody has noticed that it stalls
         p.origin.change(X)
         number = p.channel.drop(X)
         await asyncio.sleep(0.1)
