--- a/benchmarks/soak/server.py
+++ b/benchmarks/soak/server.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from benchmarks.soak import process, world
-from brookhinge.box import wire
+from brookhinge.cache_server import protocol
 from brookhinge.net import cachewire
 
 READ = 1 << 16
@@ -59,7 +59,7 @@
     # connections
 
     async def session(self, reader, writer):
-        commands, tasks = wire.Commands(), {}
+        commands, tasks = protocol.Commands(), {}
         try:
             while data := await reader.read(READ):
                 for command, name, *rest in commands.feed(data):
@@ -68,7 +68,7 @@
                     elif command == "kill" and name in tasks:
                         tasks.pop(name).cancel()
                     elif command == "echo":
-                        writer.write(wire.answer(name, b"well"))
+                        writer.write(protocol.answer(name, b"well"))
         except (ConnectionError, cachewire.UnreadableError):
             pass
         finally:
@@ -79,15 +79,15 @@
     async def answer(self, writer, name, raw, body):
         try:
             word, fields, data = await self.serve(name, raw)
-        except wire.Unusable:
+        except protocol.Unusable:
             word, fields, data = b"failed", [], b""
         if not writer.is_closing():
-            writer.write(wire.answer(name, word, fields, data))
+            writer.write(protocol.answer(name, word, fields, data))
 
     # requests
 
     async def serve(self, name, raw):
-        pull = wire.read_pull(raw)
+        pull = protocol.read_pull(raw)
         kind = world.KINDS.get(pull.sort.decode(), world.KINDS["page"])
         if self.chance.random() < self.refuse_rate:
             return b"full", [], b""
--- a/brookhinge/box/__init__.py
+++ b/brookhinge/cache_server/__init__.py
@@ -5,6 +5,6 @@
 It answers PULL, KILL and ECHO, fills from parent, sibling or origin, joins, renews ageing copies behind, and takes list
 and purges from the command channel. What it decides of a query stands in judge.py, without I/O or clock."""
 
-from brookhinge.box.service import Box
+from brookhinge.cache_server.service import Box
 
 __all__ = ["Box"]
--- a/brookhinge/box/lines.py
+++ b/brookhinge/cache_server/line_server.py
@@ -4,7 +4,7 @@
 
 from tornado.iostream import StreamClosedError
 
-from brookhinge.box import wire
+from brookhinge.cache_server import protocol
 from brookhinge.net.cachewire import UnreadableError
 from brookhinge.net.listener import Listener
 from brookhinge.net.stream import Stream
@@ -61,7 +61,7 @@
         asyncio.ensure_future(self.read(peer))
 
     async def read(self, peer):
-        commands = wire.Commands()
+        commands = protocol.Commands()
         try:
             while True:
                 await peer.may_read.wait()
@@ -79,14 +79,14 @@
     def take(self, peer, command, name, rest):
         peer.used_at = self.now()
         if command == "echo":
-            peer.write(wire.answer(name, b"well"))
+            peer.write(protocol.answer(name, b"well"))
         elif command == "kill":
             if name in peer.open:
                 peer.open.pop(name).cancel()
         elif name in peer.open:
             raise UnreadableError(f"the id {name[:40]!r} that is open")
         elif len(peer.open) >= MOST_OPEN:
-            peer.write(wire.answer(name, b"full"))
+            peer.write(protocol.answer(name, b"full"))
         else:
             peer.open[name] = asyncio.ensure_future(self.run(peer, name, *rest))
 
@@ -94,14 +94,14 @@
         me = asyncio.current_task()
         try:
             data = await self.serve(peer, name, raw, body)
-        except wire.Unusable as fault:
+        except protocol.Unusable as fault:
             self.say("query", why=f"unusable: {fault}")
-            data = wire.answer(name, b"failed")
+            data = protocol.answer(name, b"failed")
         except asyncio.CancelledError:
             return
         except Exception as fault:  # one query, not the box
             self.say("fault", where="query", why=f"{type(fault).__name__}: {fault}")
-            data = wire.answer(name, b"failed")
+            data = protocol.answer(name, b"failed")
         if peer.open.get(name) is me:
             del peer.open[name]
             peer.used_at = self.now()
--- a/brookhinge/box/service.py
+++ b/brookhinge/cache_server/service.py
@@ -3,10 +3,10 @@
 import asyncio
 import time
 
-from brookhinge.box import judge as j
-from brookhinge.box import wire
-from brookhinge.box.lines import LineServer
-from brookhinge.box.orders import Orders
+from brookhinge.cache_server import cache_policy as j
+from brookhinge.cache_server import protocol
+from brookhinge.cache_server.command_channel import Orders
+from brookhinge.cache_server.line_server import LineServer
 from brookhinge.decisions import rules
 from brookhinge.net.caches import Caches
 from brookhinge.store import Copy, DiskTier, DiskTimings, Store
@@ -222,7 +222,7 @@
 
     async def serve(self, peer, name, raw, body):
         """One PULL from its fields to its answer."""
-        pull = wire.read_pull(raw)
+        pull = protocol.read_pull(raw)
         self.counts["queries"] += 1
         came, key = self.now(), (pull.object, pull.part)
         track = self.tracks.get(pull.sort, j.Track())
@@ -304,15 +304,15 @@
         self.report(fields)
         if pull.got and pull.got == found.tag:
             self.counts["unchanged"] += 1
-            return wire.answer(name, b"unchanged", fields)
+            return protocol.answer(name, b"unchanged", fields)
         self.counts["sent_bytes"] += len(found.body)
-        return wire.answer(name, b"data", fields, found.body)
+        return protocol.answer(name, b"data", fields, found.body)
 
     def bad(self, name, word, note):
         self.counts[word] += 1
         fields = [(b"n", note.encode())] if note else []
         self.report(fields)
-        return wire.answer(name, word.encode(), fields)
+        return protocol.answer(name, word.encode(), fields)
 
     def report(self, fields):
         if self.reports:
--- a/brookhinge/cli/__init__.py
+++ b/brookhinge/cli/__init__.py
@@ -7,7 +7,7 @@
 
 COMMANDS = {  # command: (module, its one line); the module is imported when the command is called
     "check": ("brookhinge.cli.check", "Reads an operator's file and says what is wrong with it."),
-    "box": ("brookhinge.cli.box", "A cache server on the two-tier store."),
+    "cache-server": ("brookhinge.cli.cache_server", "A cache server on the two-tier store."),
     "ask": ("brookhinge.cli.ask", "Asks a router for an object, and comes back when told."),
     "explain": ("brookhinge.cli.explain", "Tells the storms in a router's log as a story."),
     "fleet": ("brookhinge.cli.fleet", "What a router believes of its peers: show, watch."),
@@ -29,7 +29,7 @@
 }
 
 # Names that commands had before; they work, and help does not list them.
-ALIASES = {"keep": "agent", "roll": "rollout"}
+ALIASES = {"box": "cache-server", "keep": "agent", "roll": "rollout"}
 
 
 class Lazy(click.Group):
--- a/brookhinge/cli/box.py
+++ b/brookhinge/cli/cache_server.py
@@ -22,7 +22,7 @@
 
 
 async def serve(stand, log, metrics):
-    from brookhinge.box import Box
+    from brookhinge.cache_server import Box
 
     ended = asyncio.Event()
     for word in (signal.SIGTERM, signal.SIGINT):
@@ -30,7 +30,7 @@
     box = Box(stand, lambda event, **values: log.info(event, **values))
     await box.start()
     if metrics:
-        from brookhinge.box.metrics import Figures
+        from brookhinge.cache_server.metrics import Figures
         from brookhinge.metrics import publish
 
         publish(Figures(box), metrics)
@@ -38,7 +38,7 @@
     await box.stop()
 
 
-@click.command("box")
+@click.command("cache-server")
 @click.option(
     "--file",
     type=click.Path(),
--- a/brookhinge/operator/schema.py
+++ b/brookhinge/operator/schema.py
@@ -21,7 +21,7 @@
 
 
 class Stand(NamedTuple):
-    """A cache box: see brookhinge/box."""
+    """A cache box: see brookhinge/cache_server."""
 
     name: str
     listen: tuple
--- a/brookhinge/standin/origin.py
+++ b/brookhinge/standin/origin.py
@@ -4,8 +4,8 @@
 import random
 import time
 
-from brookhinge.box import wire
-from brookhinge.box.lines import LineServer
+from brookhinge.cache_server import protocol
+from brookhinge.cache_server.line_server import LineServer
 
 
 def body_of(object_, part, version, sizes):
@@ -40,13 +40,13 @@
         return self.now()
 
     async def serve(self, peer, name, raw, body):
-        pull = wire.read_pull(raw)
+        pull = protocol.read_pull(raw)
         object_ = pull.object.decode()
         self.counts["queries"] += 1
         version, when = self.version(object_), self.now()  # given out now, on its way for a while
         await asyncio.sleep(self.delay_s)
         if self.broken:
-            return wire.answer(name, b"failed")
+            return protocol.answer(name, b"failed")
         fields = [
             (b"n", b"hit"),
             (b"digest", b"v%d" % version),
@@ -55,10 +55,10 @@
         ]
         if pull.got == b"v%d" % version:
             self.counts["unchanged"] += 1
-            return wire.answer(name, b"unchanged", fields)
+            return protocol.answer(name, b"unchanged", fields)
         body = body_of(object_, pull.part, version, self.sizes)
         self.counts["bytes"] += len(body)
-        return wire.answer(name, b"data", fields, body)
+        return protocol.answer(name, b"data", fields, body)
 
     def end(self):
         self.lines.end()
--- a/brookhinge/standin/rig.py
+++ b/brookhinge/standin/rig.py
@@ -18,7 +18,7 @@
 import zlib
 from pathlib import Path
 
-from brookhinge.box import Box, wire
+from brookhinge.cache_server import Box, protocol
 from brookhinge.membership.look import LIMITS, VERDICTS, look
 from brookhinge.standin.caller import ThriftCaller
 from brookhinge.standin.channel import CommandChannel
@@ -137,7 +137,7 @@
     async def serve(self, peer, name, raw, body):
         self.came.append(time.monotonic())
         if self.chance.random() < self.fails:
-            return wire.answer(name, b"failed")
+            return protocol.answer(name, b"failed")
         return await super().serve(peer, name, raw, body)
 
     def most_in(self, seconds, since=0.0):
--- a/brookhinge/standin/town.py
+++ b/brookhinge/standin/town.py
@@ -9,7 +9,7 @@
 import time
 from pathlib import Path
 
-from brookhinge.box import Box
+from brookhinge.cache_server import Box
 from brookhinge.operator.schema import Stand, Tier
 from brookhinge.standin.caller import ThriftCaller
 from brookhinge.standin.channel import CommandChannel
--- a/tests/box/test_box.py
+++ b/tests/cache_server/test_cache_server.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brookhinge.box import Box, wire
+from brookhinge.cache_server import Box, protocol
 from brookhinge.net.cachewire import UnreadableError
 from brookhinge.operator.schema import Stand, Tier
 from brookhinge.standin.caller import LineCaller
@@ -310,7 +310,7 @@
     async def scene(p):
         from urllib.request import urlopen
 
-        from brookhinge.box.metrics import Figures
+        from brookhinge.cache_server.metrics import Figures
         from brookhinge.metrics import publish
 
         await p.ask(parent="s-0")
@@ -436,7 +436,7 @@
 @pytest.mark.parametrize("size", [1, 7, 4096])
 def test_commands_in_any_pieces(size):
     text = b"PULL a x=1 3\r\nabc\r\nKILL a\r\nECHO t\r\nPULL b - 0\r\n\r\n"
-    commands = wire.Commands()
+    commands = protocol.Commands()
     got = [c for at in range(0, len(text), size) for c in commands.feed(text[at : at + size])]
     assert got == [("pull", b"a", b"x=1", b"abc"), ("kill", b"a"), ("echo", b"t"), ("pull", b"b", b"-", b"")]
     for bad in (
@@ -448,4 +448,4 @@
         b"PULL a - 1\r\nabc\r\n",
     ):
         with pytest.raises(UnreadableError):
-            wire.Commands().feed(bad)
+            protocol.Commands().feed(bad)
--- a/tests/box/test_clock.py
+++ b/tests/cache_server/test_clock.py
@@ -3,7 +3,7 @@
 import asyncio
 import time
 
-from tests.box.test_box import X, played
+from tests.cache_server.test_cache_server import X, played
 
 HOUR_S = 3600.0
 
