--- a/brookhinge/store/admission.py
+++ b/brookhinge/store/admission.py
@@ -65,7 +65,7 @@
         ]
 
     def count(self, key: int) -> None:
-        """Counts one use of a key."""
+        """Count one use of a key."""
         self.counted += 1
         if self.counted >= self.sample:
             self.age()
@@ -88,7 +88,7 @@
         return min(self._counters(self._positions(key))) + self._passed_doorkeeper(key)
 
     def age(self) -> None:
-        """Halves all counters and empties the doorkeeper."""
+        """Halve all counters and empty the doorkeeper."""
         for number, row in enumerate(self.rows):
             halved = int.from_bytes(row, "little") >> 1
             halved &= int.from_bytes(_HALVED_NIBBLES * len(row), "little")
@@ -109,7 +109,7 @@
         free_share: float = 0.0,
         max_victims: int = DEFAULT_MAX_VICTIMS,
     ) -> None:
-        """Sizes the sketch.
+        """Size the sketch.
 
         Args:
             entries: Parts that the tier holds, about.
@@ -124,7 +124,7 @@
         self.max_victims = max_victims
 
     def record_use(self, key: int) -> None:
-        """Counts one use of a part."""
+        """Count one use of a part."""
         self.sketch.count(key)
 
     def value(self, key: int, size: int) -> float:
--- a/brookhinge/store/cleaner.py
+++ b/brookhinge/store/cleaner.py
@@ -26,7 +26,7 @@
         self._writer = writer
 
     def clean_if_needed(self) -> bool:
-        """Frees one segment if there is no space for two more. False if there was nothing to do."""
+        """Free one segment if there is no space for two more. False if there was nothing to do."""
         state = self._state
         with state.write_lock:
             with state.lock:
@@ -45,7 +45,7 @@
             return True
 
     def clean_segment(self, segment: Segment) -> None:
-        """Copies the live records of a segment to the end of the log, and removes it."""
+        """Copy the live records of a segment to the end of the log, and remove it."""
         state = self._state
         with state.write_lock:
             if state.index.live_bytes.get(segment.number, 0):
@@ -114,7 +114,7 @@
         state.files.remove(segment_name(segment.number))
 
     def _drop_entries(self, segment: Segment, entries: list[int]) -> int:
-        """Drops entries of a segment; returns how many were still there when their turn came."""
+        """Drop entries of a segment; return how many were still there when their turn came."""
         index = self._state.index
         dropped = 0
         for entry in entries:
@@ -124,7 +124,7 @@
         return dropped
 
     def verify_suspect(self) -> VerifiedSegment | None:
-        """Reads through one segment in which damage was met, and drops the records that are not whole."""
+        """Read through one segment in which damage was met, and drop the records that are not whole."""
         state = self._state
         with state.write_lock:
             with state.lock:
--- a/brookhinge/store/copies.py
+++ b/brookhinge/store/copies.py
@@ -102,7 +102,7 @@
 
 
 def validate_copy(copy: Copy) -> None:
-    """Checks that a copy can be stored.
+    """Check that a copy can be stored.
 
     Raises:
         ValueError: Names the field that is out of range.
--- a/brookhinge/store/disk_probe.py
+++ b/brookhinge/store/disk_probe.py
@@ -9,7 +9,7 @@
 
 
 def probe_disk(files: Files) -> None:
-    """Writes, syncs, reads and removes a file.
+    """Write, sync, read and remove a file.
 
     Raises:
         OSError: The disk refuses one of these, or returns other bytes.
--- a/brookhinge/store/disk_supervisor.py
+++ b/brookhinge/store/disk_supervisor.py
@@ -63,7 +63,7 @@
         log_event: LogEvent,
         now: Callable[[], float],
     ) -> None:
-        """Makes a supervisor that has not started.
+        """Make a supervisor that has not started.
 
         Args:
             disk: The tier, not open yet.
@@ -93,14 +93,14 @@
     # Start and end
 
     def start(self) -> None:
-        """Begins to open the disk and to maintain it."""
+        """Begin to open the disk and to maintain it."""
         self._readers = IOWorkers(_READ_THREADS, _MAX_WAITING_READS, _MAX_QUEUED_BYTES, "store-read")
         self._writer = IOWorkers(1, _MAX_WAITING_WRITES, _MAX_QUEUED_BYTES, "store-write")
         self.opened = asyncio.ensure_future(self._probe())
         self._maintenance = asyncio.ensure_future(self._maintain())
 
     async def close(self, within_s: float) -> None:
-        """Writes a last snapshot if the disk takes it in time, and ends the threads."""
+        """Write a last snapshot if the disk takes it in time, and end the threads."""
         if self._writer is None:
             return
         self._maintenance.cancel()
@@ -124,7 +124,7 @@
             self._log_event("disk off", why=self.health.reason, again_s=round(self.health.pause_s, 2))
 
     async def _probe(self) -> None:
-        """Opens the store if it is not open, or finds out whether the disk works again.
+        """Open the store if it is not open, or find out whether the disk works again.
 
         Purges that come meanwhile are durable if it goes well.
         """
@@ -161,7 +161,7 @@
         self._log_event("disk on", **(found or {}))
 
     def _open(self) -> dict[str, float]:
-        """Opens the store and passes on the purges from before. Runs on the writer.
+        """Open the store and pass on the purges from before. Runs on the writer.
 
         Returns:
             Values of the log line `disk on`.
@@ -172,7 +172,7 @@
         return {**report.log_values(), "open_s": round(time.monotonic() - began, 3)}
 
     def _pass_purges(self) -> None:
-        """Adds all purges that memory knows to the ledger of the disk. Runs on the writer."""
+        """Add all purges that memory knows to the ledger of the disk. Runs on the writer."""
         purges = self._purges.purges()
         for purge in purges:
             self.disk.note_purge(purge)
@@ -182,7 +182,7 @@
     # Maintenance
 
     async def _maintain(self) -> None:
-        """Syncs, takes snapshots, verifies damaged segments, and probes a disk that is off."""
+        """Sync, take snapshots, verify damaged segments, and probe a disk that is off."""
         synced_at = time.monotonic()
         snapshot_at = synced_at
         changes_in_snapshot = -1
@@ -212,7 +212,7 @@
             self._record_fault(FaultKind.STALL, f"a write has taken {duration_s:.2f} s")
 
     async def _run_maintenance(self, kind: FaultKind, work: Callable[[], object]) -> None:
-        """Runs one piece of maintenance on the writer; a failure of it counts as a fault of that kind."""
+        """Run one piece of maintenance on the writer; a failure of it counts as a fault of that kind."""
         try:
             await self._finish_or_stall(self._writer.submit(work, urgent=True))
         except OSError as error:
@@ -221,7 +221,7 @@
             self._record_fault(FaultKind.WRITE, f"{type(error).__name__}: {error}")
 
     async def _finish_or_stall(self, running: asyncio.Future) -> None:
-        """Waits for maintenance; turns the disk off while it takes too long."""
+        """Wait for maintenance; turn the disk off while it takes too long."""
         while not running.done():
             await asyncio.wait([running], timeout=_WRITE_STALL_FACTOR * self.stall_s)
             if not running.done() and self.health.is_on:
@@ -258,7 +258,7 @@
         return copy
 
     def write(self, copy: Copy) -> None:
-        """Queues a copy for the disk, if the disk is on and the queue has space."""
+        """Queue a copy for the disk, if the disk is on and the queue has space."""
         if not self.health.is_on:
             return
         writing = self._writer.submit(self.disk.write, copy, size=len(copy.body))
@@ -272,7 +272,7 @@
             self._record_fault(FaultKind.WRITE, writing.exception())
 
     def purge(self, purge: Purge) -> asyncio.Future:
-        """Takes a purge that memory knows already to the disk.
+        """Take a purge that memory knows already to the disk.
 
         Returns:
             A future: True when the purge is durable, False while the disk is off. It is then written when the
--- a/brookhinge/store/disk_tier.py
+++ b/brookhinge/store/disk_tier.py
@@ -25,7 +25,7 @@
 
 
 def _ignore_event(event: str, **values: object) -> None:
-    """Logs nothing."""
+    """Log nothing."""
 
 
 class DiskTier:
@@ -41,7 +41,7 @@
         admits: AdmissionCheck | None = None,
         max_purged_objects: int = DEFAULT_MAX_OBJECTS,
     ) -> None:
-        """Makes a tier that is not open yet.
+        """Make a tier that is not open yet.
 
         Args:
             files: The file layer of its folder.
@@ -110,7 +110,7 @@
     # Opening and closing
 
     def open(self) -> RecoveryReport:
-        """Locks the folder and recovers what is in it; all of it needs revalidation.
+        """Lock the folder and recover what is in it; all of it needs revalidation.
 
         Raises:
             StoreUnusableError: The folder can't be used as a store.
@@ -129,7 +129,7 @@
                 raise
 
     def close(self) -> None:
-        """Writes a last snapshot and frees the folder."""
+        """Write a last snapshot and free the folder."""
         with self._state.write_lock:
             try:
                 if self._lock_handle is not None:
@@ -138,7 +138,7 @@
                 self.abandon()
 
     def abandon(self) -> None:
-        """Frees the folder without writing anything."""
+        """Free the folder without writing anything."""
         state = self._state
         with state.lock:
             handles = [segment.handle for segment in state.segments.values()]
@@ -167,7 +167,7 @@
         return self._part_reader.read(object_, part, start, stop)
 
     def write(self, copy: Copy, bypass_admission: bool = False) -> bool:
-        """Stores a copy if it is worth its place; True if it was written.
+        """Store a copy if it is worth its place; True if it was written.
 
         Raises:
             ValueError: The copy can't be stored at all.
@@ -176,11 +176,11 @@
         return self._part_writer.write(copy, bypass_admission)
 
     def set_admission(self, admits: AdmissionCheck) -> None:
-        """Sets what decides on copies that do not bypass admission."""
+        """Set what decides on copies that do not bypass admission."""
         self._part_writer.admits = admits
 
     def drop(self, object_: bytes, part: int) -> None:
-        """Forgets a part if it is stored."""
+        """Forget a part if it is stored."""
         state = self._state
         with state.lock:
             entry = state.index.find(key_of(object_, part))
@@ -190,12 +190,12 @@
     # Revalidation
 
     def require_revalidation(self) -> None:
-        """Marks everything stored as needing revalidation, because purges may have been missed."""
+        """Mark everything stored as needing revalidation, because purges may have been missed."""
         with self._state.lock:
             self._state.epoch += 1
 
     def mark_revalidated(self, object_: bytes, part: int, tag: bytes, size: int, dated: float) -> bool:
-        """Notes that the source has called a copy unchanged and issued its own at `dated`.
+        """Note that the source has called a copy unchanged and issued its own at `dated`.
 
         Returns:
             Whether the copy may be served again. One from before a known purge may not.
@@ -217,7 +217,7 @@
     # Purges
 
     def purge(self, purge: Purge) -> None:
-        """Takes a purge, durable on return; what it hits is not served from the moment of the call on.
+        """Take a purge, durable on return; what it hits is not served from the moment of the call on.
 
         Raises:
             OSError: It is known, but not durable.
@@ -225,7 +225,7 @@
         self.write_purge(self.note_purge(purge))
 
     def note_purge(self, purge: Purge) -> bytes:
-        """Takes a purge into memory, so that nothing it hits is served.
+        """Take a purge into memory, so that nothing it hits is served.
 
         Returns:
             Its record for `write_purge`.
@@ -235,7 +235,7 @@
             return self._state.ledger.add(purge)
 
     def write_purge(self, record: bytes) -> None:
-        """Makes a noted purge durable.
+        """Make a noted purge durable.
 
         Raises:
             OSError: It is not durable until `rewrite_ledger` succeeds.
@@ -243,18 +243,18 @@
         self._ledger_file.append(record)
 
     def rewrite_ledger(self) -> None:
-        """Writes the ledger's file anew from memory, in the fewest records."""
+        """Write the ledger's file anew from memory, in the fewest records."""
         self._ledger_file.rewrite()
 
     def limit_purge_dates(self, now: float) -> None:
-        """Takes purges that are dated later than `now` for purges of `now`."""
+        """Take purges that are dated later than `now` for purges of `now`."""
         with self._state.lock:
             self._state.ledger.limit_dates(now)
 
     # Maintenance
 
     def sync(self) -> None:
-        """Makes all that was written durable.
+        """Make all that was written durable.
 
         Raises:
             OSError: What was not durable is forgotten.
@@ -262,19 +262,19 @@
         self._writer.sync()
 
     def snapshot(self) -> None:
-        """Writes a snapshot of the index, so that the next start need not scan what it covers."""
+        """Write a snapshot of the index, so that the next start need not scan what it covers."""
         write_snapshot(self._state, self._writer)
 
     def clean_segment(self, segment: Segment) -> None:
-        """Copies the live records of a segment to the end of the log, and removes it."""
+        """Copy the live records of a segment to the end of the log, and remove it."""
         self._cleaner.clean_segment(segment)
 
     def verify_suspect(self) -> VerifiedSegment | None:
-        """Reads through one segment in which damage was met, and drops the records that are not whole."""
+        """Read through one segment in which damage was met, and drop the records that are not whole."""
         return self._cleaner.verify_suspect()
 
     def probe(self) -> None:
-        """Finds out whether the disk works again, and writes down the purges that memory knows.
+        """Find out whether the disk works again, and write down the purges that memory knows.
 
         Raises:
             OSError: It does not.
--- a/brookhinge/store/file_format.py
+++ b/brookhinge/store/file_format.py
@@ -38,7 +38,7 @@
 
 
 def decode_file_header(kind: FileKind, data: bytes | memoryview) -> FileHeader:
-    """Reads the header at the beginning of `data`.
+    """Read the header at the beginning of `data`.
 
     Raises:
         DamagedError: Not a file of this kind, or the checksum does not match.
--- a/brookhinge/store/files.py
+++ b/brookhinge/store/files.py
@@ -27,7 +27,7 @@
         return os.path.join(self.folder, name)
 
     def make_folder(self) -> None:
-        """Creates the folder if it does not exist."""
+        """Create the folder if it does not exist."""
         os.makedirs(self.folder, exist_ok=True)
 
     def names(self) -> list[str]:
@@ -35,11 +35,11 @@
         return sorted(os.listdir(self.folder))
 
     def create(self, name: str) -> int:
-        """Opens a new or emptied file for reading and writing."""
+        """Open a new or emptied file for reading and writing."""
         return os.open(self.path(name), os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, _FILE_MODE)
 
     def open(self, name: str, write: bool = False) -> int:
-        """Opens a file that exists."""
+        """Open a file that exists."""
         return os.open(self.path(name), (os.O_RDWR if write else os.O_RDONLY) | os.O_CLOEXEC)
 
     def size(self, handle: int) -> int:
@@ -47,7 +47,7 @@
         return os.fstat(handle).st_size
 
     def write(self, handle: int, offset: int, buffers: list[bytes]) -> None:
-        """Writes all buffers at `offset`; a short write is continued until it is complete or fails."""
+        """Write all buffers at `offset`; a short write is continued until it is complete or fails."""
         total = sum(map(len, buffers))
         done = os.pwritev(handle, buffers, offset)
         if done == total:
@@ -70,11 +70,11 @@
         return data
 
     def sync(self, handle: int) -> None:
-        """Makes what was written to a file durable."""
+        """Make what was written to a file durable."""
         os.fdatasync(handle)
 
     def sync_folder(self) -> None:
-        """Makes creations, renames and removals of files durable."""
+        """Make creations, renames and removals of files durable."""
         handle = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(handle)
@@ -82,19 +82,19 @@
             os.close(handle)
 
     def rename(self, old: str, new: str) -> None:
-        """Renames a file over another one."""
+        """Rename a file over another one."""
         os.replace(self.path(old), self.path(new))
 
     def remove(self, name: str) -> None:
-        """Removes a file."""
+        """Remove a file."""
         os.unlink(self.path(name))
 
     def close(self, handle: int) -> None:
-        """Closes a handle."""
+        """Close a handle."""
         os.close(handle)
 
     def lock(self, name: str) -> int:
-        """Locks the folder by a file of this name, which holds the process id for people to read.
+        """Lock the folder by a file of this name, which holds the process id for people to read.
 
         Returns:
             A handle; the lock is held while it is open.
@@ -117,7 +117,7 @@
 
 
 def write_file_atomically(files: Files, name: str, buffers: list[bytes]) -> None:
-    """Replaces a file so that after a crash either the old or the new one is there, whole."""
+    """Replace a file so that after a crash either the old or the new one is there, whole."""
     temporary = name + TEMPORARY_SUFFIX
     handle = files.create(temporary)
     try:
--- a/brookhinge/store/health.py
+++ b/brookhinge/store/health.py
@@ -44,7 +44,7 @@
         minor_fault_limit: int = 3,
         minor_fault_window_s: float = 10.0,
     ) -> None:
-        """Starts in the state off, with a probe due at once.
+        """Start in the state off, with a probe due at once.
 
         Args:
             first_pause_s: From a first fault to the probe that follows it.
@@ -70,7 +70,7 @@
         return self.state == DiskState.ON
 
     def record_fault(self, now: float, kind: FaultKind, reason: str) -> bool:
-        """Notes a fault; True if the disk was turned off by it."""
+        """Note a fault; True if the disk was turned off by it."""
         if kind in _MINOR_FAULTS and self.state != DiskState.PROBING and not self._too_many_minor_faults(now):
             return False
         turned_off = self.state != DiskState.OFF
@@ -104,11 +104,11 @@
         return now >= self._probe_at or self._probe_at - now > self.longest_pause_s
 
     def begin_probe(self) -> None:
-        """Notes that a probe is under way."""
+        """Note that a probe is under way."""
         self.state = DiskState.PROBING
 
     def record_recovery(self, now: float) -> None:
-        """Notes that the probe went well."""
+        """Note that the probe went well."""
         self.state = DiskState.ON
         self.reason = ""
         self._recovered_at = now
--- a/brookhinge/store/index.py
+++ b/brookhinge/store/index.py
@@ -132,7 +132,7 @@
         self.slots[slot] = entry
 
     def _clear_slot(self, slot: int) -> None:
-        """Empties a slot and moves up the entries behind it, so that no probe ends early."""
+        """Empty a slot and move up the entries behind it, so that no probe ends early."""
         slots = self.slots
         keys = self.key
         mask = len(slots) - 1
@@ -175,7 +175,7 @@
             self.newest[rank] = older
 
     def touch(self, entry: int) -> None:
-        """Marks a part, by its first entry, as the one used last."""
+        """Mark a part, by its first entry, as the one used last."""
         if self.newest[self.rank[entry]] != entry:
             self._unlink(entry)
             self._link_newest(entry)
@@ -225,7 +225,7 @@
         return chunks
 
     def add(self, extent: Extent) -> int | None:
-        """Adds a record to its part.
+        """Add a record to its part.
 
         A record of another version than the stored one replaces the part, unless it is older.
 
@@ -281,14 +281,14 @@
                 self.drop_extent(extent)
 
     def drop(self, entry: int) -> None:
-        """Removes a part by its first entry."""
+        """Remove a part by its first entry."""
         self._clear_slot(self._slot_of(entry))
         self._unlink(entry)
         for extent in list(self.chain_of(entry)):
             self._free_row(extent)
 
     def drop_extent(self, entry: int) -> None:
-        """Removes one record of a part, and the part with its last record."""
+        """Remove one record of a part, and the part with its last record."""
         first = self.find(self.key[entry])
         if entry == first:
             following = self.next_extent[entry]
@@ -320,7 +320,7 @@
         return self.aligned_offset[entry] * RECORD_ALIGN_BYTES
 
     def move(self, entry: int, segment: int, offset: int) -> None:
-        """Notes that a record was copied to another segment; `offset` in bytes."""
+        """Note that a record was copied to another segment; `offset` in bytes."""
         length = self.record_bytes[entry]
         if self.segment[entry] in self.live_bytes:
             self.live_bytes[self.segment[entry]] -= length
@@ -346,7 +346,7 @@
         return None
 
     def drop_segments(self, numbers: set[int]) -> None:
-        """Removes all records of segments that are no longer there."""
+        """Remove all records of segments that are no longer there."""
         for entry in range(len(self.segment)):
             if self.segment[entry] != NONE and self.segment[entry] in numbers:
                 self.drop_extent(entry)
@@ -354,7 +354,7 @@
             self.live_bytes.pop(number, None)
 
     def drop_all(self) -> None:
-        """Removes every record; the segments stay."""
+        """Remove every record; the segments stay."""
         for entry in range(len(self.segment)):
             if self.segment[entry] != NONE:
                 self.drop_extent(entry)
--- a/brookhinge/store/index_snapshot.py
+++ b/brookhinge/store/index_snapshot.py
@@ -64,7 +64,7 @@
 
 
 def decode_snapshot(data: bytes, store_id: int) -> IndexSnapshot:
-    """Reads a snapshot file.
+    """Read a snapshot file.
 
     Raises:
         DamagedError: The file can't be relied on, or belongs to another store or kind of machine.
--- a/brookhinge/store/io_workers.py
+++ b/brookhinge/store/io_workers.py
@@ -21,7 +21,7 @@
     """Daemon threads on one queue. Results come back on the event loop of the caller."""
 
     def __init__(self, threads: int, max_calls: int, max_bytes: int, name: str) -> None:
-        """Starts the threads.
+        """Start the threads.
 
         Args:
             threads: How many.
@@ -42,7 +42,7 @@
     def submit(
         self, work: Callable[..., object], *args: object, size: int = 0, urgent: bool = False
     ) -> asyncio.Future | None:
-        """Queues work(*args).
+        """Queue work(*args).
 
         Args:
             work: Called on a thread.
@@ -110,7 +110,7 @@
             return len(self._queue)
 
     def stop(self) -> None:
-        """Takes no more calls; the threads end when the queue is empty."""
+        """Take no more calls; the threads end when the queue is empty."""
         with self._changed:
             self._stopped = True
             self._changed.notify_all()
--- a/brookhinge/store/memory_tier.py
+++ b/brookhinge/store/memory_tier.py
@@ -29,7 +29,7 @@
         return self.by_rank[rank][key]
 
     def put(self, key: Hashable, copy: ReadResult) -> bool:
-        """Stores a part in place of the one under this key; False if there is no space that it may have."""
+        """Store a part in place of the one under this key; False if there is no space that it may have."""
         needed = len(copy.body) + OVERHEAD_BYTES
         self.drop(key)
         free = self.limit_bytes - self.used_bytes
@@ -45,11 +45,11 @@
         return True
 
     def replace(self, key: Hashable, copy: ReadResult) -> None:
-        """Puts the same bytes with other metadata in the place of a part."""
+        """Put the same bytes with other metadata in the place of a part."""
         self.by_rank[self.ranks[key]][key] = copy
 
     def drop(self, key: Hashable) -> None:
-        """Removes a part if it is stored."""
+        """Remove a part if it is stored."""
         rank = self.ranks.pop(key, None)
         if rank is not None:
             self.used_bytes -= len(self.by_rank[rank].pop(key).body) + OVERHEAD_BYTES
--- a/brookhinge/store/part_reader.py
+++ b/brookhinge/store/part_reader.py
@@ -99,7 +99,7 @@
         return entry
 
     def _plan_read(self, object_: bytes, part: int, start: int, stop: int | None) -> _ReadPlan | None:
-        """Finds the extents that hold a range and keeps their segments open until the read has ended."""
+        """Find the extents that hold a range and keep their segments open until the read has ended."""
         state = self._state
         with state.lock:
             index = state.index
--- a/brookhinge/store/part_writer.py
+++ b/brookhinge/store/part_writer.py
@@ -37,7 +37,7 @@
         self.max_live_bytes = cleaning.max_live_bytes(state.limit_bytes, state.segment_bytes)
 
     def write(self, copy: Copy, bypass_admission: bool = False) -> bool:
-        """Stores a copy if it is worth its place; True if it was written.
+        """Store a copy if it is worth its place; True if it was written.
 
         Raises:
             ValueError: The copy can't be stored at all.
@@ -79,7 +79,7 @@
                 yield Victim(index.key[entry], index.chain_bytes(entry))
 
     def _evict_for(self, key: int, length: int, rank: int) -> bool:
-        """Drops what has to go for a record; False, and nothing dropped, if that is not enough."""
+        """Drop what has to go for a record; False, and nothing dropped, if that is not enough."""
         state = self._state
         index = state.index
         excess = state.live_bytes() + length - self.max_live_bytes
--- a/brookhinge/store/purge_ledger.py
+++ b/brookhinge/store/purge_ledger.py
@@ -77,7 +77,7 @@
         return dated <= self.purged_at(object_, group)
 
     def add(self, purge: Purge) -> bytes:
-        """Notes a purge and returns its record for the file."""
+        """Note a purge and return its record for the file."""
         self._note(purge)
         self._fold_oldest()
         return self._encode(purge)
@@ -92,7 +92,7 @@
             self.last_group = max(self.last_group, purge.when)
 
     def limit_dates(self, now: float) -> None:
-        """Takes purges that are dated later than `now` for purges of `now`."""
+        """Take purges that are dated later than `now` for purges of `now`."""
         for known in (self.objects, self.groups):
             for name, when in known.items():
                 known[name] = min(when, now)
@@ -129,7 +129,7 @@
         return record + b"\0" * (-len(record) % _ALIGN_BYTES)
 
     def replay(self, data: bytes | memoryview) -> ReplayResult:
-        """Notes all purges of a file that can be read.
+        """Note all purges of a file that can be read.
 
         Zeros at the end were never written; any other bytes that can't be read may have been a purge.
         """
--- a/brookhinge/store/purge_ledger_file.py
+++ b/brookhinge/store/purge_ledger_file.py
@@ -28,7 +28,7 @@
         self._size = 0
 
     def replay(self) -> ReplayResult:
-        """Reads the file into the ledger of the tier.
+        """Read the file into the ledger of the tier.
 
         Raises:
             StoreUnusableError: The file is in another version of the format.
@@ -46,7 +46,7 @@
         return state.ledger.replay(memoryview(data)[FILE_HEADER_BYTES:])
 
     def append(self, record: bytes) -> None:
-        """Writes the record of one purge; it is durable on return.
+        """Write the record of one purge; it is durable on return.
 
         Raises:
             OSError: The file is closed until `rewrite` succeeds.
@@ -70,7 +70,7 @@
                 self.rewrite()
 
     def rewrite(self) -> None:
-        """Replaces the file by the fewest records that say what memory knows."""
+        """Replace the file by the fewest records that say what memory knows."""
         state = self._state
         with state.write_lock:
             if self._handle is not None:
@@ -84,7 +84,7 @@
             self._size = len(data)
 
     def detach(self) -> int | None:
-        """Gives up the handle, for the caller to close."""
+        """Give up the handle, for the caller to close."""
         handle = self._handle
         self._handle = None
         return handle
--- a/brookhinge/store/record_format.py
+++ b/brookhinge/store/record_format.py
@@ -109,7 +109,7 @@
 
 
 def decode_record_header(data: bytes | memoryview, seed: int, at: int = 0) -> RecordHeader:
-    """Reads the header of the record at `at`.
+    """Read the header of the record at `at`.
 
     Raises:
         DamagedError: There is no record that was written at this location.
@@ -154,7 +154,7 @@
 
 
 def verify_chunks(checksums: tuple[int, ...], body: bytes | memoryview, first: int = 0) -> None:
-    """Compares each chunk of `body` with the checksums from entry `first` on.
+    """Compare each chunk of `body` with the checksums from entry `first` on.
 
     Raises:
         DamagedError: A chunk does not match.
--- a/brookhinge/store/recovery.py
+++ b/brookhinge/store/recovery.py
@@ -55,7 +55,7 @@
         self._report = RecoveryReport()
 
     def run(self) -> RecoveryReport:
-        """Recovers everything; nothing that was found is served before its source has revalidated it.
+        """Recover everything; nothing that was found is served before its source has revalidated it.
 
         Raises:
             StoreUnusableError: The folder is no store, or one of another version.
@@ -95,7 +95,7 @@
             raise StoreUnusableError(f"the file 'store': {error}") from None
 
     def _read_ledger(self, names: list[str]) -> bool:
-        """Replays the ledger; True if bytes of it can't be read."""
+        """Replay the ledger; True if bytes of it can't be read."""
         if LEDGER_FILE not in names:
             return False
         result = self._ledger_file.replay()
@@ -105,7 +105,7 @@
         return result.unreadable_bytes > 0
 
     def _read_snapshot(self, names: list[str]) -> dict[int, int]:
-        """Takes the index of the newest usable snapshot; returns the bytes it covers of each segment."""
+        """Take the index of the newest usable snapshot; return the bytes it covers of each segment."""
         state = self._state
         numbers = snapshot_numbers(names)
         state.next_snapshot = max(numbers, default=0) + 1
@@ -155,7 +155,7 @@
             state.files.remove(name)
 
     def _scan_uncovered(self, segment: Segment, covered: int) -> None:
-        """Indexes the records behind the bytes that the snapshot covers."""
+        """Index the records behind the bytes that the snapshot covers."""
         state = self._state
         start = max(covered, FILE_HEADER_BYTES)
         if segment.size <= start:
--- a/brookhinge/store/segment.py
+++ b/brookhinge/store/segment.py
@@ -43,7 +43,7 @@
 
 
 def open_segment(files: Files, store_id: int, number: int) -> Segment:
-    """Opens a segment file for reading.
+    """Open a segment file for reading.
 
     Raises:
         DamagedError: Its header is damaged, or names another store or number.
--- a/brookhinge/store/segment_writer.py
+++ b/brookhinge/store/segment_writer.py
@@ -18,7 +18,7 @@
         self._folder_is_unsynced = False
 
     def reset(self) -> None:
-        """Begins without an active segment."""
+        """Begin without an active segment."""
         self.active = None
         self.unsynced_bytes = 0
         self._folder_is_unsynced = False
@@ -28,7 +28,7 @@
         return self.active is not None and self.active.size + needed <= self._state.segment_bytes
 
     def begin_segment(self) -> Segment:
-        """Creates the next segment and makes it the active one."""
+        """Create the next segment and make it the active one."""
         state = self._state
         files = state.files
         number = state.next_segment
@@ -50,7 +50,7 @@
         return segment
 
     def append(self, segment: Segment, buffers: list[bytes], length: int) -> int:
-        """Writes a record to the end of the active segment; returns its offset.
+        """Write a record to the end of the active segment; return its offset.
 
         Raises:
             OSError: What stands at the end now is unknown, so nothing is ever written behind it.
@@ -67,13 +67,13 @@
         return offset
 
     def seal(self) -> None:
-        """Syncs the active segment; it takes no more records."""
+        """Sync the active segment; it takes no more records."""
         if self.active is not None:
             self.sync()
             self.active = None
 
     def sync(self) -> None:
-        """Makes all that was appended durable.
+        """Make all that was appended durable.
 
         Raises:
             OSError: The unsynced records of a segment are forgotten: a failed sync may have lost any of them,
--- a/brookhinge/store/snapshotting.py
+++ b/brookhinge/store/snapshotting.py
@@ -10,7 +10,7 @@
 
 
 def write_snapshot(state: TierState, writer: SegmentWriter) -> None:
-    """Syncs the segments, writes a snapshot of the index and removes the ones that are no longer kept."""
+    """Sync the segments, write a snapshot of the index and remove the ones that are no longer kept."""
     with state.write_lock:
         writer.sync()
         with state.lock:
--- a/brookhinge/store/store.py
+++ b/brookhinge/store/store.py
@@ -25,7 +25,7 @@
 
 
 def _ignore_event(event: str, **values: object) -> None:
-    """Logs nothing."""
+    """Log nothing."""
 
 
 class Store:
@@ -46,7 +46,7 @@
         now: Callable[[], float] = time.monotonic,
         health: DiskHealth | None = None,
     ) -> None:
-        """Makes a store that has not started.
+        """Make a store that has not started.
 
         Args:
             memory_bytes: Limit of the memory tier.
@@ -80,12 +80,12 @@
             )
 
     async def start(self) -> None:
-        """Begins to open the disk; what it holds is there when `opened` is done. Memory serves meanwhile."""
+        """Begin to open the disk; what it holds is there when `opened` is done. Memory serves meanwhile."""
         if self.supervisor is not None:
             self.supervisor.start()
 
     async def close(self, within_s: float = 2.0) -> None:
-        """Writes a last snapshot of the index if the disk takes it in time."""
+        """Write a last snapshot of the index if the disk takes it in time."""
         if self.supervisor is not None:
             await self.supervisor.close(within_s)
 
@@ -124,7 +124,7 @@
         return copy
 
     def _offer_to_disk(self, object_: bytes, part: int, index_key: int, copy: ReadResult) -> None:
-        """Queues a part that is used again and was not admitted before."""
+        """Queue a part that is used again and was not admitted before."""
         if self.supervisor is None or not self.supervisor.health.is_on:
             return
         if self.admission.sketch.estimate(index_key) not in _USES_OFFERED_TO_DISK:
@@ -136,7 +136,7 @@
         )
 
     def put(self, copy: Copy) -> bool:
-        """Stores a whole part: in memory at once, on disk if it is worth it.
+        """Store a whole part: in memory at once, on disk if it is worth it.
 
         Returns:
             False if a purge has hit it already.
@@ -155,7 +155,7 @@
         return True
 
     def drop(self, object_: bytes, part: int) -> None:
-        """Forgets a part in both tiers."""
+        """Forget a part in both tiers."""
         self.memory.drop((object_, part))
         if self._disk_is_open():
             self.disk.drop(object_, part)
@@ -165,7 +165,7 @@
     def mark_revalidated(
         self, object_: bytes, part: int, copy: ReadResult, dated: float
     ) -> ReadResult | None:
-        """Notes that the source has called a copy unchanged as of `dated`.
+        """Note that the source has called a copy unchanged as of `dated`.
 
         Returns:
             The copy as it may be served now, or None if a purge has hit it.
@@ -179,7 +179,7 @@
         return fresh
 
     def require_revalidation(self) -> None:
-        """Marks everything stored as needing revalidation, because purges may have been missed."""
+        """Mark everything stored as needing revalidation, because purges may have been missed."""
         for key, copy in self.memory.items():
             self.memory.replace(key, copy._replace(needs_revalidation=True))
         if self._disk_is_open():
@@ -188,7 +188,7 @@
     # Purges
 
     def purge(self, purge: Purge) -> asyncio.Future:
-        """Takes a purge; from now on nothing that it hits is served.
+        """Take a purge; from now on nothing that it hits is served.
 
         Returns:
             A future: True when the purge is durable, False while there is no disk that works.
@@ -201,15 +201,15 @@
         return done
 
     def purge_object(self, object_: bytes, when: float) -> asyncio.Future:
-        """Purges one object; see `purge`."""
+        """Purge one object; see `purge`."""
         return self.purge(Purge(PurgeKind.OBJECT, object_, when))
 
     def purge_group(self, group: int, when: float) -> asyncio.Future:
-        """Purges a group of objects; see `purge`."""
+        """Purge a group of objects; see `purge`."""
         return self.purge(Purge(PurgeKind.GROUP, group, when))
 
     def limit_purge_dates(self, now: float) -> None:
-        """Takes purges that are dated later than `now`, by the wall clock, for purges of `now`.
+        """Take purges that are dated later than `now`, by the wall clock, for purges of `now`.
 
         Such a purge was dated before the clock was set back. What it hits needs revalidation by then; with
         its date as it was, it would hit every copy until the clock has caught up.
--- a/brookhinge/store/tier_state.py
+++ b/brookhinge/store/tier_state.py
@@ -55,7 +55,7 @@
     next_snapshot: int = 1
 
     def reset(self) -> None:
-        """Forgets everything that was read from a folder."""
+        """Forget everything that was read from a folder."""
         self.index = Index()
         self.ledger = PurgeLedger(self.max_purged_objects)
         self.segments = {}
@@ -80,7 +80,7 @@
         return sum(self.index.bytes_by_rank)
 
     def release(self, segment: Segment) -> None:
-        """Ends one read of a segment. The caller holds `lock`."""
+        """End one read of a segment. The caller holds `lock`."""
         segment.readers -= 1
         if segment.is_removed and not segment.readers:
             self.files.close(segment.handle)
--- a/brookhinge/store/verification.py
+++ b/brookhinge/store/verification.py
@@ -30,7 +30,7 @@
 def verify_tier(
     tier: DiskTier, ledger_unreadable_bytes: list[int], on_progress: Callable[[int], None]
 ) -> VerificationReport:
-    """Verifies every segment and snapshot.
+    """Verify every segment and snapshot.
 
     What was appended last and never synced may be torn without any fault; it is named as well.
 
