--- a/tests/box/test_box.py
+++ b/tests/cache_server/test_cache_server.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brookhinge.box import Box, wire
+from brookhinge.cache_server import Box, protocol
 from brookhinge.net.cachewire import UnreadableError
 from brookhinge.operator.schema import Stand, Tier
 from brookhinge.standin.caller import LineCaller
@@ -255,7 +255,9 @@
         await p.ask(Y, parent="s-0")
         hold, sync = threading.Event(), p.box.store.disk.files.sync
         p.box.store.disk.files.sync = lambda handle: (hold.wait(5), sync(handle))
-        p.box.store.health.fault = lambda *_: False  # as long as nobody has noticed that it stalls
+        p.box.store.supervisor.health.record_fault = lambda *_: (
+            False
+        )  # as long as nobody has noticed that it stalls
         p.origin.change(X)
         number = p.channel.drop(X)
         await asyncio.sleep(0.1)
@@ -308,7 +310,7 @@
     async def scene(p):
         from urllib.request import urlopen
 
-        from brookhinge.box.metrics import Figures
+        from brookhinge.cache_server.metrics import Figures
         from brookhinge.metrics import publish
 
         await p.ask(parent="s-0")
@@ -434,7 +436,7 @@
 @pytest.mark.parametrize("size", [1, 7, 4096])
 def test_commands_in_any_pieces(size):
     text = b"PULL a x=1 3\r\nabc\r\nKILL a\r\nECHO t\r\nPULL b - 0\r\n\r\n"
-    commands = wire.Commands()
+    commands = protocol.Commands()
     got = [c for at in range(0, len(text), size) for c in commands.feed(text[at : at + size])]
     assert got == [("pull", b"a", b"x=1", b"abc"), ("kill", b"a"), ("echo", b"t"), ("pull", b"b", b"-", b"")]
     for bad in (
@@ -446,4 +448,4 @@
         b"PULL a - 1\r\nabc\r\n",
     ):
         with pytest.raises(UnreadableError):
-            wire.Commands().feed(bad)
+            protocol.Commands().feed(bad)
