--- a/brookhinge/cli/standin.py
+++ b/brookhinge/cli/standin.py
@@ -7,7 +7,7 @@
 import click
 
 from brookhinge.cli import refuse, table
-from brookhinge.operator.schema import address
+from brookhinge.operator.value_checks import address
 
 
 def place(_, option, value):
--- a/brookhinge/membership/udp_transport.py
+++ b/brookhinge/membership/udp_transport.py
@@ -33,7 +33,7 @@
 from brookhinge.membership.view import MemberChange
 
 if TYPE_CHECKING:
-    from brookhinge.operator.schema import Fleet
+    from brookhinge.operator.settings import Fleet
 
 MAX_INBOX = 256  # datagrams that one round takes; more that come before it are dropped
 LEAVE_FLUSH_S = 0.05  # until the claim of leaving is out and the socket may close
--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from brookhinge.membership.safety_notices import SafetyNotices
     from brookhinge.membership.udp_transport import UdpTransport
-    from brookhinge.operator.schema import Control, Fleet
+    from brookhinge.operator.settings import Control, Fleet
     from brookhinge.purgelog.client import LogClient
 
 JOIN_RETRY_S = 0.05  # between two tries to bind the address that the process before still holds
--- a/brookhinge/net/program.py
+++ b/brookhinge/net/program.py
@@ -15,7 +15,7 @@
 from brookhinge.startup import MIN_DESCRIPTORS, Site, read_site
 
 if TYPE_CHECKING:
-    from brookhinge.operator.schema import Control, Fleet
+    from brookhinge.operator.settings import Control, Fleet
 
 EXIT_CONFIGURATION = 2  # also where an address cannot be bound
 
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -43,7 +43,7 @@
 from brookhinge.startup import Site
 
 if TYPE_CHECKING:
-    from brookhinge.operator.schema import Control, Fleet
+    from brookhinge.operator.settings import Control, Fleet
     from brookhinge.storm.gate import Gate
 
 RESERVED_DESCRIPTORS = 24  # neither clients nor cache servers take these
--- a/brookhinge/operator/capacity.py
+++ b/brookhinge/operator/capacity.py
@@ -1,12 +1,20 @@
-"""Schema of the `capacity` block: regions, zones, sites and links of a fleet that `python -m benchmarks.capacity` models.
+"""Schema of the `capacity` block.
 
-Delays are milliseconds one way, times are seconds from the start of the measured part, `loss` and `double` are the
-chances of one datagram. Places are written `region`, `region/zone` or `region/zone/number of the site`."""
+Regions, zones, sites and links of a fleet that `python -m benchmarks.capacity` models.
 
+Delays are milliseconds one way, times are seconds from the start of the measured part, `loss` and `double`
+are the chances of one datagram. Places are written `region`, `region/zone` or `region/zone/number of the
+site`.
+"""
+
+from collections.abc import Callable, Iterator
 from itertools import combinations
-from typing import NamedTuple
+from typing import Any, NamedTuple
+
+from brookhinge.operator.hcl import Block, OperatorError
 
-from brookhinge.operator.hcl import OperatorError
+Keys = dict[str, Any]
+Take = Callable[[Block, Keys], dict[str, Any]]
 
 MOST_SITES = 250  # a site is one octet of a loopback address
 MOST_ROUTERS = 5000
@@ -20,7 +28,8 @@
     sites: int
 
     @property
-    def place(self):
+    def place(self) -> str:
+        """Return the zone as a place."""
         return f"{self.region}/{self.name}"
 
 
@@ -33,20 +42,24 @@
 
 
 class Control(NamedTuple):
-    """One control machine, the site that it stands at, and regions whose routers prefer it beside those of its own."""
+    """One control machine, its site, and regions whose routers prefer it beside those of its own."""
 
     name: str
     site: str
     serves: tuple[str, ...] = ()
 
     @property
-    def region(self):
-        """The region that it stands in."""
+    def region(self) -> str:
+        """Return the region that it stands in."""
         return self.site.split("/", 1)[0]
 
 
 class Cut(NamedTuple):
-    """Datagrams from one place to another are dropped from `at_s` on for `for_s` seconds; an empty `target` is all else."""
+    """A cut between two places.
+
+    Datagrams from `source` to `target` are dropped from `at_s` on for `for_s` seconds; an empty `target` is
+    all else.
+    """
 
     name: str
     source: str
@@ -72,13 +85,21 @@
     controls: tuple[Control, ...]
     cuts: tuple[Cut, ...]
 
-    def sites(self):
-        """Places of all sites, in the order of the file."""
+    def sites(self) -> list[str]:
+        """Return the places of all sites, in the order of the file."""
         return [f"{zone.place}/{number + 1}" for zone in self.zones for number in range(zone.sites)]
 
 
-def capacity_blocks(must, number, whole, text, names, path, flag):
-    """The entry of the schema's table of blocks, made of the checks that all blocks share."""
+def capacity_blocks(
+    must: object,
+    number: Callable,
+    whole: Callable,
+    text: Callable,
+    names: Callable,
+    path: Callable,
+    flag: Callable,
+) -> tuple[int, Keys, dict]:
+    """Return the entry of the schema's table of blocks, made of the checks that all blocks share."""
     delay = number(0, 10_000)
     settings = {
         "routers": (whole(1, MOST_ROUTERS), 530),
@@ -109,8 +130,12 @@
     )
 
 
-def read_capacity(block, schema, take):
-    """A Capacity of a parsed block whose nesting was checked; raises OperatorError with block, key and line."""
+def read_capacity(block: Block, schema: tuple[int, Keys, dict], take: Take) -> Capacity:
+    """Return the Capacity of a parsed block whose nesting was checked.
+
+    Raises:
+        OperatorError: names block, key and line.
+    """
     _, settings, inner = schema
     values = take(block, settings)
     regions = [one for one in block.blocks if one.kind == "region"]
@@ -130,8 +155,8 @@
     )
 
 
-def read_zones(region, schema, take):
-    """The zones of one region."""
+def read_zones(region: Block, schema: tuple[int, Keys, dict], take: Take) -> Iterator[Zone]:
+    """Yield the zones of one region."""
     take(region, {})
     for block in region.blocks:
         for label in (region.labels[0], block.labels[0]):
@@ -142,8 +167,8 @@
         yield Zone(region.labels[0], block.labels[0], **take(block, schema[1]))
 
 
-def read_links(block, regions, settings, take):
-    """The delay of each pair of regions; each pair must stand once."""
+def read_links(block: Block, regions: list[str], settings: Keys, take: Take) -> tuple[Link, ...]:
+    """Return the delay of each pair of regions; each pair must stand once."""
     links = {}
     for inner in (one for one in block.blocks if one.kind == "link"):
         for label in inner.labels:
@@ -159,8 +184,8 @@
     return tuple(Link(*pair, delay_ms) for pair, delay_ms in links.items())
 
 
-def read_controls(block, capacity, settings, take):
-    """Control machines; each stands at a site of the layout."""
+def read_controls(block: Block, capacity: Capacity, settings: Keys, take: Take) -> Iterator[Control]:
+    """Yield the control machines; each stands at a site of the layout."""
     sites = set(capacity.sites())
     regions = {zone.region for zone in capacity.zones}
     for inner in (one for one in block.blocks if one.kind == "control"):
@@ -178,8 +203,8 @@
         yield Control(inner.labels[0], **values)
 
 
-def read_cuts(block, capacity, settings, take):
-    """Cuts between places of the layout."""
+def read_cuts(block: Block, capacity: Capacity, settings: Keys, take: Take) -> Iterator[Cut]:
+    """Yield the cuts between places of the layout."""
     sites = capacity.sites()
     for inner in (one for one in block.blocks if one.kind == "cut"):
         values = take(inner, settings)
@@ -193,6 +218,6 @@
         )
 
 
-def inside(site, place):
+def inside(site: str, place: str) -> bool:
     """Whether a site stands in a place, which is a region, a zone or that site."""
     return site == place or site.startswith(place + "/")
--- a/brookhinge/operator/hcl.py
+++ b/brookhinge/operator/hcl.py
@@ -1,6 +1,9 @@
-"""HCL text as blocks that know their lines. Reads with python-hcl2, decides nothing of what the blocks mean."""
+"""HCL text as blocks that know their lines, read with python-hcl2; what they mean is decided elsewhere."""
+
+from typing import Any
 
 import hcl2
+from lark import Tree
 from lark.exceptions import UnexpectedCharacters, UnexpectedInput
 
 READ = hcl2.SerializationOptions(with_comments=False, strip_string_quotes=True, explicit_blocks=False)
@@ -11,22 +14,34 @@
 
 
 class Block:
-    """One block: its type, labels, line, values by key, the line of each key, and the blocks within."""
+    """One block of HCL.
+
+    Attributes:
+        kind, labels, line: as it stands in the file.
+        values: by key.
+        lines: line of each key.
+        blocks: within it.
+    """
 
-    def __init__(self, kind, labels, line):
+    def __init__(self, kind: str, labels: list[str], line: int):
         self.kind = kind
         self.labels = labels
         self.line = line
-        self.values = {}
-        self.lines = {}
-        self.blocks = []
+        self.values: dict[str, Any] = {}
+        self.lines: dict[str, int] = {}
+        self.blocks: list[Block] = []
 
-    def title(self):
+    def title(self) -> str:
+        """Return type and labels as an error names them."""
         return " ".join([self.kind, *(f'"{label}"' for label in self.labels)])
 
 
-def parse(text):
-    """The top of a file as a Block without a kind."""
+def parse(text: str) -> Block:
+    """Return the top of a file as a Block without a kind.
+
+    Raises:
+        OperatorError: the text is no HCL.
+    """
     try:
         tree = hcl2.parses_to_tree(text)
         values = hcl2.loads(text, serialization_options=READ)
@@ -40,8 +55,8 @@
     return body(tree.children[0], values, Block("", [], 1))
 
 
-def body(tree, values, block):
-    """Fills a block from its tree (which knows lines) and its values (which are read)."""
+def body(tree: Tree, values: dict[str, Any], block: Block) -> Block:
+    """Fill a block from its tree, which knows lines, and its values, which are read."""
     seen = {}
     for child in tree.children:
         if getattr(child, "data", None) == "attribute":
@@ -63,8 +78,8 @@
     return block
 
 
-def head(tree):
-    """(type, labels, the body's tree) of a block's tree."""
+def head(tree: Tree) -> tuple[str, list[str], Any]:
+    """Return type, labels and body of a block's tree."""
     words = []
     inner = None
     for child in tree.children:
--- a/brookhinge/purgelog/client.py
+++ b/brookhinge/purgelog/client.py
@@ -15,7 +15,7 @@
 from brookhinge.purgelog.subscriber import CopyRule, Subscriber
 
 if TYPE_CHECKING:
-    from brookhinge.operator.schema import Control, Fleet
+    from brookhinge.operator.settings import Control, Fleet
     from brookhinge.purgelog.backfill import PurgeSet
     from brookhinge.purgelog.interfaces import Address, LogFunction
     from brookhinge.purgelog.messages import Entry, Message
--- a/brookhinge/purgelog/server.py
+++ b/brookhinge/purgelog/server.py
@@ -17,7 +17,7 @@
 from brookhinge.purgelog.messages import Entry, Kind, Message
 
 if TYPE_CHECKING:
-    from brookhinge.operator.schema import Control
+    from brookhinge.operator.settings import Control
     from brookhinge.purgelog.interfaces import Address, LogFunction
 
 RETRY_S = 0.1  # for an entry that could not be appended while no majority answered
--- a/brookhinge/purgelog/submit.py
+++ b/brookhinge/purgelog/submit.py
@@ -13,7 +13,7 @@
 from brookhinge.purgelog.progress import Outcome
 
 if TYPE_CHECKING:
-    from brookhinge.operator.schema import Control
+    from brookhinge.operator.settings import Control
     from brookhinge.purgelog.interfaces import Address
 
 ANSWER_S = 0.5
--- a/brookhinge/rollout/agent_protocol.py
+++ b/brookhinge/rollout/agent_protocol.py
@@ -14,7 +14,12 @@
 
 import msgspec
 
-from brookhinge.rollout.messages import AgentReport, EpochRejected, PlanMismatch, SetVersion
+from brookhinge.rollout.messages import (
+    AgentReport,
+    EpochRejected,
+    PlanMismatch,
+    SetVersion,
+)
 
 LONGEST_LINE_BYTES = 64 * 1024
 CHECKSUM_BYTES = 16
--- a/brookhinge/rollout/coordinator.py
+++ b/brookhinge/rollout/coordinator.py
@@ -12,7 +12,13 @@
 from collections.abc import Iterable
 from typing import Any, Protocol
 
-from brookhinge.rollout.canary_analysis import CanaryAnalysis, MetricDelta, RouterWindow, Verdict, VerdictKind
+from brookhinge.rollout.canary_analysis import (
+    CanaryAnalysis,
+    MetricDelta,
+    RouterWindow,
+    Verdict,
+    VerdictKind,
+)
 from brookhinge.rollout.messages import (
     AgentReport,
     CoordinatorEvent,
--- a/brookhinge/rollout/plan.py
+++ b/brookhinge/rollout/plan.py
@@ -30,7 +30,16 @@
 
 from brookhinge.operator import schema
 from brookhinge.operator.hcl import Block, OperatorError, parse
-from brookhinge.operator.schema import MUST, address, key, number, one_of, path, take, text, whole
+from brookhinge.operator.schema import MUST, take
+from brookhinge.operator.value_checks import (
+    address,
+    key,
+    number,
+    one_of,
+    path,
+    text,
+    whole,
+)
 
 MOST_ROUTERS = 4096
 LEAST_ROUTERS = 2  # one alone has nothing to be compared with
--- a/brookhinge/rollout/reconciler.py
+++ b/brookhinge/rollout/reconciler.py
@@ -11,7 +11,13 @@
 from collections.abc import Iterable
 from typing import Any, Protocol
 
-from brookhinge.rollout.messages import AgentEvent, ProcessExited, ProcessReady, RouterStatus, SetVersion
+from brookhinge.rollout.messages import (
+    AgentEvent,
+    ProcessExited,
+    ProcessReady,
+    RouterStatus,
+    SetVersion,
+)
 
 FIRST_BACKOFF_S = 0.2
 LONGEST_BACKOFF_S = 10.0
--- a/brookhinge/standin/capacity/hollow.py
+++ b/brookhinge/standin/capacity/hollow.py
@@ -10,7 +10,8 @@
 from brookhinge.limits.limits import Limits
 from brookhinge.membership.udp_transport import UdpTransport
 from brookhinge.operator.schema import FLEET as FLEET_SETTINGS
-from brookhinge.operator.schema import MUST, Fleet
+from brookhinge.operator.schema import MUST
+from brookhinge.operator.settings import Fleet
 from brookhinge.standin.capacity.links import LinkedTransport, Links, Traffic
 from brookhinge.standin.capacity.messages import RouterSample
 from brookhinge.verdicts.outlier_detection import OutlierDetection
--- a/brookhinge/standin/capacity/logged.py
+++ b/brookhinge/standin/capacity/logged.py
@@ -6,12 +6,18 @@
 
 from brookhinge.clock import steady
 from brookhinge.operator.capacity import Cut
-from brookhinge.operator.schema import CONTROL, MUST, Control
+from brookhinge.operator.schema import CONTROL, MUST
+from brookhinge.operator.settings import Control
 from brookhinge.purgelog.client import LogClient
 from brookhinge.purgelog.messages import Entry, Kind
 from brookhinge.purgelog.progress import Outcome
 from brookhinge.purgelog.server import ControlServer
-from brookhinge.standin.capacity.hollow import FLEET, GROUP_OF_OBJECTS, KEY, fleet_settings
+from brookhinge.standin.capacity.hollow import (
+    FLEET,
+    GROUP_OF_OBJECTS,
+    KEY,
+    fleet_settings,
+)
 from brookhinge.standin.capacity.layout import Layout
 from brookhinge.standin.capacity.links import LinkedTransport, Links, Traffic
 from brookhinge.standin.capacity.messages import (
--- a/brookhinge/standin/model.py
+++ b/brookhinge/standin/model.py
@@ -6,7 +6,13 @@
 import itertools
 import random
 
-from brookhinge.engine.effects import CancelAttempt, FailRequest, RejectRequest, Respond, SendAttempt
+from brookhinge.engine.effects import (
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    Respond,
+    SendAttempt,
+)
 from brookhinge.engine.endpoints import ListedEndpoint
 from brookhinge.engine.events import AttemptEnded, EndpointsListed
 
--- a/brookhinge/standin/script.py
+++ b/brookhinge/standin/script.py
@@ -15,7 +15,8 @@
 import time
 
 from brookhinge.operator.hcl import OperatorError, parse
-from brookhinge.operator.schema import number, take, text, whole
+from brookhinge.operator.schema import take
+from brookhinge.operator.value_checks import number, text, whole
 from brookhinge.standin.rig import Rig
 
 LIMIT_S = 600.0  # of a whole script
--- a/brookhinge/standin/town.py
+++ b/brookhinge/standin/town.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from brookhinge.cache_server import Box
-from brookhinge.operator.schema import Stand, Tier
+from brookhinge.operator.settings import CacheServerSettings, StoreSettings
 from brookhinge.standin.caller import ThriftCaller
 from brookhinge.standin.channel import CommandChannel
 from brookhinge.standin.origin import Origin
@@ -74,7 +74,7 @@
 
 def memory_stand(name, port, channel_port, memory_mb):
     """The settings of a box on loopback that keeps its copies in memory alone."""
-    return Stand(
+    return CacheServerSettings(
         name=name,
         listen=("127.0.0.1", port),
         channel=("127.0.0.1", channel_port),
@@ -87,7 +87,7 @@
         origin_kind="origin",
         reports=(),
         tracks={},
-        store=Tier("", memory_mb, 1, 1, 1, 1, 1),
+        store=StoreSettings("", memory_mb, 1, 1, 1, 1, 1),
     )
 
 
--- a/tests/cache_server/test_cache_server.py
+++ b/tests/cache_server/test_cache_server.py
@@ -8,7 +8,7 @@
 
 from brookhinge.cache_server import Box, protocol
 from brookhinge.net.cachewire import UnreadableError
-from brookhinge.operator.schema import Stand, Tier
+from brookhinge.operator.settings import CacheServerSettings, StoreSettings
 from brookhinge.standin.caller import LineCaller
 from brookhinge.standin.channel import CommandChannel
 from brookhinge.standin.origin import Origin, body_of, group_of
@@ -44,7 +44,7 @@
         }
 
     async def start(self):
-        stand = Stand(
+        stand = CacheServerSettings(
             "s-1",
             ("127.0.0.1", 0),
             self.channel_at,
@@ -57,7 +57,7 @@
             "origin",
             ("util", "x0"),
             self.tracks or {},
-            Tier(str(self.folder / "s") if self.disk else "", 8, 64, 2, 0.05, 0.2, 0.25),
+            StoreSettings(str(self.folder / "s") if self.disk else "", 8, 64, 2, 0.05, 0.2, 0.25),
         )
         self.step_s = 0.0
         self.box = Box(
