--- a/brookhinge/client/client.py
+++ b/brookhinge/client/client.py
@@ -1,60 +1,116 @@
-"""Connections to one router and the queries on them."""
+"""Connections to one router and the requests on them."""
 
 import asyncio
 import itertools
 import random
 import time
-from typing import NamedTuple
+from types import TracebackType
+from typing import Any, NamedTuple, Self
 
-from brookhinge.client import returns
+from brookhinge.client import backoff
 from brookhinge.net import thrift
 
-MOST_OPEN = 30  # the router takes 32 on a connection
-SLACK_S = 0.2  # after a query's time, until its connection is taken for dead
+MAX_OPEN_REQUESTS = 30  # the router takes 32 on a connection
+DEAD_AFTER_S = 0.2  # after a request's timeout, until its connection is taken for dead
+DEFAULT_TIMEOUT_S = 10.0
+HEALTH_CHECK_TIMEOUT_S = 2.0
+LEAST_TIMEOUT_S = 0.001
+MAX_FRAME_BYTES = 1 << 20
+MAX_RETRY_AFTER_DIGITS = 7
+
+Address = tuple[str, int]
 
 
 class Answer(NamedTuple):
-    kind: str  # 'satisfied', 'refused', 'failed' or 'gone'
+    """What became of a request.
+
+    Attributes:
+        kind: 'satisfied', 'refused', 'failed' or 'gone' (the connection ended first).
+        unchanged: the version that the client has is current; there is no body.
+        wait_s: if refused, the Retry-After in seconds, 0 without one.
+        why: if failed, what the router says.
+        tries: attempts made.
+    """
+
+    kind: str
     body: bytes
-    unchanged: bool  # the copy that was named is the one: no bytes
-    wait_s: float  # refused: when to come back, 0 if that was not told
-    why: str  # failed: what the router says, if anything
+    unchanged: bool
+    wait_s: float
+    why: str
     tries: int = 1
 
 
+GONE = Answer("gone", b"", False, 0.0, "the connection ended")
+
+
 class Connection:
-    """One connection: up to 30 queries at once, answers in any order."""
-
-    def __init__(self, address):
-        self.address, self.waiting, self.numbers, self.writer, self.reading = (
-            address,
-            {},
-            itertools.count(1),
-            None,
-            None,
-        )
-        self.places = asyncio.Semaphore(MOST_OPEN)
+    """One connection: several requests at once, responses in any order."""
 
-    async def connect(self):
-        reader, self.writer = await asyncio.open_connection(*self.address)
-        self.reading = asyncio.ensure_future(self.read(reader))
-        return self
+    def __init__(self, address: Address):
+        self._address = address
+        self._pending: dict[int, asyncio.Future[Answer]] = {}
+        self._numbers = itertools.count(1)
+        self._slots = asyncio.Semaphore(MAX_OPEN_REQUESTS)
+        self._writer: asyncio.StreamWriter | None = None
+        self._reading: asyncio.Task[None] | None = None
 
     @property
-    def open(self):
-        return self.reading is not None and not self.reading.done()
+    def open(self) -> bool:
+        """Whether requests can be sent."""
+        return self._reading is not None and not self._reading.done()
+
+    async def connect(self) -> Self:
+        """Connect and begin to read.
+
+        Raises:
+            OSError: there is no connection.
+        """
+        reader, self._writer = await asyncio.open_connection(*self._address)
+        self._reading = asyncio.get_running_loop().create_task(self._read(reader, self._writer))
+        return self
+
+    async def call(self, method: bytes, *arguments: bytes, within_s: float = DEFAULT_TIMEOUT_S) -> Answer:
+        """Return the answer to one call; GONE if the connection ends first or says nothing in time.
+
+        A call that is cancelled is withdrawn: the router owes no response then.
+        """
+        async with self._slots:
+            if not self.open:
+                return GONE
+            number = next(self._numbers)
+            future = asyncio.get_running_loop().create_future()
+            self._pending[number] = future
+            self._write(thrift.encode_message(method, thrift.CALL, number, *arguments, b"\0"))
+            try:
+                return await asyncio.wait_for(future, within_s)
+            except TimeoutError:
+                self.close()
+                return GONE
+            except asyncio.CancelledError:
+                self._withdraw(number)
+                raise
+
+    async def ask(self, fields: dict[str, Any], within_s: float) -> Answer:
+        """Send a request with these fields of the protocol."""
+        encoded = {name.encode(): str(value).encode() for name, value in fields.items()}
+        header = thrift.FIELD_HEADER.pack(thrift.MAP, 1)
+        return await self.call(b"serve", header, thrift.encode_string_map(encoded), within_s=within_s)
 
-    async def read(self, reader):
+    async def well(self) -> bool:
+        """Whether the router answers a health check."""
+        answer = await self.call(b"isWell", within_s=HEALTH_CHECK_TIMEOUT_S)
+        return answer.kind == "satisfied"
+
+    def close(self) -> None:
+        """Close the connection; open calls get GONE."""
+        if self._reading is not None and self._writer is not None:
+            self._reading.cancel()
+            self._writer.close()
+
+    async def _read(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
-                (size,) = thrift.INT32.unpack(await reader.readexactly(4))
-                if not 0 < size <= 1 << 20:
-                    raise thrift.UnreadableError(f"a frame of {size} bytes")
-                frame = thrift.Reader(await reader.readexactly(size))
-                _, kind, number = thrift.read_message_header(frame)
-                future = self.waiting.pop(number, None)
-                if future is not None and not future.done():
-                    future.set_result(read_answer(frame, kind))
+                await self._read_response(reader)
         except (
             ConnectionError,
             asyncio.IncompleteReadError,
@@ -62,148 +118,166 @@
             thrift.InvalidCallError,
             StopIteration,
         ):
-            pass
+            pass  # the connection has ended; open calls get GONE
         finally:
-            self.writer.close()
-            for future in self.waiting.values():
+            writer.close()
+            for future in self._pending.values():
                 if not future.done():
                     future.set_result(GONE)
 
-    async def call(self, method, *args, within_s=10.0):
-        """The answer to one call; GONE if the connection ends first or says nothing in time. Cancelled, the query is
-        forgotten: no answer is owed then."""
-        async with self.places:
-            if not self.open:
-                return GONE
-            number = next(self.numbers)
-            self.waiting[number] = future = asyncio.get_running_loop().create_future()
-            self.writer.write(thrift.encode_message(method, thrift.CALL, number, *args, b"\0"))
-            try:
-                return await asyncio.wait_for(future, within_s)
-            except TimeoutError:
-                self.close()
-                return GONE
-            except asyncio.CancelledError:
-                self.forget(number)
-                raise
-
-    def forget(self, number):
-        self.waiting.pop(number, None)
+    async def _read_response(self, reader: asyncio.StreamReader) -> None:
+        (size,) = thrift.INT32.unpack(await reader.readexactly(thrift.INT32.size))
+        if not 0 < size <= MAX_FRAME_BYTES:
+            raise thrift.UnreadableError(f"a frame of {size} bytes")
+        frame = thrift.Reader(await reader.readexactly(size))
+        _, kind, number = thrift.read_message_header(frame)
+        future = self._pending.pop(number, None)
+        if future is not None and not future.done():
+            future.set_result(_decode_answer(frame, kind))
+
+    def _withdraw(self, number: int) -> None:
+        self._pending.pop(number, None)
         if self.open:
-            self.writer.write(
-                thrift.encode_message(
-                    b"forget",
-                    thrift.ONEWAY,
-                    number,
-                    thrift.FIELD_HEADER.pack(thrift.I32, 1),
-                    thrift.INT32.pack(number),
-                    b"\0",
-                )
-            )
-
-    async def ask(self, fields, within_s):
-        told = {key.encode(): str(value).encode() for key, value in fields.items()}
-        return await self.call(
-            b"serve",
-            thrift.FIELD_HEADER.pack(thrift.MAP, 1),
-            thrift.encode_string_map(told),
-            within_s=within_s,
-        )
+            header = thrift.FIELD_HEADER.pack(thrift.I32, 1)
+            argument = thrift.INT32.pack(number)
+            self._write(thrift.encode_message(b"forget", thrift.ONEWAY, number, header, argument, b"\0"))
 
-    async def well(self):
-        return (await self.call(b"isWell", within_s=2.0)).kind == "satisfied"
+    def _write(self, data: bytes) -> None:
+        if self._writer is not None:
+            self._writer.write(data)
 
-    def close(self):
-        if self.reading is not None:
-            self.reading.cancel()
-            self.writer.close()
 
-
-def read_answer(frame, kind):
-    _, place = next(frame.read_fields())
+def _decode_answer(frame: thrift.Reader, kind: int) -> Answer:
+    """Translate a response of the protocol."""
+    _, field = next(frame.read_fields())
     if kind == thrift.EXCEPTION:
         return Answer("failed", b"", False, 0.0, frame.read_string().decode("utf-8", "replace"))
-    if place:
-        fields = thrift.read_arguments(frame, {1: thrift.MAP}).get(1, {})
-        told = fields.get(b"cooldown", b"0")
-        wait = int(told) / 1000.0 if told.isdigit() and len(told) < 8 else 0.0
-        return Answer("refused" if place == 1 else "failed", b"", False, wait if place == 1 else 0.0, "")
-    args = thrift.read_arguments(frame, {1: thrift.STRING, 2: thrift.MAP})
-    return Answer("satisfied", args.get(1, b""), args.get(2, {}).get(b"unchanged") == b"1", 0.0, "")
+    if field:
+        arguments = thrift.read_arguments(frame, {1: thrift.MAP}).get(1, {})
+        if field != 1:
+            return Answer("failed", b"", False, 0.0, "")
+        return Answer("refused", b"", False, _retry_after_s(arguments.get(b"cooldown", b"0")), "")
+    arguments = thrift.read_arguments(frame, {1: thrift.STRING, 2: thrift.MAP})
+    unchanged = arguments.get(2, {}).get(b"unchanged") == b"1"
+    return Answer("satisfied", arguments.get(1, b""), unchanged, 0.0, "")
 
 
-GONE = Answer("gone", b"", False, 0.0, "the connection ended")
+def _retry_after_s(milliseconds: bytes) -> float:
+    """Translate the field `cooldown`; what is no plausible number counts as none."""
+    if not milliseconds.isdigit() or len(milliseconds) > MAX_RETRY_AFTER_DIGITS:
+        return 0.0
+    return int(milliseconds) / 1000.0
 
 
 class Client:
-    """Queries to one router. tries: of one query at the most; replayable: whether a query that failed, and so may have
-    run, is asked again. One connection is kept, another made when it has ended."""
-
-    def __init__(self, address, tries=3, replayable=True, chance=None):
-        self.address = address
-        self.tries = tries
-        self.replayable = replayable
-        self.chance = chance or random.Random()
-        self.connection = None
-        self.making = asyncio.Lock()
-
-    async def __aenter__(self):
+    """Requests to one router over one connection, which is made anew when it has ended."""
+
+    def __init__(
+        self,
+        address: Address,
+        tries: int = 3,
+        replayable: bool = True,
+        chance: random.Random | None = None,
+    ):
+        """Prepare a client.
+
+        Args:
+            address: of the router.
+            tries: attempts of one request at most.
+            replayable: whether a request that failed, and so may have run, is retried.
+            chance: draws request ids and jitter.
+        """
+        self._address = address
+        self._max_attempts = tries
+        self._is_repeatable = replayable
+        self._chance = chance or random.Random()
+        self._connection: Connection | None = None
+        self._connecting = asyncio.Lock()
+
+    async def __aenter__(self) -> Self:
         return self
 
-    async def __aexit__(self, *_):
-        if self.connection is not None:
-            self.connection.close()
-
-    async def connected(self):
-        async with self.making:
-            if self.connection is None or not self.connection.open:
-                self.connection = await Connection(self.address).connect()
-            return self.connection
-
-    async def fetch(self, object_, part=0, track="page", patience_s=2.9, group=0, size_kb=50.0, tag=None):
-        """One part of an object. Comes back in patience_s, whatever happens; a retry has what is left of it."""
-        first = time.monotonic()
-        tries = 0
+    async def __aexit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        if self._connection is not None:
+            self._connection.close()
+
+    async def fetch(
+        self,
+        object_: str,
+        part: int = 0,
+        track: str = "page",
+        patience_s: float = 2.9,
+        group: int = 0,
+        size_kb: float = 50.0,
+        tag: str | None = None,
+    ) -> Answer:
+        """Fetch one part of an object within `patience_s`, all retries included.
+
+        Args:
+            object_: its id, 16 hex digits.
+            part: number of the part.
+            track: the request class.
+            patience_s: timeout of the request.
+            group: its purge group.
+            size_kb: expected size.
+            tag: version of the copy that the client has.
+        """
+        began = time.monotonic()
+        attempts = 0
         answer = GONE
         while True:
-            left = patience_s - (time.monotonic() - first)
-            if left <= 0.001:
-                return answer._replace(tries=tries)
-            tries += 1
-            answer = await self.one(object_, part, track, left, group, size_kb, tag)
-            left = patience_s - (time.monotonic() - first)
-            wait = (
-                returns.pause(left, tries, self.tries, answer.wait_s, self.chance)
-                if returns.may_repeat(answer.kind, self.replayable)
-                else None
-            )
-            if wait is None:
-                return answer._replace(tries=tries)
-            await asyncio.sleep(wait)
-
-    async def one(self, object_, part, track, left, group, size_kb, tag):
-        fields = {
-            "service": track,
-            "ref": f"{self.chance.getrandbits(64):016x}",
-            "allow": max(1, int(left * 1000)),
-            "lookup": object_,
-            "piece": part,
-            "lot": group,
-            "room": size_kb,
-            **({"ver": tag} if tag else {}),
-        }
+            time_left_s = patience_s - (time.monotonic() - began)
+            if time_left_s <= LEAST_TIMEOUT_S:
+                return answer._replace(tries=attempts)
+            attempts += 1
+            fields = {
+                "service": track,
+                "ref": f"{self._chance.getrandbits(64):016x}",
+                "allow": max(1, int(time_left_s * 1000)),
+                "lookup": object_,
+                "piece": part,
+                "lot": group,
+                "room": size_kb,
+                **({"ver": tag} if tag else {}),
+            }
+            answer = await self._attempt(fields, time_left_s)
+            pause_s = self._retry_pause_s(answer, attempts, patience_s - (time.monotonic() - began))
+            if pause_s is None:
+                return answer._replace(tries=attempts)
+            await asyncio.sleep(pause_s)
+
+    def _retry_pause_s(self, answer: Answer, attempts: int, time_left_s: float) -> float | None:
+        if not backoff.may_retry(answer.kind, self._is_repeatable):
+            return None
+        return backoff.retry_pause_s(
+            time_left_s=time_left_s,
+            attempts=attempts,
+            max_attempts=self._max_attempts,
+            retry_after_s=answer.wait_s,
+            chance=self._chance,
+        )
+
+    async def _attempt(self, fields: dict[str, Any], time_left_s: float) -> Answer:
         try:
-            connection = await asyncio.wait_for(self.connected(), left)
-        except (TimeoutError, OSError) as fault:
-            return GONE._replace(why=f"no connection: {fault}")
-        return await connection.ask(fields, left + SLACK_S)
+            connection = await asyncio.wait_for(self._connected(), time_left_s)
+        except (TimeoutError, OSError) as error:
+            return GONE._replace(why=f"no connection: {error}")
+        return await connection.ask(fields, time_left_s + DEAD_AFTER_S)
+
+    async def _connected(self) -> Connection:
+        async with self._connecting:
+            if self._connection is None or not self._connection.open:
+                self._connection = await Connection(self._address).connect()
+            return self._connection
 
 
-def fetch(address, object_, **asked):
-    """The same without a loop: one query over one connection."""
+def fetch(address: Address, object_: str, **request: Any) -> Answer:  # noqa: ANN401 - as Client.fetch
+    """Fetch without an event loop: one request over one connection, arguments as Client.fetch."""
 
-    async def run():
+    async def run() -> Answer:
         async with Client(address) as client:
-            return await client.fetch(object_, **asked)
+            return await client.fetch(object_, **request)
 
     return asyncio.run(run())
--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -11,7 +11,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from brookhinge.client import Client, returns
+from brookhinge.client import Client
+from brookhinge.client.backoff import RETRY_AFTER_JITTER_S, retry_pause_s
 from brookhinge.decisions.rules import CloseReason
 
 X = "ab" * 8
@@ -90,15 +91,24 @@
     st.integers(),
 )
 def test_pauses_keep_what_was_told_and_never_outlive_the_query(left, tries, most, told, seed):
-    wait = returns.pause(left, tries, most, told, random.Random(seed))
+    wait = retry_pause_s(
+        time_left_s=left,
+        attempts=tries,
+        max_attempts=most,
+        retry_after_s=told,
+        chance=random.Random(seed),
+    )
     if wait is None:
         assert tries >= most or left < told + 1.1
     else:
-        assert wait >= told and wait <= left and (not told or wait <= told + returns.BREATH_S)
+        assert wait >= told and wait <= left and (not told or wait <= told + RETRY_AFTER_JITTER_S)
 
 
 def test_pauses_of_many_without_a_told_time_are_spread():
-    waits = sorted(returns.pause(9.0, 4, 9, 0.0, random.Random(n)) for n in range(1000))
+    waits = sorted(
+        retry_pause_s(time_left_s=9.0, attempts=4, max_attempts=9, retry_after_s=0.0, chance=random.Random(n))
+        for n in range(1000)
+    )
     assert waits[100] < 0.06 < waits[500] < waits[900] and waits[-1] <= 0.4
 
 
