--- a/brookhinge/cli/fleet.py
+++ b/brookhinge/cli/fleet.py
@@ -1,50 +1,59 @@
-"""brookhinge fleet show|watch"""
+"""The commands `brookhinge fleet show`, `watch`, `limits` and `verdicts`: what one router believes."""
 
 import asyncio
 import time
+from typing import TYPE_CHECKING
 
 import click
 
 from brookhinge.cli import block_of, refuse, table
 
-PARTS = ["kind", "server", "own", "given", "lent", "in_use", "shrinks_in_s", "keeper"]
-SAID = ["server", "state", "for_s", "why", "witnesses", "tries", "failed", "own_trouble"]
-COLUMNS = ["member", "state", "for_s", "by", "zone", "address"]
+if TYPE_CHECKING:
+    from brookhinge.operator.schema import Fleet
 
+# Columns as they are printed, and the keys of the JSON: names that operators' scripts rely on.
+LIMIT_COLUMNS = ["kind", "server", "own", "given", "lent", "in_use", "shrinks_in_s", "keeper"]
+VERDICT_COLUMNS = ["server", "state", "for_s", "why", "witnesses", "tries", "failed", "own_trouble"]
+MEMBER_COLUMNS = ["member", "state", "for_s", "by", "zone", "address"]
 
-def ask(block, topic=0, columns=COLUMNS):
-    """Rows of one router's view and its digest; ends the command if nothing answers."""
+
+def query(block: "Fleet", topic: int = 0, columns: list[str] = MEMBER_COLUMNS) -> tuple[list[dict], str]:
+    """Rows of a status topic of one router, and its view's digest; end the command if nothing answers."""
     from brookhinge.membership.status_query import query_status
 
     status = asyncio.run(query_status(block.listen, block.site, block.key, topic))
     if status is None:
-        refuse(
-            f"{block.name}: no answer from {'%s:%d' % block.listen}: not up, another key, or another site", 1
-        )
-    return [dict(zip(columns, row)) for row in status.rows], f"{status.digest:016x}"
+        host, port = block.listen
+        refuse(f"{block.name}: no answer from {host}:{port}: not up, another key, or another site", 1)
+    return [dict(zip(columns, row, strict=False)) for row in status.rows], f"{status.digest:016x}"
 
 
 @click.group("fleet")
-def command():
+def command() -> None:
     """What a router believes of its peers."""
 
 
-@command.command("show")
+@command.command(
+    "show",
+    help="Each member's state, for how long, by whose word; and the view's digest: the same at two routers, "
+    "the same view.",
+)
 @click.option("--file", required=True, type=click.Path(), help="The operator's file with the block fleet.")
 @click.option("--router", help="Whose view; the first block's without.")
 @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
-def show(file, router, as_json):
-    """Each member's state, for how long, by whose word; and the view's digest: the same at two routers, the same view."""
+def show(file: str, router: str | None, as_json: bool) -> None:
+    """Print the members."""
     block = block_of(file, "fleet", router)[1]
-    rows, digest = ask(block)
+    rows, digest = query(block)
     if as_json:
-        return table([{"router": block.name, "digest": digest, "members": rows}], [], True)
+        table([{"router": block.name, "digest": digest, "members": rows}], [], True)
+        return
     click.echo(f"{block.name} believes ({digest}):")
-    table(rows, COLUMNS, False)
+    table(rows, MEMBER_COLUMNS, False)
 
 
-def add_topic_command(topic, word, columns, line, text):
-    """A command that shows what one router says of something else than its members."""
+def add_topic_command(topic: str, word: str, columns: list[str], line: str, text: str) -> None:
+    """Add a command that shows another status topic than the members."""
 
     @command.command(word, help=text)
     @click.option(
@@ -52,13 +61,14 @@
     )
     @click.option("--router", help="Which one is asked; the first block's without.")
     @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
-    def show_told(file, router, as_json):
+    def show_topic(file: str, router: str | None, as_json: bool) -> None:
         from brookhinge.membership.messages import StatusTopic
 
         block = block_of(file, "fleet", router)[1]
-        rows, _ = ask(block, StatusTopic[topic], columns)
+        rows, _ = query(block, StatusTopic[topic], columns)
         if as_json:
-            return table([{"router": block.name, word: rows}], [], True)
+            table([{"router": block.name, word: rows}], [], True)
+            return
         click.echo(line.format(name=block.name, count=len(rows)))
         if rows:
             table(rows, columns, False)
@@ -67,16 +77,18 @@
 add_topic_command(
     "LIMITS",
     "limits",
-    PARTS,
+    LIMIT_COLUMNS,
     "{name} shares {count} limits now; of all others it has its own part",
-    "What a router may use of each shared limit, as parts of the whole: its own, given away, lent, for how long.",
+    "What a router may use of each shared limit, as parts of the whole: its own, given away, lent, for how "
+    "long.",
 )
 add_topic_command(
     "VERDICTS",
     "verdicts",
-    SAID,
+    VERDICT_COLUMNS,
     "{name}: {count} servers in question",
-    "Which servers are in question at a router, why one rests, by how many witnesses, and which is its own trouble.",
+    "Which servers are in question at a router, why one rests, by how many witnesses, and which is its own "
+    "trouble.",
 )
 
 
@@ -85,25 +97,26 @@
 @click.option("--router", help="Whose view; the first block's without.")
 @click.option("--every", default=1.0, type=click.FloatRange(0.2, 60), show_default=True, help="Seconds.")
 @click.option("--rounds", default=0, type=click.IntRange(0), help="Ends after so many; 0: goes on.")
-def watch(file, router, every, rounds):
+def watch(file: str, router: str | None, every: float, rounds: int) -> None:
     """The same, drawn anew until interrupted."""
     from rich.console import Console
     from rich.live import Live
     from rich.table import Table
 
-    block, done = block_of(file, "fleet", router)[1], 0
+    block = block_of(file, "fleet", router)[1]
+    done = 0
 
-    def drawn():
-        rows, digest = ask(block)
+    def draw() -> Table:
+        rows, digest = query(block)
         grid = Table(title=f"{block.name} believes ({digest})")
-        for column in COLUMNS:
+        for column in MEMBER_COLUMNS:
             grid.add_column(column)
         for row in rows:
             style = {"alive": "green", "suspected": "yellow", "lost": "red"}.get(row["state"], "dim")
-            grid.add_row(*(str(row[column]) for column in COLUMNS), style=style)
+            grid.add_row(*(str(row[column]) for column in MEMBER_COLUMNS), style=style)
         return grid
 
-    with Live(drawn(), console=Console(), refresh_per_second=4) as live:
+    with Live(draw(), console=Console(), refresh_per_second=4) as live:
         while not rounds or (done := done + 1) < rounds:
             time.sleep(every)
-            live.update(drawn())
+            live.update(draw())
