--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -104,12 +104,12 @@
 
 def two_attempts():
     """What is given up is not told to its server."""
-    from brookhinge.net.caches import Caches
+    from brookhinge.net.upstream_connections import UpstreamConnections
 
-    def kill(self, effect):
-        self.where.pop((effect.request_id, effect.attempt), None)
+    def cancel_attempt(self, effect):
+        self.placements.pop((effect.request_id, effect.attempt), None)
 
-    Caches.kill = kill
+    UpstreamConnections.cancel_attempt = cancel_attempt
     no_checks()
 
 
@@ -163,7 +163,7 @@
     from brookhinge.net import cachewire
 
     real = cachewire.encode_pull
-    cachewire.encode_pull = lambda request_id, fetch, timeout_s: real(request_id, fetch, 2.9)
+    cachewire.encode_pull = lambda attempt, timeout_s: real(attempt, 2.9)
 
 
 def crash():
--- a/benchmarks/soak/server.py
+++ b/benchmarks/soak/server.py
@@ -10,6 +10,8 @@
 
 from benchmarks.soak import process, world
 from brookhinge.box import wire
+from brookhinge.engine.effects import SendAttempt
+from brookhinge.engine.endpoints import ServerInstance
 from brookhinge.net import cachewire
 
 READ = 1 << 16
@@ -203,20 +205,25 @@
         patience_s = min(pull.patience_s, world.LONGEST_S)
         tag = b"%b.%d" % (name, len(self.waiting)) if name in self.waiting else name
         self.waiting[tag] = future = asyncio.get_running_loop().create_future()
-        fetch = cachewire.Fetch(
-            request_class=pull.sort,
+        attempt = SendAttempt(
+            request_id=0,
+            attempt=1,
+            server=ServerInstance("", ("", 0), None),
+            client_request_id=tag,
+            class_name=pull.sort,
             object_key=pull.object,
             part=b"%d" % pull.part,
-            source=beyond,
-            rank=0,
+            deadline=0.0,
+            fill_from=beyond,
+            retention=0,
             max_age_s=accept_s,
             joins_fill=True,
             cached_only=pull.local,
-            revalidate=False,
+            revalidates=False,
             known_version=None,
             body=b"",
         )
-        self.writer.write(cachewire.encode_pull(tag, fetch, patience_s))
+        self.writer.write(cachewire.encode_pull(attempt, patience_s))
         try:
             return await asyncio.wait_for(future, patience_s)
         except asyncio.CancelledError:
--- a/brookhinge/box/service.py
+++ b/brookhinge/box/service.py
@@ -11,7 +11,8 @@
 from brookhinge.engine.effects import CancelAttempt, RetireServer, SendAttempt
 from brookhinge.engine.endpoints import ServerInstance
 from brookhinge.engine.events import EndpointsListed, ObjectsPurged
-from brookhinge.net.caches import Caches
+from brookhinge.net.upstream_connections import UpstreamConnections
+from brookhinge.startup import UpstreamSettings
 from brookhinge.store import Copy, DiskTier, Store
 from brookhinge.store.files import Files
 from brookhinge.store.purge_ledger import GROUP, OBJECT
@@ -57,8 +58,13 @@
             int(tier.memory_mb * MB), disk, say, tier.stall_s, tier.sync_s, tier.snapshot_s, now=steady
         )
         self.lines = LineServer(self.serve, say, self.now, stand.idle_s)
-        self.caches = Caches(
-            self.ended, say, self.now, self.start_at, [], stand.connect_s, stand.idle_s, MULTIPLEX, SOCKETS
+        self.caches = UpstreamConnections(
+            post=self.ended,
+            log=say,
+            now=self.now,
+            started_at=self.start_at,
+            settings=UpstreamSettings(stand.connect_s, stand.idle_s, MULTIPLEX),
+            max_connections=SOCKETS,
         )
         self.orders = Orders(self.told, say, stand.channel, self.start_at, self.safe, self.missed, self.heard)
         self.servers, self.origin, self.role = {}, None, "cache"
@@ -113,7 +119,7 @@
         for task in self.tasks:
             task.cancel()
         self.orders.close()
-        self.caches.end_all()
+        self.caches.close_all()
         await self.store.close()
         self.say("ended")
 
@@ -124,7 +130,7 @@
             self.caches.sweep()
             for fill, number in [(f, n) for n, f in self.fills.items()]:
                 if self.now() - fill.began > self.stand.fill_s:
-                    self.caches.kill(CancelAttempt(number, 1))
+                    self.caches.cancel_attempt(CancelAttempt(number, 1))
                     self.finish(number, "timeout", 0, b"", False, None, None, None)
 
     def watch_clock(self):
@@ -167,7 +173,7 @@
         for server, address, _, kind, _, health, _, born in event.endpoints:
             old = self.servers.get(server)
             if old and (old[0], old[2]) != (address, born):
-                self.caches.retire(RetireServer(ServerInstance(server, old[0], old[2])))
+                self.caches.retire_server(RetireServer(ServerInstance(server, old[0], old[2])))
             if health == "gone":
                 self.servers.pop(server, None)
             else:
@@ -344,7 +350,7 @@
         self.joinable[fill.key] = fill
         beyond = "" if origin or pull.local or source == self.origin else self.origin
         tag = held.tag if held is not None and held.tag else None
-        self.caches.pull(
+        self.caches.send_attempt(
             SendAttempt(
                 request_id=number,
                 attempt=1,
--- a/brookhinge/net/cachewire.py
+++ b/brookhinge/net/cachewire.py
@@ -8,18 +8,21 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
+from brookhinge.decisions.rules import AttemptResult
+from brookhinge.engine.effects import SendAttempt
+
 MAX_LINE_BYTES = 4096
 MAX_BODY_BYTES = 240_000
 LINE_END = b"\r\n"
 
 # Results of an attempt, by the word of its answer.
 RESULTS = {
-    b"data": "satisfied",
-    b"unchanged": "satisfied",
-    b"absent": "miss",
-    b"full": "full",
-    b"failed": "errored",
-    b"moot": "moot",
+    b"data": AttemptResult.SATISFIED,
+    b"unchanged": AttemptResult.SATISFIED,
+    b"absent": AttemptResult.MISS,
+    b"full": AttemptResult.FULL,
+    b"failed": AttemptResult.ERRORED,
+    b"moot": AttemptResult.MOOT,
 }
 UNCHANGED = b"unchanged"
 # Notes on how a server came to its result; the decisions know them by number, from 1.
@@ -42,27 +45,6 @@
     """Bytes that can't be read as this protocol; the connection they came on is closed."""
 
 
-class Fetch(NamedTuple):
-    """What a cache server is asked for, apart from the id and the time left.
-
-    Bytes are passed on as the client sent them.
-    """
-
-    request_class: bytes
-    object_key: bytes
-    part: bytes
-    source: str | None  # the server to fill from; None: no fill
-    rank: int  # for eviction; 0: none
-    max_age_s: float  # the oldest copy that will do; 0: the class's own bound
-    joins_fill: bool  # may wait for a fill that is under way
-    cached_only: bool  # may not fill
-    revalidate: bool
-    known_version: bytes | None  # tag of the copy that the client has
-    body: bytes
-    skips_cache: bool = False
-    idempotency_key: bytes | None = None
-
-
 class AnswerLine(NamedTuple):
     """An answer as it came."""
 
@@ -75,7 +57,7 @@
 class Result(NamedTuple):
     """What an answer says."""
 
-    result: str  # one of RESULTS
+    result: AttemptResult
     note: int  # one of NOTES; 0: none
     source_wait_s: float  # how long the server waited for its source
     load_report: list[float] | None
@@ -84,39 +66,40 @@
     purge_group: bytes | None
 
 
-def encode_pull(request_id: bytes, fetch: Fetch, timeout_s: float) -> bytes:
+def encode_pull(attempt: SendAttempt, timeout_s: float) -> bytes:
     """Encode an attempt, with the time that is left for its answer."""
     fields = [
-        b"sort=" + fetch.request_class,
-        b"asset=" + fetch.object_key,
-        b"slice=" + fetch.part,
+        b"sort=" + attempt.class_name,
+        b"asset=" + attempt.object_key,
+        b"slice=" + attempt.part,
         b"patience=%d" % max(1, int(timeout_s * 1000)),
     ]
-    if fetch.source:
-        fields.append(b"parent=" + fetch.source.encode())
-    if fetch.rank:
-        fields.append(b"shelf=%d" % fetch.rank)
-    if fetch.max_age_s > 0:
-        fields.append(b"accept=%d" % max(1, int(fetch.max_age_s * 1000)))
-    hints = _hints(fetch)
+    if attempt.fill_from:
+        fields.append(b"parent=" + attempt.fill_from.encode())
+    if attempt.retention:
+        fields.append(b"shelf=%d" % attempt.retention)
+    if attempt.max_age_s > 0:
+        fields.append(b"accept=%d" % max(1, int(attempt.max_age_s * 1000)))
+    hints = _hints(attempt)
     if hints:
         fields.append(b"hints=" + b"+".join(hints))
-    if fetch.known_version:
-        fields.append(b"got=" + fetch.known_version)
-    if fetch.idempotency_key:
-        fields.append(b"op=" + fetch.idempotency_key)
-    return b"PULL %b %b %d\r\n%b\r\n" % (request_id, b",".join(fields), len(fetch.body), fetch.body)
+    if attempt.known_version:
+        fields.append(b"got=" + attempt.known_version)
+    if attempt.idempotency_key:
+        fields.append(b"op=" + attempt.idempotency_key)
+    body = attempt.body
+    return b"PULL %b %b %d\r\n%b\r\n" % (attempt.client_request_id, b",".join(fields), len(body), body)
 
 
-def _hints(fetch: Fetch) -> list[bytes]:
+def _hints(attempt: SendAttempt) -> list[bytes]:
     hints = []
-    if fetch.joins_fill:
+    if attempt.joins_fill:
         hints.append(b"merge")
-    if fetch.cached_only:
+    if attempt.cached_only:
         hints.append(b"local")
-    if fetch.skips_cache:
+    if attempt.skips_cache:
         hints.append(b"skip")
-    if fetch.revalidate:
+    if attempt.revalidates:
         hints.append(b"revalidate")
     return hints
 
--- a/brookhinge/net/metrics_report.py
+++ b/brookhinge/net/metrics_report.py
@@ -6,8 +6,8 @@
 
 from brookhinge.engine.loop_watch import LoopWatch
 from brookhinge.engine.reducer import Reducer
-from brookhinge.net.caches import Caches
 from brookhinge.net.client_connections import ClientConnections
+from brookhinge.net.upstream_connections import UpstreamConnections
 
 REPORT_INTERVAL_S = 10.0
 
@@ -23,7 +23,7 @@
         reducer: Reducer,
         watch: LoopWatch,
         client_connections: ClientConnections,
-        upstream_connections: Caches,
+        upstream_connections: UpstreamConnections,
     ) -> None:
         self._now = now
         self._log = log
@@ -70,7 +70,7 @@
                 **{name: round(count - counts_before[name], 3) for name, count in counts.items()},
                 open=len(self._reducer.queries),
                 clients=len(self._client_connections.clients),
-                caches=len(self._upstream_connections.all),
+                caches=len(self._upstream_connections.pool.connections),
                 unread=self._client_connections.memory.unsent_bytes,
                 late_s=round(self._now() - due, 4),
                 **{name: dict(counter - reasons_before[name]) for name, counter in reasons.items()},
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -32,13 +32,13 @@
 from brookhinge.engine.loop_watch import LoopWatch, Stall
 from brookhinge.engine.reducer import Reducer
 from brookhinge.engine.scheduler import EventScheduler
-from brookhinge.net.caches import Caches
 from brookhinge.net.channel import Channel
 from brookhinge.net.client_connections import ClientConnections
 from brookhinge.net.fleet_wiring import FleetLink, router_class, safety_notices
 from brookhinge.net.graceful_shutdown import GracefulShutdown
 from brookhinge.net.listener import RETRY_ACCEPT_S, SHORTAGES
 from brookhinge.net.metrics_report import MetricsReport
+from brookhinge.net.upstream_connections import UpstreamConnections
 from brookhinge.net.write_guard import WriteGuard
 from brookhinge.startup import Site
 
@@ -189,22 +189,19 @@
             trace=self.tracer,
         )
 
-    def _build_upstream_connections(self, sockets: int) -> Caches:
-        upstream = self.site.upstream
-        return Caches(
-            self.post,
-            self.log,
-            self.now,
-            self.start,
-            self.site.columns,
-            upstream.connect_timeout_s,
-            upstream.idle_timeout_s,
-            upstream.multiplex,
-            sockets,
-            STALE_ATTEMPT_S,
-            self.write_guard.hold_reason,
-            self.tracer,
-            self.watch,
+    def _build_upstream_connections(self, sockets: int) -> UpstreamConnections:
+        return UpstreamConnections(
+            post=self.post,
+            log=self.log,
+            now=self.now,
+            started_at=self.start,
+            settings=self.site.upstream,
+            max_connections=sockets,
+            load_columns=self.site.columns,
+            max_wait_s=STALE_ATTEMPT_S,
+            hold_reason=self.write_guard.hold_reason,
+            trace=self.tracer,
+            watch=self.watch,
         )
 
     def _build_fleet_link(self, fleet: Fleet, controls: dict[str, Control]) -> FleetLink:
@@ -227,12 +224,12 @@
             on_failed=clients.drop_after_failure,
         )
         self.scheduler.register(
-            {SendAttempt: upstream.pull}, on_failed=upstream.failed, on_stale=upstream.stale
+            {SendAttempt: upstream.send_attempt}, on_failed=upstream.end_failed, on_stale=upstream.end_stale
         )
         self.scheduler.register(
             {
-                CancelAttempt: upstream.kill,
-                RetireServer: upstream.retire,
+                CancelAttempt: upstream.cancel_attempt,
+                RetireServer: upstream.retire_server,
                 WriteLog: self.say,
                 WriteTrace: self.trace,
             }
@@ -372,6 +369,6 @@
         self.scheduler.finish()
         self.client_connections.listener.close()
         await self.client_connections.end(self.shutdown.last_read_at())
-        self.upstream_connections.end_all()
+        self.upstream_connections.close_all()
         if self.fleet_link is not None:
             await self.fleet_link.leave()
--- /dev/null
+++ b/brookhinge/net/upstream_sweeper.py
@@ -0,0 +1,90 @@
+"""Regular checks of the connections to servers: which are idle, silent or stuck."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from brookhinge.decisions.rules import CloseReason
+from brookhinge.engine.endpoints import ServerInstance
+from brookhinge.net import cachewire
+from brookhinge.net.upstream_connection import UpstreamConnection
+from brookhinge.net.upstream_pool import UpstreamPool
+
+if TYPE_CHECKING:
+    from brookhinge.startup import UpstreamSettings
+
+ECHO_TAG = b"echo"  # no request's id: those are hex digits
+MIN_ECHO_CHECKS = 3  # sweeps between a health check and the end of a connection: our own lag is not silence
+IDLE_SHARE = 0.6  # of the time after which servers close: we close before them
+
+
+class UpstreamSweeper:
+    """Closes connections of which nothing is to be expected.
+
+    A machine that vanished leaves its connections open, and so does noise that nothing readable follows.
+    Where something is in flight and nothing came for half the time that a connect may take, a health check
+    asks whether the connection works; it has as long again. An answer that stops short has that time to go
+    on, one that nobody waits for has it to end.
+    """
+
+    def __init__(
+        self,
+        *,
+        now: Callable[[], float],
+        report: Callable[[ServerInstance, str], None],
+        settings: UpstreamSettings,
+        pool: UpstreamPool,
+        write: Callable[[UpstreamConnection, bytes], None],
+        close: Callable[[UpstreamConnection, CloseReason], None],
+    ) -> None:
+        self._now = now
+        self._report = report
+        self._idle_timeout_s = IDLE_SHARE * settings.idle_timeout_s
+        self._max_silence_s = settings.connect_timeout_s / 2
+        self._pool = pool
+        self._write = write
+        self._close = close
+
+    def sweep(self) -> None:
+        """Check all connections once."""
+        now = self._now()
+        connected = [c for c in self._pool.connections if c.is_connected and not c.is_closed]
+        for connection in connected:
+            if self._close_if_stuck(connection, now):
+                continue
+            if connection.in_flight:
+                self._check_silence(connection, now)
+            else:
+                self._check_idle(connection, now)
+
+    def _close_if_stuck(self, connection: UpstreamConnection, now: float) -> bool:
+        if not connection.is_stuck():
+            connection.stuck_since = None
+            return False
+        connection.stuck_since = connection.stuck_since or now
+        if now - connection.stuck_since <= self._max_silence_s:
+            return False
+        self._report(connection.server, "an answer without end")
+        self._close(connection, CloseReason.SLOW)
+        return True
+
+    def _check_idle(self, connection: UpstreamConnection, now: float) -> None:
+        connection.echo_sent_at = None
+        if now - connection.used_at > self._idle_timeout_s:
+            self._close(connection, CloseReason.IDLE)
+
+    def _check_silence(self, connection: UpstreamConnection, now: float) -> None:
+        oldest = next(iter(connection.in_flight.values()))
+        quiet_s = now - max(connection.received_at, connection.echo_sent_at or oldest.sent_at)
+        if quiet_s <= self._max_silence_s:
+            connection.echo_checks = 0
+        elif connection.echo_sent_at is None and not connection.answers.buffered:
+            connection.echo_sent_at = now
+            connection.echo_checks = 0
+            self._write(connection, cachewire.encode_echo(ECHO_TAG))
+        elif connection.echo_checks < MIN_ECHO_CHECKS:
+            connection.echo_checks += 1
+        else:
+            self._report(connection.server, "silent")
+            self._close(connection, CloseReason.SILENT)
--- a/brookhinge/net/write_guard.py
+++ b/brookhinge/net/write_guard.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 
 from brookhinge.decisions.rules import HeldBack
+from brookhinge.engine.effects import SendAttempt
 from brookhinge.engine.events import EndpointsListed, ObjectsPurged
 from brookhinge.engine.reducer import Reducer
 from brookhinge.engine.scheduler import EventScheduler
-from brookhinge.net.caches import Decided
 from brookhinge.net.channel import Channel
 from brookhinge.net.client_connections import ClientConnections
 
@@ -36,15 +36,15 @@
         self._command_channel = command_channel
         self._client_connections = client_connections
 
-    def hold_reason(self, decided: Decided) -> HeldBack | None:
+    def hold_reason(self, attempt: SendAttempt) -> HeldBack | None:
         """Return why the attempt may not be written at this very moment, or None if it may."""
-        if decided.until - self._now() < MIN_TIME_LEFT_S:
+        if attempt.deadline - self._now() < MIN_TIME_LEFT_S:
             return HeldBack.NO_TIME
-        reason = self._reducer.held_back(decided.query, decided.push)
+        reason = self._reducer.held_back(attempt.request_id, attempt.attempt)
         if reason is not None:
             return reason
         if not self._scheduler.is_caught_up():
             return HeldBack.STALLED
         if self._command_channel.has_unread() or self._scheduler.has_posted(EndpointsListed, ObjectsPurged):
             return HeldBack.LIST_UNREAD
-        return self._client_connections.hold_reason(*self._reducer.asker(decided.query))
+        return self._client_connections.hold_reason(*self._reducer.asker(attempt.request_id))
--- a/tests/crossings/test_rare.py
+++ b/tests/crossings/test_rare.py
@@ -15,8 +15,7 @@
 from brookhinge.engine.endpoints import ListedEndpoint
 from brookhinge.engine.events import EndpointsListed, ObjectsPurged, RequestReceived
 from brookhinge.engine.reducer import Reducer
-from brookhinge.net import caches as net_caches
-from brookhinge.net import client_connection, client_connections, listener, thrift
+from brookhinge.net import client_connection, client_connections, listener, thrift, upstream_pool
 from brookhinge.net.request_validation import MAX_BODY_BYTES
 from brookhinge.storm.lineage import Lineage
 from tests.crossings.test_sockets import Raw, warm
@@ -204,7 +203,7 @@
             return SmallSocket if name == "socket" else getattr(socket, name)
 
     async def scene(t):
-        monkeypatch.setattr(net_caches, "socket", SmallSockets())
+        monkeypatch.setattr(upstream_pool, "socket", SmallSockets())
         body = b"x" * MAX_BODY_BYTES
         fields = {
             "service": "page", "allow": "2900", "lookup": "ab" * 8, "piece": "0", "lot": "3", "room": "100.0",
@@ -219,8 +218,12 @@
                 thrift.INT32.pack(len(body)) + body,
             )
             await asyncio.sleep(0.02)
-        stalled = [line for line in t.service.upstream_connections.all if line.up and line.stream.writing()]
-        return len(stalled) > 0, max(len(line.out) for line in stalled)
+        stalled = [
+            line
+            for line in t.service.upstream_connections.pool.connections
+            if line.is_connected and line.stream.writing()
+        ]
+        return len(stalled) > 0, max(len(line.in_flight) for line in stalled)
 
     machines = {server: DeafMachine() for server in ("s-21", "s-22", "s-23")}
     patient = settings(ConnectTimeoutNs=2e9)  # a server that is silent is given up only after half of it
@@ -264,7 +267,7 @@
         await warm(t)
         patch.setattr(socket.socket, method, fake, raising=False)
         streams = [client.stream for client in t.service.client_connections.clients.values()]
-        streams += [line.stream for line in t.service.upstream_connections.all]
+        streams += [line.stream for line in t.service.upstream_connections.pool.connections]
         failing.update(stream.socket.fileno() for stream in streams)
         t.caller.ask(1)
         return await t.caller.hear()
@@ -383,14 +386,14 @@
     async def scene(t):
         await warm(t)
         note_patience(t)
-        real = t.service.upstream_connections.put
+        real = t.service.upstream_connections.place
 
         def stopped_once(*values):
-            t.service.upstream_connections.put = real
+            t.service.upstream_connections.place = real
             real(*values)
             time.sleep(0.5)
 
-        t.service.upstream_connections.put = stopped_once
+        t.service.upstream_connections.place = stopped_once
         t.caller.ask(1)
         t.caller.ask(2)
         answers = await t.caller.hear(), await t.caller.hear()
--- a/tests/crossings/test_sockets.py
+++ b/tests/crossings/test_sockets.py
@@ -17,8 +17,7 @@
 
 from brookhinge.decisions.rules import CloseReason
 from brookhinge.engine.events import RequestReceived, ShutdownBegan
-from brookhinge.net import caches as net_caches
-from brookhinge.net import client_calls, client_connection, client_connections, program
+from brookhinge.net import client_calls, client_connection, client_connections, program, upstream_pool
 from brookhinge.net.service import Service
 from tests.helpers import Caller, Commands, Desk, configuration, host, listed, read, settings
 from tests.test_service import ROOT, caches, played, until
@@ -65,7 +64,7 @@
     for n in range(1000, 1030):
         t.caller.ask(n, lookup=f"{n:016x}")
         await t.caller.hear()
-    await until(lambda: all(line.up for line in t.service.upstream_connections.all))
+    await until(lambda: all(line.is_connected for line in t.service.upstream_connections.pool.connections))
     for machine in t.machines.values():
         machine.seen.clear()
 
@@ -137,7 +136,7 @@
         raw = Raw(t.address).asks(1).send()
         await until(lambda: first)
         name, machine = first[0][1].encode(), next(m for m in t.machines.values() if m.seen)
-        line = next(n for n in t.service.upstream_connections.all if name in n.out)
+        line = next(n for n in t.service.upstream_connections.pool.connections if name in n.in_flight)
         writer = next(
             w for w in machine.writers if w.get_extra_info("peername") == line.stream.socket.getsockname()
         )
@@ -279,7 +278,7 @@
 # connections that come up late
 
 
-class Held(net_caches.Stream):
+class Held(upstream_pool.Stream):
     """Connects when `gate` is set."""
 
     gate = None
@@ -295,11 +294,13 @@
     async def play(t):
         Held.gate = asyncio.Event()
         t.caller.ask(1, lookup="ab" * 8)
-        await until(lambda: any(line.waiting for line in t.service.upstream_connections.all))
-        server = next(line.server[0] for line in t.service.upstream_connections.all if line.waiting)
+        await until(lambda: any(line.waiting for line in t.service.upstream_connections.pool.connections))
+        server = next(
+            line.server.server for line in t.service.upstream_connections.pool.connections if line.waiting
+        )
         return await scene(t, server)
 
-    monkeypatch.setattr(net_caches, "Stream", Held)
+    monkeypatch.setattr(upstream_pool, "Stream", Held)
     return played(play, folder, settings=settings(ConnectTimeoutNs=2e9), **town)
 
 
@@ -357,7 +358,7 @@
         await until(lambda: not t.service.reducer.queries)
         Held.gate.set()
         await asyncio.sleep(0.1)
-        return pulls(t), t.service.upstream_connections.where
+        return pulls(t), t.service.upstream_connections.placements
 
     assert held(scene, tmp_path, monkeypatch) == ([], {})
 
@@ -396,7 +397,7 @@
         for n in range(1, 6):
             t.caller.ask(n)
             heard.append(await t.caller.hear())
-        await until(lambda: used[0].closed)
+        await until(lambda: used[0].is_closed)
         return heard, used[0] in used[1:]
 
     assert played(scene, tmp_path) == (
@@ -413,14 +414,14 @@
             machine.act = b"ID data - 200000\r\nfirst"
         t.caller.ask(1, allow="100")
         heard = await t.caller.hear()
-        line = next(n for n in t.service.upstream_connections.all if n.answers.head)
+        line = next(n for n in t.service.upstream_connections.pool.connections if n.answers.head)
         writer = next(w for m in t.machines.values() for w in m.writers if m.seen)
         for _ in range(200):
-            if line.closed:
+            if line.is_closed:
                 break
             writer.write(b"x")
             await asyncio.sleep(0.01)
-        return heard, line.closed, t.service.upstream_connections.where
+        return heard, line.is_closed, t.service.upstream_connections.placements
 
     assert played(scene, tmp_path) == ((1, "nack"), True, {})
 
@@ -459,7 +460,7 @@
         streams = (
             [c.stream for c in t.service.client_connections.clients.values()]
             + [t.service.command_channel.stream]
-            + [n.stream for n in t.service.upstream_connections.all]
+            + [n.stream for n in t.service.upstream_connections.pool.connections]
         )
         return {s.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) != 0 for s in streams}, len(
             streams
--- a/tests/net/test_wire_bytes.py
+++ b/tests/net/test_wire_bytes.py
@@ -1,7 +1,10 @@
 """The exact bytes that the router writes on each wire, as literals."""
 
 import pytest
+from msgspec import structs
 
+from brookhinge.engine.effects import SendAttempt
+from brookhinge.engine.endpoints import ServerInstance
 from brookhinge.net import cachewire, client_protocol, http, thrift
 
 SERVE_FIELDS = {
@@ -22,16 +25,21 @@
     thrift.encode_string(b"body"),
     b"\0",
 )
-PLAIN_FETCH = cachewire.Fetch(
-    request_class=b"page",
+PLAIN_ATTEMPT = SendAttempt(
+    request_id=0,
+    attempt=1,
+    server=ServerInstance("s-21", ("127.0.0.1", 9), None),
+    client_request_id=b"a1",
+    class_name=b"page",
     object_key=b"7f3a",
     part=b"3",
-    source=None,
-    rank=0,
+    deadline=0.0,
+    fill_from=None,
+    retention=0,
     max_age_s=0.0,
     joins_fill=False,
     cached_only=False,
-    revalidate=False,
+    revalidates=False,
     known_version=None,
     body=b"",
 )
@@ -114,15 +122,15 @@
     [
         (
             cachewire.encode_pull(
-                b"a1",
-                PLAIN_FETCH._replace(
+                structs.replace(
+                    PLAIN_ATTEMPT,
                     part=b"03",
-                    source="s-11",
-                    rank=2,
+                    fill_from="s-11",
+                    retention=2,
                     max_age_s=0.5004,
                     joins_fill=True,
                     cached_only=True,
-                    revalidate=True,
+                    revalidates=True,
                     known_version=b"4be0",
                     body=b"x\r\n",
                 ),
@@ -132,20 +140,24 @@
             b"hints=merge+local+revalidate,got=4be0 3\r\nx\r\n\r\n",
         ),
         (
-            cachewire.encode_pull(b"a1", PLAIN_FETCH, 0.0),
+            cachewire.encode_pull(PLAIN_ATTEMPT, 0.0),
             b"PULL a1 sort=page,asset=7f3a,slice=3,patience=1 0\r\n\r\n",
         ),
         (
             cachewire.encode_pull(
-                b"a1",
-                PLAIN_FETCH._replace(request_class=b"order", max_age_s=0.0001, idempotency_key=b"1ff975"),
+                structs.replace(
+                    PLAIN_ATTEMPT, class_name=b"order", max_age_s=0.0001, idempotency_key=b"1ff975"
+                ),
                 3.0,
             ),
             b"PULL a1 sort=order,asset=7f3a,slice=3,patience=3000,accept=1,op=1ff975 0\r\n\r\n",
         ),
         (
             cachewire.encode_pull(
-                b"a1", PLAIN_FETCH._replace(source="s-01", rank=1, cached_only=True, skips_cache=True), 0.05
+                structs.replace(
+                    PLAIN_ATTEMPT, fill_from="s-01", retention=1, cached_only=True, skips_cache=True
+                ),
+                0.05,
             ),
             b"PULL a1 sort=page,asset=7f3a,slice=3,patience=50,parent=s-01,shelf=1,hints=local+skip 0\r\n"
             b"\r\n",
--- a/tests/standstill/stoppable.py
+++ b/tests/standstill/stoppable.py
@@ -118,9 +118,9 @@
 @point("writing")
 def writing(reached):
     """The bytes of an attempt are there, its connection is being chosen."""
-    from brookhinge.net import caches
+    from brookhinge.net.upstream_connections import UpstreamConnections
 
-    after(caches.Caches, "choose", lambda line, _: line is not None, reached)
+    after(UpstreamConnections, "choose", lambda connection, _: connection is not None, reached)
 
 
 def main():
--- a/tests/standstill/test_held_back.py
+++ b/tests/standstill/test_held_back.py
@@ -3,10 +3,13 @@
 import asyncio
 import time
 
+from msgspec import structs
+
 from brookhinge.decisions.rules import HeldBack
+from brookhinge.engine.effects import SendAttempt
 from brookhinge.engine.endpoints import ListedEndpoint, ServerInstance
 from brookhinge.engine.events import EndpointsListed, ObjectsPurged
-from brookhinge.net import caches as net_caches
+from brookhinge.net.upstream_connection import PendingAttempt
 from tests.crossings.test_sockets import Raw
 from tests.helpers import host
 from tests.test_service import caches, played, until
@@ -20,7 +23,25 @@
     await asyncio.sleep(0.05)  # its connection was read empty longer ago than a moment
     t.service.watch.tick()
     server = ServerInstance(q.server, *t.service.reducer.dials[q.server])
-    return raw, net_caches.Decided(query, q.pushes, server, q.name, now + 1.0, now, None)
+    attempt = SendAttempt(
+        request_id=query,
+        attempt=q.pushes,
+        server=server,
+        client_request_id=q.name,
+        class_name=b"page",
+        object_key=b"ab" * 8,
+        part=b"0",
+        deadline=now + 1.0,
+        fill_from=None,
+        retention=0,
+        max_age_s=0.0,
+        joins_fill=False,
+        cached_only=False,
+        revalidates=False,
+        known_version=None,
+        body=b"",
+    )
+    return raw, attempt
 
 
 def reason_after(tmp_path, change):
@@ -95,7 +116,7 @@
 
 def test_its_time_is_over(tmp_path):
     assert (
-        reason_after(tmp_path, lambda t, raw, decided: decided._replace(until=t.service.now()))
+        reason_after(tmp_path, lambda t, raw, decided: structs.replace(decided, deadline=t.service.now()))
         is HeldBack.NO_TIME
     )
 
@@ -103,10 +124,10 @@
 def test_it_waited_too_long_for_its_connection(tmp_path):
     async def scene(t):
         _, decided = await one_out(t)
-        line = next(line for line in t.service.upstream_connections.all if line.out)
-        t.service.upstream_connections.put(
-            line, decided._replace(since=decided.since - 1.0, name=b"other", push=9)
-        )
+        line = next(line for line in t.service.upstream_connections.pool.connections if line.in_flight)
+        other = structs.replace(decided, client_request_id=b"other", attempt=9)
+        queued_at = t.service.now() - 1.0
+        t.service.upstream_connections.place(line, PendingAttempt(other, queued_at))
         return dict(t.service.upstream_connections.holds)
 
     assert played(scene, tmp_path, machines=caches(act="silent")) == {HeldBack.LATE: 1}
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,10 +1,12 @@
 """Parsers and encoders: bytes in any pieces, what can't be read, what is written."""
 
 import pytest
+from msgspec import structs
 
 from brookhinge.engine import commands
+from brookhinge.engine.effects import SendAttempt
+from brookhinge.engine.endpoints import ServerInstance
 from brookhinge.net import cachewire, http, thrift
-from brookhinge.net.cachewire import Fetch
 
 SERVE = (
     bytes.fromhex("80010001 00000005")
@@ -151,23 +153,48 @@
             read(word, fields, [b"util"])
 
 
+PLAIN_ATTEMPT = SendAttempt(
+    request_id=0,
+    attempt=1,
+    server=ServerInstance("s-21", ("127.0.0.1", 9), None),
+    client_request_id=b"9b1f",
+    class_name=b"page",
+    object_key=b"7f3a",
+    part=b"3",
+    deadline=0.0,
+    fill_from=None,
+    retention=0,
+    max_age_s=0.0,
+    joins_fill=False,
+    cached_only=False,
+    revalidates=False,
+    known_version=None,
+    body=b"",
+)
+
+
 def test_what_a_cache_is_sent():
-    assert cachewire.encode_pull(
-        b"9b1f", Fetch(b"page", b"7f3a", b"03", "s-11", 2, 0.5004, True, True, True, b"4be0", b"x"), 1.2345
-    ) == (
+    full = structs.replace(
+        PLAIN_ATTEMPT,
+        part=b"03",
+        fill_from="s-11",
+        retention=2,
+        max_age_s=0.5004,
+        joins_fill=True,
+        cached_only=True,
+        revalidates=True,
+        known_version=b"4be0",
+        body=b"x",
+    )
+    assert cachewire.encode_pull(full, 1.2345) == (
         b"PULL 9b1f sort=page,asset=7f3a,slice=03,patience=1234,parent=s-11,shelf=2,accept=500,"
         b"hints=merge+local+revalidate,got=4be0 1\r\nx\r\n"
     )
-    assert cachewire.encode_pull(
-        b"9b1f", Fetch(b"page", b"7f3a", b"3", None, 0, 0.0, False, False, False, None, b""), 0.0
-    ) == (b"PULL 9b1f sort=page,asset=7f3a,slice=3,patience=1 0\r\n\r\n")
-    assert b",patience=1,op=1ff975 0\r\n" in cachewire.encode_pull(
-        b"9b1f",
-        Fetch(
-            b"order", b"7f3a", b"3", None, 0, 0.0, False, False, False, None, b"", idempotency_key=b"1ff975"
-        ),
-        0.0,
+    assert cachewire.encode_pull(PLAIN_ATTEMPT, 0.0) == (
+        b"PULL 9b1f sort=page,asset=7f3a,slice=3,patience=1 0\r\n\r\n"
     )
+    keyed = structs.replace(PLAIN_ATTEMPT, class_name=b"order", idempotency_key=b"1ff975")
+    assert b",patience=1,op=1ff975 0\r\n" in cachewire.encode_pull(keyed, 0.0)
     assert cachewire.encode_kill(b"9b1f") + cachewire.encode_echo(b"t") == b"KILL 9b1f\r\nECHO t\r\n"
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -224,7 +224,7 @@
 
     async def scene(t):
         t.service.reducer.router.retries = 10.0
-        t.service.upstream_connections.say = lambda event, **values: said.append(event)
+        t.service.upstream_connections.log = lambda event, **values: said.append(event)
         first, said = [], []
         for machine in t.machines.values():
             machine.act = lambda line: first.append(line) or spoilt if not first else DATA
@@ -290,7 +290,7 @@
         t.caller.ask(1)
         heard = [await t.caller.hear()]
         t.caller.ask(2)
-        return heard + [await t.caller.hear()], len(lines), t.service.upstream_connections.where
+        return heard + [await t.caller.hear()], len(lines), t.service.upstream_connections.placements
 
     assert played(scene, tmp_path) == ([(1, "satisfied 3"), (2, "satisfied 3")], 3, {})
 
@@ -334,7 +334,7 @@
             out = [q for q in t.service.reducer.queries.values() if q.out]
             if not t.service.scheduler.events:  # what has ended and is not reduced yet
                 agreed.append(
-                    sum(router.fleet.inflight) == len(out) == len(t.service.upstream_connections.where)
+                    sum(router.fleet.inflight) == len(out) == len(t.service.upstream_connections.placements)
                 )
         await until(lambda: not t.service.reducer.queries)
         return (
@@ -342,7 +342,7 @@
             sum(router.fleet.inflight),
             router.fills,
             router.queries,
-            t.service.upstream_connections.where,
+            t.service.upstream_connections.placements,
         )
 
     assert played(scene, tmp_path) == ({True}, 0, 0, {}, {})
@@ -350,11 +350,15 @@
 
 def test_a_server_without_a_connection_gets_one_at_the_share_of_descriptors(tmp_path):
     async def scene(t):
-        t.service.upstream_connections.sockets, heard = 3, set()
+        t.service.upstream_connections.pool.max_connections, heard = 3, set()
         for n in range(30):
             t.caller.ask(n, lookup=f"{n:016x}")
             heard.add((await t.caller.hear())[1])
-        return heard, len(t.service.upstream_connections.all) <= 3, {line[:4] for line in t.pulled()}
+        return (
+            heard,
+            len(t.service.upstream_connections.pool.connections) <= 3,
+            {line[:4] for line in t.pulled()},
+        )
 
     assert played(scene, tmp_path) == ({"satisfied 19"}, True, {"s-21", "s-22", "s-23"})
 
