--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -18,23 +18,23 @@
 from brookhinge.startup import Site
 
 if TYPE_CHECKING:
-    from brookhinge.membership.talk import Talk
-    from brookhinge.membership.tight import Tight
+    from brookhinge.membership.safety_notices import SafetyNotices
+    from brookhinge.membership.udp_transport import UdpTransport
     from brookhinge.operator.schema import Control, Fleet
     from brookhinge.purgelog.client import LogClient
 
 JOIN_RETRY_S = 0.05  # between two tries to bind the address that the process before still holds
 
 
-def safety_notices(started_at: float) -> Tight:
+def safety_notices(started_at: float) -> SafetyNotices:
     """Return the store of what peers tell that tightens a rule.
 
     Args:
         started_at: When this router started, in Unix seconds.
     """
-    from brookhinge.membership.tight import Tight
+    from brookhinge.membership.safety_notices import SafetyNotices
 
-    return Tight(started_at)
+    return SafetyNotices(started_at)
 
 
 def router_class(fleet: Fleet | None) -> type[Router]:
@@ -76,16 +76,16 @@
         post: Callable[[Event], None],
         log: Callable[..., None],
     ) -> None:
-        from brookhinge.membership.talk import Talk
+        from brookhinge.membership.udp_transport import UdpTransport
 
         place = site.decisions.location
         configured_sizes = (place.routers_here, place.routers)
         self._fleet = fleet
         self._reducer = reducer
         self._log = log
-        self._talk: Talk = Talk(fleet, site.seed, configured_sizes, post, log)
+        self._talk: UdpTransport = UdpTransport(fleet, site.seed, configured_sizes, post, log)
         self._purge_log: LogClient | None = None
-        self.before_round = [self._talk.before]
+        self.before_round = [self._talk.before_engine_round]
         if fleet.share_limits:
             self._share_limits()
         if fleet.share_memory:
@@ -104,17 +104,17 @@
                 self._fleet.name,
                 self._fleet.zone,
                 talk.peer.version,
-                lambda: talk.counted,
+                lambda: talk.fleet_size,
                 self._reducer.demand,
                 now,
             )
         )
 
     def _share_warm_start_state(self) -> None:
-        from brookhinge.membership.memory import Memory
+        from brookhinge.membership.warm_start import WarmStart
 
         self._talk.add(
-            lambda talk, now: Memory(
+            lambda talk, now: WarmStart(
                 talk.peer.view,
                 self._fleet.name,
                 self._fleet.zone,
@@ -125,16 +125,16 @@
         )
 
     def _share_outlier_evidence(self) -> None:
-        from brookhinge.verdicts.verdicts import Verdicts
+        from brookhinge.verdicts.outlier_detection import OutlierDetection
 
         servers = self._reducer.router.fleet
         self._talk.add(
-            lambda talk, now: Verdicts(
+            lambda talk, now: OutlierDetection(
                 talk.peer.view,
                 self._fleet.name,
                 self._fleet.zone,
                 talk.peer.version,
-                lambda: talk.counted[0],
+                lambda: talk.fleet_size.in_zone,
                 self._reducer.seen,
                 lambda: len(servers.own),
                 now,
