--- a/brookhinge/net/caches.py
+++ b/brookhinge/net/caches.py
@@ -9,6 +9,7 @@
 from tornado.iostream import StreamClosedError
 
 from brookhinge.decisions.rules import UNREAD, CloseReason, HeldBack
+from brookhinge.engine.events import AttemptEnded
 from brookhinge.net import cachewire
 from brookhinge.net.stream import Stream
 from brookhinge.net.timeouts import within
@@ -34,6 +35,33 @@
     since: float  # when it came here
     fetch: cachewire.Fetch
 
+    @classmethod
+    def of(cls, effect, now):
+        """The attempt that a SendAttempt asks for."""
+        return cls(
+            query=effect.request_id,
+            push=effect.attempt,
+            server=effect.server,
+            name=effect.client_request_id,
+            until=effect.deadline,
+            since=now,
+            fetch=cachewire.Fetch(
+                request_class=effect.class_name,
+                object_key=effect.object_key,
+                part=effect.part,
+                source=effect.fill_from,
+                rank=effect.retention,
+                max_age_s=effect.max_age_s,
+                joins_fill=effect.joins_fill,
+                cached_only=effect.cached_only,
+                revalidate=effect.revalidates,
+                known_version=effect.known_version,
+                body=effect.body,
+                skips_cache=effect.skips_cache,
+                idempotency_key=effect.idempotency_key,
+            ),
+        )
+
     def wire(self, now):
         return cachewire.encode_pull(self.name, self.fetch, self.until - now)
 
@@ -66,7 +94,7 @@
 
 
 class Caches:
-    """post(method, values) takes the events; say(event, ...) is the log."""
+    """post(event) takes the events; say(event, ...) is the log."""
 
     def __init__(
         self,
@@ -101,28 +129,21 @@
 
     # effects
 
-    def pull(self, query, push, server, name, kind, key, part, until, *request):
-        """Writes a push, on a connection that has not carried its id before, or opens one for it. until: when its answer is
-        wanted no more, by now()."""
-        line = self.choose(server, name)
+    def pull(self, effect):
+        """Writes a push, on a connection that has not carried its id before, or opens one for it."""
+        line = self.choose(effect.server, effect.client_request_id)
         if line is None:  # no descriptor left for one more: nothing was sent
-            return self.end(query, push, "unreachable")
-        decided = Decided(
-            query, push, server, name, until, self.now(), cachewire.Fetch(kind, key, part, *request)
-        )
-        self.put(line, decided)
+            return self.end(effect.request_id, effect.attempt, "unreachable")
+        self.put(line, Decided.of(effect, self.now()))
 
-    def stale(self, effect, values):
+    def stale(self, effect):
         """A push that comes long after its decision is decided anew: what was known then may hold no more."""
-        if effect != "pull":
-            return False
-        self.end(values[0], values[1], "unsent")
+        self.end(effect.request_id, effect.attempt, "unsent")
         return True
 
-    def failed(self, effect, values):
+    def failed(self, effect):
         """A push that could not be written is over."""
-        if effect == "pull":
-            self.end(values[0], values[1], "broken")
+        self.end(effect.request_id, effect.attempt, "broken")
 
     def put(self, line, decided, most_s=None):
         """Writes a push, if nothing forbids it at this moment. Between the decision and this line the process may have
@@ -168,10 +189,10 @@
         if self.trace is not None:
             self.trace("attempt held back", decided.name.decode(), attempt=decided.push, reason=reason)
 
-    def kill(self, query, push):
+    def kill(self, effect):
         """Gives a push up. Its id is not used again on its connection: an answer may be under way and must not
         pass for that of a later push. A connection with an ECHO still to be answered then is suspect."""
-        line, name = self.where.pop((query, push), (None, None))
+        line, name = self.where.pop((effect.request_id, effect.attempt), (None, None))
         if line is None:
             return
         if line.waiting.pop(name, None) is None:
@@ -184,9 +205,9 @@
                 self.close(line, CloseReason.UNSENT)
         self.settle(line)
 
-    def retire(self, server):
+    def retire(self, effect):
         """The server is gone or another process now: its connections take nothing new."""
-        for line in self.lines.pop(server, []):
+        for line in self.lines.pop(effect.server, []):
             line.retired = True
             self.settle(line)
 
@@ -301,21 +322,20 @@
             self.spend(line, name)
         del self.where[query, push]
         self.post(
-            "ended",
-            (
-                query,
-                push,
-                answer.result,
-                answer.note,
-                answer.source_wait_s,
-                answer.load_report,
-                body,
-                word == cachewire.UNCHANGED,
-                came,
-                None if answer.dated_at is None else answer.dated_at - self.start,
-                answer.version,
-                answer.purge_group,
-            ),
+            AttemptEnded(
+                request_id=query,
+                attempt=push,
+                result=answer.result,
+                note=answer.note,
+                source_wait_s=answer.source_wait_s,
+                load_report=answer.load_report,
+                body=body,
+                is_unchanged=word == cachewire.UNCHANGED,
+                received_at=came,
+                dated_at=None if answer.dated_at is None else answer.dated_at - self.start,
+                version=answer.version,
+                purge_group=answer.purge_group,
+            )
         )
         self.settle(line)
 
@@ -347,7 +367,7 @@
         line.out, line.waiting = {}, {}
 
     def end(self, query, push, result):
-        self.post("ended", (query, push, result, 0, 0.0, None, b"", False, self.now()))
+        self.post(AttemptEnded(query, push, result, 0, 0.0, None, b"", False, self.now()))
 
     def sweep(self):
         """Closes what was idle for a good part of the time after which the servers would, and what is silent.
