--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -21,18 +21,18 @@
 
 
 def answer_missing():
-    from brookhinge.net.front import Front
+    from brookhinge.net.client_connections import ClientConnections
 
-    real = Front.reply
-    Front.reply = lambda self, client, number, wire: (
+    real = ClientConnections.reply
+    ClientConnections.reply = lambda self, client, number, wire: (
         chance.random() < 0.005 or real(self, client, number, wire)
     )
 
 
 def answer_late():
-    from brookhinge.net.front import Front
+    from brookhinge.net.client_connections import ClientConnections
 
-    real = Front.reply
+    real = ClientConnections.reply
 
     def reply(self, client, number, wire):
         if chance.random() < 0.005:
@@ -40,45 +40,45 @@
         else:
             real(self, client, number, wire)
 
-    Front.reply = reply
+    ClientConnections.reply = reply
 
 
 def answer_twice():
-    from brookhinge.net.front import Front
+    from brookhinge.net.client_connections import ClientConnections
 
-    real = Front.write
+    real = ClientConnections.write
 
     def write(self, client, wire):
         real(self, client, wire)
         if chance.random() < 0.01:
             real(self, client, wire)
 
-    Front.write = write
+    ClientConnections.write = write
 
 
 def closed_unanswered():
     """Idle connections are closed by the time of the last call alone, whatever is open on them."""
     from brookhinge.decisions.rules import CloseReason
-    from brookhinge.net.front import Front
+    from brookhinge.net.client_connections import ClientConnections
 
-    real = Front.sweep
+    real = ClientConnections.sweep
 
     def sweep(self):
         real(self)
         for client in list(self.clients.values()):
-            if client.asked and self.now() - client.used_at > 0.3:
+            if client.has_called and self.now() - client.used_at > 0.3:
                 self.drop(client, CloseReason.IDLE)
 
-    Front.sweep = sweep
+    ClientConnections.sweep = sweep
 
 
 def body_wrong():
     from msgspec import structs
 
-    from brookhinge.net.front import Front
+    from brookhinge.net.client_connections import ClientConnections
 
-    real = Front.satisfy
-    Front.satisfy = lambda self, effect: real(
+    real = ClientConnections.respond
+    ClientConnections.respond = lambda self, effect: real(
         self,
         structs.replace(effect, body=effect.body[:-1] if chance.random() < 0.01 else effect.body),
     )
@@ -87,9 +87,9 @@
 def sent_after_end():
     """A cancel, and a client's end, are not heeded."""
     from brookhinge.engine.client_events import ClientEvents
-    from brookhinge.net.front import Front
+    from brookhinge.net.client_connections import ClientConnections
 
-    Front.held_back = lambda self, client, number: None
+    ClientConnections.hold_reason = lambda self, client, number: None
     ClientEvents.on_request_cancelled = lambda self, event: None
     ClientEvents.on_disconnected = lambda self, event: None
 
@@ -104,12 +104,12 @@
 
 def two_attempts():
     """What is given up is not told to its server."""
-    from brookhinge.net.caches import Caches
+    from brookhinge.net.upstream_connections import UpstreamConnections
 
-    def kill(self, effect):
-        self.where.pop((effect.request_id, effect.attempt), None)
+    def cancel_attempt(self, effect):
+        self.placements.pop((effect.request_id, effect.attempt), None)
 
-    Caches.kill = kill
+    UpstreamConnections.cancel_attempt = cancel_attempt
     no_checks()
 
 
@@ -163,7 +163,7 @@
     from brookhinge.net import cachewire
 
     real = cachewire.encode_pull
-    cachewire.encode_pull = lambda request_id, fetch, timeout_s: real(request_id, fetch, 2.9)
+    cachewire.encode_pull = lambda attempt, timeout_s: real(attempt, 2.9)
 
 
 def crash():
--- a/brookhinge/engine/command_events.py
+++ b/brookhinge/engine/command_events.py
@@ -11,7 +11,7 @@
 from brookhinge.engine.round_context import RoundContext
 
 if TYPE_CHECKING:
-    from brookhinge.membership.tight import Tight
+    from brookhinge.membership.safety_notices import SafetyNotices
 
 
 class CommandEvents:
@@ -27,7 +27,7 @@
         context: RoundContext,
         endpoints: EndpointList,
         purges: PurgeRecorder,
-        safety_notices: Tight | None,
+        safety_notices: SafetyNotices | None,
     ) -> None:
         self.context = context
         self.endpoints = endpoints
--- a/brookhinge/engine/endpoint_list.py
+++ b/brookhinge/engine/endpoint_list.py
@@ -12,7 +12,7 @@
 from brookhinge.engine.round_context import RoundContext
 
 if TYPE_CHECKING:
-    from brookhinge.membership.tight import Tight
+    from brookhinge.membership.safety_notices import SafetyNotices
 
 UNKNOWN_ZONE = -1
 
@@ -30,7 +30,7 @@
         context: RoundContext,
         invariants: Invariants,
         zones: Sequence[str],
-        safety_notices: Tight | None,
+        safety_notices: SafetyNotices | None,
     ) -> None:
         self.context = context
         self.invariants = invariants
--- a/brookhinge/engine/fleet_events.py
+++ b/brookhinge/engine/fleet_events.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from brookhinge.decide import Router
-    from brookhinge.membership.tight import Tight
+    from brookhinge.membership.safety_notices import SafetyNotices
 
 # Kinds of entries of the purge log: brookhinge/purgelog/messages.py.
 PURGE_ENTRY = 1
@@ -30,7 +30,7 @@
         decisions: Router,
         endpoints: EndpointList,
         purges: PurgeRecorder,
-        safety_notices: Tight | None,
+        safety_notices: SafetyNotices | None,
     ) -> None:
         self.context = context
         self.decisions = decisions
--- a/brookhinge/engine/router_state.py
+++ b/brookhinge/engine/router_state.py
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from brookhinge.decide import Router
     from brookhinge.engine.scores import Scores
-    from brookhinge.membership.tight import Tight
+    from brookhinge.membership.safety_notices import SafetyNotices
     from brookhinge.storm.lineage import Lineage
 
 PURGES_KEPT_S = 1.0  # beyond the time after which the settings take an old copy to be gone
@@ -65,7 +65,7 @@
         zones: Sequence[str],
         *,
         lineage: Lineage | None = None,
-        safety_notices: Tight | None = None,
+        safety_notices: SafetyNotices | None = None,
         scores: Scores | None = None,
         is_traced: bool = False,
     ) -> None:
--- a/brookhinge/purgelog/copies.py
+++ b/brookhinge/purgelog/copies.py
@@ -12,7 +12,9 @@
 
     def __init__(self, *rest, **named):
         super().__init__(*rest, **named)
-        self.proven, self.aside_until, self.readmitted = False, -math.inf, {}
+        self.proven = False
+        self.aside_until = -math.inf
+        self.readmitted = {}
 
     def handle(self, message):
         if isinstance(message, CopyRuleChanged):
@@ -27,9 +29,11 @@
         elif rule is CopyRule.PROVEN:
             self.proven = True
         elif rule is CopyRule.ASIDE:
-            self.aside_until, self.readmitted = self.now, {}
+            self.aside_until = self.now
+            self.readmitted = {}
         elif rule is CopyRule.RESET:
-            self.aside_until, self.readmitted = self.now, {}
+            self.aside_until = self.now
+            self.readmitted = {}
             self.drop_aside(lambda doc: True)
         elif rule is CopyRule.READMIT:
             self.drop_aside(lambda doc: purges.covers(doc.key, doc.group))
