--- a/brookhinge/engine/attempts.py
+++ b/brookhinge/engine/attempts.py
@@ -5,22 +5,18 @@
 from brookhinge.decisions import messages, rules
 from brookhinge.decisions.rules import AttemptResult, Ran
 from brookhinge.engine.effects import CancelAttempt
-from brookhinge.engine.invariants import Invariants
-from brookhinge.engine.open_requests import OpenRequest, RequestTable
-from brookhinge.engine.round_context import RoundContext
-from brookhinge.engine.totals import Totals
+from brookhinge.engine.open_requests import OpenRequest
+from brookhinge.engine.records import Records
 
 
 class AttemptTracker:
     """Gives up attempts whose time is over or whose request has ended, and tells the decisions."""
 
-    def __init__(
-        self, *, context: RoundContext, requests: RequestTable, invariants: Invariants, totals: Totals
-    ) -> None:
-        self.context = context
-        self.requests = requests
-        self.invariants = invariants
-        self.totals = totals
+    def __init__(self, records: Records) -> None:
+        self.context = records.context
+        self.requests = records.requests
+        self.invariants = records.invariants
+        self.totals = records.totals
         self.timers: list[tuple[float, int, int]] = []  # heap of (deadline, request, attempt)
 
     def set_timer(self, request: OpenRequest, deadline: float) -> None:
--- a/brookhinge/engine/client_events.py
+++ b/brookhinge/engine/client_events.py
@@ -8,14 +8,12 @@
 from brookhinge.decisions.messages import RequestArrived
 from brookhinge.decisions.rules import Refusal, Withdrawal
 from brookhinge.decisions.settings import Idempotency
-from brookhinge.engine.clients import ClientTable
 from brookhinge.engine.coalescing import RequestCoalescer
 from brookhinge.engine.effects import CloseClient, RefuseCall, RejectRequest
 from brookhinge.engine.events import ClientConnected, ClientDisconnected, RequestCancelled, RequestReceived
-from brookhinge.engine.open_requests import OpenRequest, RequestTable
+from brookhinge.engine.open_requests import OpenRequest
+from brookhinge.engine.records import Records
 from brookhinge.engine.responses import FinalResponses
-from brookhinge.engine.round_context import RoundContext
-from brookhinge.engine.totals import Totals
 
 if TYPE_CHECKING:
     from brookhinge.decide import Router
@@ -26,24 +24,21 @@
 
     def __init__(
         self,
+        records: Records,
         *,
-        context: RoundContext,
         decisions: Router,
         class_names: Sequence[bytes],
-        requests: RequestTable,
-        clients: ClientTable,
         coalescer: RequestCoalescer,
         responses: FinalResponses,
-        totals: Totals,
     ) -> None:
-        self.context = context
+        self.context = records.context
         self.decisions = decisions
         self.class_indexes = {name: i for i, name in enumerate(class_names)}
-        self.requests = requests
-        self.clients = clients
+        self.requests = records.requests
+        self.clients = records.clients
         self.coalescer = coalescer
         self.responses = responses
-        self.totals = totals
+        self.totals = records.totals
 
     def on_connected(self, event: ClientConnected) -> None:
         """Note the address of a new connection."""
--- a/brookhinge/engine/coalescing.py
+++ b/brookhinge/engine/coalescing.py
@@ -11,11 +11,8 @@
 from typing import TYPE_CHECKING
 
 from brookhinge.decisions.messages import RequestArrived
-from brookhinge.engine.clients import ClientTable
-from brookhinge.engine.invariants import Invariants
-from brookhinge.engine.open_requests import OpenRequest, Outcome, RequestTable
-from brookhinge.engine.round_context import RoundContext
-from brookhinge.engine.totals import Totals
+from brookhinge.engine.open_requests import OpenRequest, Outcome
+from brookhinge.engine.records import Records
 
 if TYPE_CHECKING:
     from brookhinge.storm.lineage import Lineage
@@ -39,21 +36,12 @@
         followers: The requests that wait for each leader, in order of arrival.
     """
 
-    def __init__(
-        self,
-        *,
-        context: RoundContext,
-        requests: RequestTable,
-        clients: ClientTable,
-        invariants: Invariants,
-        totals: Totals,
-        lineage: Lineage | None,
-    ) -> None:
-        self.context = context
-        self.requests = requests
-        self.clients = clients
-        self.invariants = invariants
-        self.totals = totals
+    def __init__(self, records: Records, *, lineage: Lineage | None) -> None:
+        self.context = records.context
+        self.requests = records.requests
+        self.clients = records.clients
+        self.invariants = records.invariants
+        self.totals = records.totals
         self.lineage = lineage
         self.followers: dict[int, list[int]] = {}
         self.deadlines: list[tuple[float, int]] = []  # heap of (when it fails, follower)
--- a/brookhinge/engine/command_events.py
+++ b/brookhinge/engine/command_events.py
@@ -8,7 +8,7 @@
 from brookhinge.engine.endpoint_list import EndpointList
 from brookhinge.engine.events import CommandSkipped, EndpointsListed, ObjectsPurged
 from brookhinge.engine.purges import PurgeRecorder
-from brookhinge.engine.round_context import RoundContext
+from brookhinge.engine.records import Records
 
 if TYPE_CHECKING:
     from brookhinge.membership.safety_notices import SafetyNotices
@@ -23,13 +23,13 @@
 
     def __init__(
         self,
+        records: Records,
         *,
-        context: RoundContext,
         endpoints: EndpointList,
         purges: PurgeRecorder,
         safety_notices: SafetyNotices | None,
     ) -> None:
-        self.context = context
+        self.context = records.context
         self.endpoints = endpoints
         self.purges = purges
         self.safety_notices = safety_notices
--- a/brookhinge/engine/decision_sink.py
+++ b/brookhinge/engine/decision_sink.py
@@ -14,14 +14,12 @@
 from brookhinge.engine.invariants import (
     Invariant,
     InvariantError,
-    Invariants,
     PlannedAttempt,
     Violation,
 )
-from brookhinge.engine.open_requests import OpenRequest, RequestTable
+from brookhinge.engine.open_requests import OpenRequest
+from brookhinge.engine.records import Records
 from brookhinge.engine.responses import FinalResponses
-from brookhinge.engine.round_context import RoundContext
-from brookhinge.engine.totals import Totals
 
 if TYPE_CHECKING:
     from brookhinge.decide import Router
@@ -36,24 +34,21 @@
 
     def __init__(
         self,
+        records: Records,
         *,
-        context: RoundContext,
         decisions: Router,
-        requests: RequestTable,
         attempts: AttemptTracker,
         responses: FinalResponses,
         endpoints: EndpointList,
-        invariants: Invariants,
-        totals: Totals,
     ) -> None:
-        self.context = context
+        self.context = records.context
         self.decisions = decisions
-        self.requests = requests
+        self.requests = records.requests
         self.attempts = attempts
         self.responses = responses
         self.endpoints = endpoints
-        self.invariants = invariants
-        self.totals = totals
+        self.invariants = records.invariants
+        self.totals = records.totals
         self.copies: dict[tuple, tuple[bytes, bytes | None]] = {}
 
     def forward(self, request_id: int, attempt: Attempt) -> None:
--- a/brookhinge/engine/endpoint_list.py
+++ b/brookhinge/engine/endpoint_list.py
@@ -8,8 +8,7 @@
 from brookhinge.decisions import messages
 from brookhinge.engine.effects import NotifyPeers, RetireServer
 from brookhinge.engine.endpoints import ListedEndpoint, ServerInstance
-from brookhinge.engine.invariants import Invariants
-from brookhinge.engine.round_context import RoundContext
+from brookhinge.engine.records import Records
 
 if TYPE_CHECKING:
     from brookhinge.membership.safety_notices import SafetyNotices
@@ -25,15 +24,10 @@
     """
 
     def __init__(
-        self,
-        *,
-        context: RoundContext,
-        invariants: Invariants,
-        zones: Sequence[str],
-        safety_notices: SafetyNotices | None,
+        self, records: Records, *, zones: Sequence[str], safety_notices: SafetyNotices | None
     ) -> None:
-        self.context = context
-        self.invariants = invariants
+        self.context = records.context
+        self.invariants = records.invariants
         self.zones = {name: i for i, name in enumerate(zones)}
         self.safety_notices = safety_notices
         self.instances: dict[str, ServerInstance] = {}
--- a/brookhinge/engine/fleet_events.py
+++ b/brookhinge/engine/fleet_events.py
@@ -8,7 +8,7 @@
 from brookhinge.engine import events
 from brookhinge.engine.endpoint_list import EndpointList
 from brookhinge.engine.purges import PurgeRecorder
-from brookhinge.engine.round_context import RoundContext
+from brookhinge.engine.records import Records
 
 if TYPE_CHECKING:
     from brookhinge.decide import Router
@@ -25,14 +25,14 @@
 
     def __init__(
         self,
+        records: Records,
         *,
-        context: RoundContext,
         decisions: Router,
         endpoints: EndpointList,
         purges: PurgeRecorder,
         safety_notices: SafetyNotices | None,
     ) -> None:
-        self.context = context
+        self.context = records.context
         self.decisions = decisions
         self.endpoints = endpoints
         self.purges = purges
--- a/brookhinge/engine/purges.py
+++ b/brookhinge/engine/purges.py
@@ -4,8 +4,7 @@
 
 from brookhinge.decisions import messages, rules
 from brookhinge.engine.events import ObjectsPurged
-from brookhinge.engine.invariants import Invariants
-from brookhinge.engine.round_context import RoundContext
+from brookhinge.engine.records import Records
 
 
 class PurgeRecorder:
@@ -15,9 +14,9 @@
         is_first_round: Whether what is recorded was known at the start.
     """
 
-    def __init__(self, *, context: RoundContext, invariants: Invariants) -> None:
-        self.context = context
-        self.invariants = invariants
+    def __init__(self, records: Records) -> None:
+        self.context = records.context
+        self.invariants = records.invariants
         self.is_first_round = True
         self.newest_stamps: dict[int, float] = {}
 
--- a/brookhinge/engine/responses.py
+++ b/brookhinge/engine/responses.py
@@ -8,12 +8,10 @@
 from brookhinge.decisions.rules import AttemptResult, Refusal, Withdrawal
 from brookhinge.engine import effects
 from brookhinge.engine.attempts import AttemptTracker
-from brookhinge.engine.clients import ClientTable
 from brookhinge.engine.coalescing import RequestCoalescer
 from brookhinge.engine.events import AttemptEnded
-from brookhinge.engine.open_requests import OpenRequest, Outcome, RequestTable
-from brookhinge.engine.round_context import RoundContext
-from brookhinge.engine.totals import Totals
+from brookhinge.engine.open_requests import OpenRequest, Outcome
+from brookhinge.engine.records import Records
 
 if TYPE_CHECKING:
     from brookhinge.engine.scores import Scores
@@ -24,21 +22,18 @@
 
     def __init__(
         self,
+        records: Records,
         *,
-        context: RoundContext,
-        requests: RequestTable,
-        clients: ClientTable,
         attempts: AttemptTracker,
         coalescer: RequestCoalescer,
-        totals: Totals,
         scores: Scores | None,
     ) -> None:
-        self.context = context
-        self.requests = requests
-        self.clients = clients
+        self.context = records.context
+        self.requests = records.requests
+        self.clients = records.clients
         self.attempts = attempts
         self.coalescer = coalescer
-        self.totals = totals
+        self.totals = records.totals
         self.scores = scores
 
     # what servers respond
--- a/brookhinge/engine/router_state.py
+++ b/brookhinge/engine/router_state.py
@@ -27,6 +27,7 @@
 from brookhinge.engine.invariants import InvariantError, Invariants
 from brookhinge.engine.open_requests import RequestTable
 from brookhinge.engine.purges import PurgeRecorder
+from brookhinge.engine.records import Records
 from brookhinge.engine.responses import FinalResponses
 from brookhinge.engine.round_context import RoundContext
 from brookhinge.engine.totals import Totals
@@ -82,66 +83,43 @@
         """
         self.decisions = decisions
         self.scores = scores
-        self.context = context = RoundContext(is_traced=is_traced)
-        self.invariants = invariants = Invariants(
-            decisions.purge_settled_s + PURGES_KEPT_S, decisions.slow_start_bound
-        )
-        self.totals = totals = Totals()
-        self.requests = requests = RequestTable()
-        self.clients = clients = ClientTable()
-        self.coalescer = RequestCoalescer(
-            context=context,
-            requests=requests,
-            clients=clients,
-            invariants=invariants,
-            totals=totals,
-            lineage=lineage,
-        )
-        self.attempts = AttemptTracker(
-            context=context, requests=requests, invariants=invariants, totals=totals
-        )
+        self.context = RoundContext(is_traced=is_traced)
+        self.requests = RequestTable()
+        self.clients = ClientTable()
+        self.totals = Totals()
+        purge_kept_s = decisions.purge_settled_s + PURGES_KEPT_S
+        self.invariants = Invariants(purge_kept_s, decisions.slow_start_bound)
+        records = Records(self.context, self.requests, self.clients, self.invariants, self.totals)
+        self.coalescer = RequestCoalescer(records, lineage=lineage)
+        self.attempts = AttemptTracker(records)
         self.responses = FinalResponses(
-            context=context,
-            requests=requests,
-            clients=clients,
-            attempts=self.attempts,
-            coalescer=self.coalescer,
-            totals=totals,
-            scores=scores,
+            records, attempts=self.attempts, coalescer=self.coalescer, scores=scores
         )
-        self.endpoints = EndpointList(
-            context=context, invariants=invariants, zones=zones, safety_notices=safety_notices
+        self.client_events = ClientEvents(
+            records,
+            decisions=decisions,
+            class_names=class_names,
+            coalescer=self.coalescer,
+            responses=self.responses,
         )
-        self.purges = PurgeRecorder(context=context, invariants=invariants)
+        self.purges = PurgeRecorder(records)
+        self.endpoints = EndpointList(records, zones=zones, safety_notices=safety_notices)
         self.commands = CommandEvents(
-            context=context, endpoints=self.endpoints, purges=self.purges, safety_notices=safety_notices
+            records, endpoints=self.endpoints, purges=self.purges, safety_notices=safety_notices
         )
         self.fleet = FleetEvents(
-            context=context,
+            records,
             decisions=decisions,
             endpoints=self.endpoints,
             purges=self.purges,
             safety_notices=safety_notices,
         )
-        self.client_events = ClientEvents(
-            context=context,
-            decisions=decisions,
-            class_names=class_names,
-            requests=requests,
-            clients=clients,
-            coalescer=self.coalescer,
-            responses=self.responses,
-            totals=totals,
-        )
         self.sink = EngineSink(
-            context=context,
+            records,
             decisions=decisions,
-            requests=requests,
             attempts=self.attempts,
             responses=self.responses,
             endpoints=self.endpoints,
-            invariants=invariants,
-            totals=totals,
         )
         self.handlers = self.event_handlers()
         self.current: events.Event | tuple | None = None  # the event or message that is handled
