--- a/brookhinge/engine/router_state.py
+++ b/brookhinge/engine/router_state.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+import itertools
 import traceback
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from typing import TYPE_CHECKING
@@ -187,7 +188,8 @@
 
         An exception costs the request that it came up with; the decisions go on with the next message.
         """
-        inbox = self.iterate(self.context.facts + self.context.inbox)
+        # The inbox itself, no copy: ending a request here may add messages on it and its followers.
+        inbox = self.iterate(itertools.chain(self.context.facts, self.context.inbox))
         while True:
             try:
                 self.decisions.process(self.context.now, inbox, self.sink)
@@ -197,7 +199,7 @@
                 if self.current is None:
                     return
 
-    def iterate(self, inbox: list[tuple]) -> Iterator[tuple]:
+    def iterate(self, inbox: Iterable[tuple]) -> Iterator[tuple]:
         """Yield messages for the decisions; `current` is the one that they are at."""
         for self.current in inbox:
             yield self.current
--- a/tests/storm/test_lineage.py
+++ b/tests/storm/test_lineage.py
@@ -81,6 +81,19 @@
     assert d.end(1, 2, "broken") == ["nack 2 2 0.0", "nack 3 3 0.0"] and not d.state.coalescer.followers
 
 
+def test_who_waits_goes_on_alone_when_the_decisions_raise_on_the_first(tmp_path):
+    d = desk(tmp_path, A, A)
+    d.ask(client=1)
+    d.ask(client=2)
+    again, d.router.again = d.router.again, lambda query, q, result: 1 / 0
+    said, *lines = d.end(0, 1, "broken")
+    assert "ZeroDivisionError" in said
+    assert lines[0] == "error 1 1" and kinds(lines[1:]) == ["pull q1.1 r2 s-21 from s-12 rank 1"]
+    d.router.again = again
+    assert d.end(1, 1, "satisfied", b"x") == ["satisfy 2 2 b'x' False"]
+    assert not d.state.requests.open and not d.router.queries and sum(d.router.fleet.inflight) == 0
+
+
 def test_who_waits_has_its_error_before_its_time_is_over(tmp_path):
     d = desk(tmp_path, A, A)
     d.ask(client=1, allow=1.0)
