--- a/brookhinge/engine/__init__.py
+++ b/brookhinge/engine/__init__.py
@@ -14,6 +14,7 @@
     commands.py         the command channel's words, decoded to events
     lifecycle.py        phases of the process; loop_watch.py: stalls of the loop
     log.py, trace.py    JSON lines of events, and of each step of each request
+    errors.py           the base of the errors of all of them
 
 Fronts, upstreams and the fleet join it; it imports none of them. Times are seconds since the start.
 """
--- a/brookhinge/engine/commands.py
+++ b/brookhinge/engine/commands.py
@@ -7,6 +7,7 @@
 from collections.abc import Mapping
 
 from brookhinge.engine.endpoints import ListedEndpoint
+from brookhinge.engine.errors import EngineError
 from brookhinge.engine.events import CommandSkipped, EndpointsListed, ObjectsPurged
 
 Command = EndpointsListed | ObjectsPurged | CommandSkipped
@@ -15,7 +16,7 @@
 SHOWN_CHARS = 120  # of a command that cannot be read
 
 
-class CommandFormatError(ValueError):
+class CommandFormatError(EngineError, ValueError):
     """A text that is no list of commands."""
 
 
--- a/brookhinge/engine/invariants.py
+++ b/brookhinge/engine/invariants.py
@@ -12,6 +12,7 @@
 
 from brookhinge.decisions import rules
 from brookhinge.decisions.settings import RequestClass
+from brookhinge.engine.errors import EngineError
 from brookhinge.engine.open_requests import OpenRequest
 
 LEAST_PURGE_AGE_S = 1e-6  # a copy must be younger than its purge, also where both are of this moment
@@ -38,7 +39,7 @@
     detail: str
 
 
-class InvariantError(RuntimeError):
+class InvariantError(EngineError):
     """Raised in place of an act that would break a rule."""
 
     def __init__(self, violation: Violation) -> None:
--- a/brookhinge/engine/lifecycle.py
+++ b/brookhinge/engine/lifecycle.py
@@ -3,6 +3,8 @@
 import enum
 from collections.abc import Callable
 
+from brookhinge.engine.errors import EngineError
+
 
 class Phase(enum.StrEnum):
     """Where the process stands; the values are the words of the log."""
@@ -23,7 +25,7 @@
 }
 
 
-class TransitionError(RuntimeError):
+class TransitionError(EngineError):
     """A lifecycle phase was followed by one that may not follow it."""
 
     def __init__(self, current: Phase, following: Phase) -> None:
--- a/tests/engine/test_invariants.py
+++ b/tests/engine/test_invariants.py
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("as_source", [False, True])
 @pytest.mark.parametrize("health", ["draining", "gone"])
-def test_a_server_told_draining_or_gone(desk, health, as_source):
+def test_a_server_listed_as_draining_or_gone(desk, health, as_source):
     row = ListedEndpoint("s-22", ("127.0.0.1", 9), "edge-1", "box", 0, health, 4.0, None)
     desk.hear(EndpointsListed(4, False, [row]))
     server = "s-21" if as_source else "s-22"
@@ -78,21 +78,21 @@
     assert counted == {"purge": 2}
 
 
-def test_a_single_use_query_that_may_have_run(desk):
+def test_a_single_use_request_that_may_have_run(desk):
     desk.ask(kind=b"order")
     desk.router.again = lambda query, q, result: push(desk, query, "s-22", "s-22")
     lines = desk.end(0, 1, "broken")
     assert violations(desk) == {"effect_twice": 1} and [line.split()[0] for line in lines] == ["say", "error"]
 
 
-def test_a_refusal_that_invites_a_second_effect(desk):
+def test_a_rejection_that_invites_a_second_effect(desk):
     desk.ask(kind=b"order")
     desk.router.again = lambda query, q, result: desk.state.sink.reject(query, 0.0, Refusal.CROWDED)
     lines = desk.end(0, 1, "broken")
     assert violations(desk) == {"effect_twice": 1} and [line.split()[0] for line in lines] == ["say", "error"]
 
 
-def test_a_second_answer(desk):
+def test_a_second_response(desk):
     def act(query):
         desk.state.sink.reject(query, 0.0, Refusal.CROWDED)
         desk.state.sink.reject(query, 0.0, Refusal.CROWDED)
@@ -101,7 +101,7 @@
     assert counted == {"one_answer": 1} and [line.split()[0] for line in lines] == ["nack", "say"]
 
 
-def test_an_attempt_after_the_answer(desk):
+def test_an_attempt_after_the_response(desk):
     def act(query):
         desk.state.sink.reject(query, 0.0, Refusal.CROWDED)
         push(desk, query)
@@ -110,7 +110,7 @@
     assert counted == {"after_end": 1} and [line.split()[0] for line in lines] == ["nack", "say"]
 
 
-def test_more_than_all_routers_may_send_to_a_cold_server(desk):
+def test_more_than_all_routers_may_send_to_a_server_that_warms_up(desk):
     desk.router.cold["cache"].start = SlowStart(0.1, 60.0, 1.0, 1.0)
     row = ListedEndpoint("s-22", ("127.0.0.1", 9), "edge-1", "box", 0, "ready", 4.0, desk.now)
     desk.hear(EndpointsListed(4, False, [row]))
@@ -131,7 +131,7 @@
     assert violations(desk) == {}
 
 
-def test_a_push_that_waited_is_not_written_to_a_server_told_to_drain(desk):
+def test_an_attempt_that_waited_is_not_written_to_a_server_that_drains(desk):
     desk.ask()
     q = desk.state.requests.open[0]
     assert desk.state.hold_reason(0, 1) is None
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("group, window_s", [("all", 0.2), ("zone", 9.0), ("cell", 9.0)])
-def test_where_a_referenced_query_may_be_repeated(group, window_s):
+def test_where_a_request_with_an_idempotency_key_may_be_repeated(group, window_s):
     kind = request_class(
         idempotency=Idempotency.KEYED,
         deduplication_scope=DeduplicationScope(group),
@@ -160,7 +160,7 @@
     assert rules.slow_start_bound(100.0) == 100.0 + 20.0 + 2.0
 
 
-def test_a_close_with_a_query_open_and_a_second_answer_on_the_socket(tmp_path):
+def test_a_close_with_a_request_open_and_a_second_response_on_the_socket(tmp_path):
     async def scene(t):
         t.caller.ask(1)
         await until(t.pulled)
@@ -172,7 +172,7 @@
     assert played(scene, tmp_path, machines=caches(delay=0.3)) == (None, {"one_answer": 1, "close": 1})
 
 
-def test_an_answer_that_crosses_its_cancel_breaks_nothing(tmp_path):
+def test_a_response_that_crosses_its_cancel_breaks_nothing(tmp_path):
     async def scene(t):
         t.caller.ask(1)
         await until(t.pulled)
@@ -185,7 +185,7 @@
     assert played(scene, tmp_path, machines=caches(delay=0.1)) == ((2, "satisfied 19"), {})
 
 
-def test_a_trace_follows_a_query_by_its_id(tmp_path):
+def test_a_trace_follows_a_request_by_its_id(tmp_path):
     """From the read to the answer, with the reason of each attempt after the first."""
     trace = Trace(tmp_path / "trace", "n1", 1)
 
--- a/tests/engine/test_router_state.py
+++ b/tests/engine/test_router_state.py
@@ -17,7 +17,7 @@
     return read_commands({"cursor": 0, "cmds": list(told)}, start)[1]
 
 
-def test_a_query_its_push_and_its_answer(tmp_path):
+def test_a_request_its_attempts_and_its_response(tmp_path):
     d = Desk(tmp_path)
     assert d.ask() == ["pull q0.1 r1 s-21 from s-12 rank 1 for 0.999"]
     assert d.end(0, 1, "full") == ["pull q0.2 r1 s-21 from s-11 rank 1 for 0.989"]
@@ -29,7 +29,7 @@
     )
 
 
-def test_a_push_whose_time_is_over_is_killed_before_the_next(tmp_path):
+def test_an_attempt_whose_time_is_over_is_cancelled_before_the_next(tmp_path):
     """Never two pushes out: KILL comes first, and an answer that crossed it counts for nothing."""
     d = Desk(tmp_path)
     d.ask(allow=2.0)
@@ -40,7 +40,7 @@
     assert d.end(0, 2, "satisfied", b"late") == []
 
 
-def test_an_answer_of_an_earlier_push_does_not_pass_for_a_later_one(tmp_path):
+def test_a_response_to_an_earlier_attempt_does_not_pass_for_a_later_one(tmp_path):
     d = Desk(tmp_path)
     d.router.retries = 10.0
     d.ask()
@@ -49,7 +49,7 @@
     assert d.end(0, 2, "satisfied", b"of the second") == ["satisfy 1 1 b'of the second' False"]
 
 
-def test_next_time_is_that_of_a_push_still_out(tmp_path):
+def test_the_next_timer_is_that_of_an_attempt_still_out(tmp_path):
     d = Desk(tmp_path)
     d.ask(allow=0.5)
     assert abs(d.state.next_at() - d.now - 0.499) < 1e-6
@@ -57,7 +57,7 @@
     assert d.state.next_at() is None
 
 
-def test_a_client_that_forgets_or_goes_is_owed_nothing(tmp_path):
+def test_a_client_that_cancels_or_disconnects_is_owed_nothing(tmp_path):
     d = Desk(tmp_path)
     d.ask(), d.ask(), d.ask(client=2)
     assert d.hear(RequestCancelled(1, 1)) == ["kill q0.1"]
@@ -67,7 +67,7 @@
     assert list(d.state.requests.open) == [2] and list(d.router.queries) == [2]
 
 
-def test_a_client_that_goes_in_the_pass_of_its_query_or_of_a_failed_push(tmp_path):
+def test_a_client_that_disconnects_in_the_round_of_its_request_or_of_a_failed_attempt(tmp_path):
     """The decisions must not send for a query that is over when their round begins."""
     d = Desk(tmp_path)
     asked = RequestReceived(1, 1, b"r", b"page", b"aa", b"0", 0, 4, 100.0, 1.0, None, b"", 0.0)
@@ -90,7 +90,7 @@
 
 
 def test_a_connection_that_breaks_the_protocol_ends_with_all_that_is_open_on_it(tmp_path):
-    """Two queries under one number can't be told apart in the answers: neither is satisfied. Others notice nothing."""
+    """Responses to two requests under one number can't be told apart. Others notice nothing."""
 
     def call(number, name=b"", client=1):
         return RequestReceived(
@@ -116,7 +116,7 @@
         assert list(d.state.clients.last_numbers) == [2] and d.state.clients.withdrawn == {}
 
 
-def test_what_is_open_at_the_end_gets_its_error(tmp_path):
+def test_what_is_open_at_shutdown_fails(tmp_path):
     d = Desk(tmp_path)
     d.ask(), d.ask()
     assert d.hear(ShutdownBegan()) == ["kill q0.1", "error 1 1", "kill q1.1", "error 1 2"]
@@ -132,7 +132,7 @@
     assert d.end(1, 1, "satisfied", same=True) == ["nack 1 2 0.0"]
 
 
-def test_a_copy_in_memory_is_the_answer_or_tells_that_the_clients_copy_holds(tmp_path):
+def test_a_copy_in_memory_is_the_response_or_tells_that_the_clients_copy_holds(tmp_path):
     d = Desk(tmp_path, flow_bytes_per_s=1e5, link_bytes_per_s=1e6)
     d.ask()
     assert d.end(0, 1, "satisfied", b"all of it", came=0.0, tag=b"4be0") == ["satisfy 1 1 b'all of it' False"]
@@ -141,7 +141,7 @@
     assert d.hear(ObjectsPurged(4, 4, 0.05, "aa")) == [] and d.state.sink.copies == {}
 
 
-def test_single_use_that_may_have_run_ends_in_error(tmp_path):
+def test_a_single_use_request_that_may_have_run_fails(tmp_path):
     d = Desk(tmp_path)
     d.ask(kind=b"order")
     assert d.end(0, 1, "broken") == ["error 1 1"]
@@ -162,7 +162,7 @@
 
 
 def test_a_start_or_an_address_makes_another_server(tmp_path):
-    """A machine that restarted or a newcomer under its old address must not get what was meant for the first."""
+    """A machine that restarted, or a newcomer at its address, must not get what was meant for the first."""
     d = Desk(tmp_path)
     assert d.hear(*commands(listed(4, [host("s-21", born_ms=5000)], whole=False), start=3.0)) == [
         "retire s-21"
@@ -178,7 +178,7 @@
     assert list(d.state.endpoints.instances) == ["s-22"]
 
 
-def test_a_purge_is_told_with_its_age(tmp_path):
+def test_a_purge_reaches_the_decisions_with_its_age(tmp_path):
     d = Desk(tmp_path)
     d.ask(), d.end(0, 1, "satisfied")
     d.hear(*commands({"cursor": 4, "drop": {"id": "aa", "when": 1000}}), at=1.5)
@@ -187,7 +187,7 @@
     assert d.router.groups == {4: 2.0, "aa": 1.0}
 
 
-def test_a_fault_of_the_decisions_costs_its_query_alone(tmp_path):
+def test_an_exception_in_the_decisions_costs_its_request_alone(tmp_path):
     d = Desk(tmp_path)
     place, d.router.place = d.router.place, lambda query, q: place(query, q) if query else 1 / 0
     told = [
