--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -73,14 +73,12 @@
 
 
 def body_wrong():
-    from msgspec import structs
-
     from brookhinge.net.client_connections import ClientConnections
 
     real = ClientConnections.respond
     ClientConnections.respond = lambda self, effect: real(
         self,
-        structs.replace(effect, body=effect.body[:-1] if chance.random() < 0.01 else effect.body),
+        effect._replace(body=effect.body[:-1] if chance.random() < 0.01 else effect.body),
     )
 
 
--- a/brookhinge/engine/effects.py
+++ b/brookhinge/engine/effects.py
@@ -4,19 +4,14 @@
 router's start. `request_id` and `attempt` are numbered as in `engine/events.py`.
 """
 
-import msgspec
+from typing import NamedTuple
 
 from brookhinge.engine.endpoints import ServerInstance
 
-
-class Effect(msgspec.Struct, frozen=True):
-    """Base of all effects."""
-
-
 # To servers.
 
 
-class SendAttempt(Effect):
+class SendAttempt(NamedTuple):
     """Send an attempt of a request to a server."""
 
     request_id: int
@@ -39,14 +34,14 @@
     idempotency_key: bytes | None = None
 
 
-class CancelAttempt(Effect):
+class CancelAttempt(NamedTuple):
     """Give up an attempt: its response is not wanted any more."""
 
     request_id: int
     attempt: int
 
 
-class RetireServer(Effect):
+class RetireServer(NamedTuple):
     """Use the connections to one start of a server for nothing new."""
 
     server: ServerInstance
@@ -55,7 +50,7 @@
 # To clients.
 
 
-class Respond(Effect):
+class Respond(NamedTuple):
     """The final response: an object, or that the client's copy of it still holds."""
 
     client: int
@@ -64,7 +59,7 @@
     is_unchanged: bool
 
 
-class RejectRequest(Effect):
+class RejectRequest(NamedTuple):
     """The final response: not served, and asking again is harmless."""
 
     client: int
@@ -72,14 +67,14 @@
     retry_after_s: float  # 0: no advice
 
 
-class FailRequest(Effect):
+class FailRequest(NamedTuple):
     """The final response: an error."""
 
     client: int
     number: int
 
 
-class RefuseCall(Effect):
+class RefuseCall(NamedTuple):
     """A call that cannot be taken, answered with an exception of the protocol."""
 
     client: int
@@ -87,7 +82,7 @@
     reason: str
 
 
-class CloseClient(Effect):
+class CloseClient(NamedTuple):
     """Close the connection of a client that broke the protocol."""
 
     client: int
@@ -97,14 +92,14 @@
 # To the rest of the process.
 
 
-class WriteLog(Effect):
+class WriteLog(NamedTuple):
     """Write an event to the log."""
 
     event: str
     values: dict[str, object]
 
 
-class WriteTrace(Effect):
+class WriteTrace(NamedTuple):
     """Write a step of a request to the trace."""
 
     step: str
@@ -112,8 +107,23 @@
     values: dict[str, object]
 
 
-class NotifyPeers(Effect):
+class NotifyPeers(NamedTuple):
     """Notify the peers of something that tightens a rule."""
 
     kind: str  # 'purge', 'draining' or 'gone'
     values: tuple
+
+
+Effect = (
+    SendAttempt
+    | CancelAttempt
+    | RetireServer
+    | Respond
+    | RejectRequest
+    | FailRequest
+    | RefuseCall
+    | CloseClient
+    | WriteLog
+    | WriteTrace
+    | NotifyPeers
+)
--- a/brookhinge/engine/events.py
+++ b/brookhinge/engine/events.py
@@ -6,34 +6,28 @@
 """
 
 from collections.abc import Sequence
-
-import msgspec
+from typing import NamedTuple
 
 from brookhinge.decisions.rules import AttemptResult
 from brookhinge.engine.endpoints import ListedEndpoint
 
-
-class Event(msgspec.Struct, frozen=True):
-    """Base of all events."""
-
-
 # From clients' connections.
 
 
-class ClientConnected(Event):
+class ClientConnected(NamedTuple):
     """A connection was accepted; posted only where retries are recognized."""
 
     client: int
     address: str
 
 
-class ClientDisconnected(Event):
+class ClientDisconnected(NamedTuple):
     """A client's connection has ended: nothing is owed on it any more."""
 
     client: int
 
 
-class RequestReceived(Event):
+class RequestReceived(NamedTuple):
     """A call that is owed exactly one final response."""
 
     client: int
@@ -52,7 +46,7 @@
     idempotency_key: bytes | None = None
 
 
-class RequestCancelled(Event):
+class RequestCancelled(NamedTuple):
     """A client has withdrawn one of its calls."""
 
     client: int
@@ -62,7 +56,7 @@
 # From connections to servers.
 
 
-class AttemptEnded(Event):
+class AttemptEnded(NamedTuple):
     """A response of a server, or what became of an attempt without one."""
 
     request_id: int
@@ -82,7 +76,7 @@
 # From the command channel; `number` is the place of each in its order.
 
 
-class EndpointsListed(Event):
+class EndpointsListed(NamedTuple):
     """Servers and their health: the whole endpoint list, or its changes."""
 
     number: int
@@ -90,7 +84,7 @@
     endpoints: Sequence[ListedEndpoint]
 
 
-class ObjectsPurged(Event):
+class ObjectsPurged(NamedTuple):
     """Copies made before a moment must not be used any more."""
 
     number: int
@@ -99,7 +93,7 @@
     object_key: str  # "": all objects of the group
 
 
-class CommandSkipped(Event):
+class CommandSkipped(NamedTuple):
     """A command that cannot be read."""
 
     number: int
@@ -109,14 +103,14 @@
 # From the fleet.
 
 
-class PeerNoticeReceived(Event):
+class PeerNoticeReceived(NamedTuple):
     """A notice of a peer; it can only tighten a rule."""
 
     kind: str  # 'purge', 'draining' or 'gone'
     values: tuple
 
 
-class PurgeLogEntryRead(Event):
+class PurgeLogEntryRead(NamedTuple):
     """An entry of the purge log."""
 
     kind: int  # brookhinge/purgelog/messages.py
@@ -125,33 +119,33 @@
     stamp_ms: int
 
 
-class CopyRuleChanged(Event):
+class CopyRuleChanged(NamedTuple):
     """What this router may do with copies that it holds itself, as far as it knows all purges."""
 
     rule: object  # a CopyRule of brookhinge/purgelog/subscriber.py
     missed_purges: object | None
 
 
-class RouterCountChanged(Event):
+class RouterCountChanged(NamedTuple):
     """By how many routers the limits of this zone and of the whole fleet are divided."""
 
     here: int
     everywhere: int
 
 
-class QuotasAssigned(Event):
+class QuotasAssigned(NamedTuple):
     """What this router may use of limits that the fleet shares."""
 
     quotas: Sequence[tuple]  # (kind, server, its start in ms, quota or None) each
 
 
-class OutlierVerdictsChanged(Event):
+class OutlierVerdictsChanged(NamedTuple):
     """What follows from what all routers saw of servers."""
 
     verdicts: Sequence[tuple]  # (server, its start in ms, verdict, seconds) each
 
 
-class WarmStartReceived(Event):
+class WarmStartReceived(NamedTuple):
     """What a peer knows that has run for longer."""
 
     rows: Sequence[tuple]
@@ -160,5 +154,25 @@
 # From the process itself.
 
 
-class ShutdownBegan(Event):
+class ShutdownBegan(NamedTuple):
     """The process ends now: what is open fails, nothing more is decided."""
+
+
+Event = (
+    ClientConnected
+    | ClientDisconnected
+    | RequestReceived
+    | RequestCancelled
+    | AttemptEnded
+    | EndpointsListed
+    | ObjectsPurged
+    | CommandSkipped
+    | PeerNoticeReceived
+    | PurgeLogEntryRead
+    | CopyRuleChanged
+    | RouterCountChanged
+    | QuotasAssigned
+    | OutlierVerdictsChanged
+    | WarmStartReceived
+    | ShutdownBegan
+)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,8 +4,6 @@
 import asyncio
 import json
 
-from msgspec.structs import astuple
-
 from brookhinge.decide import Router
 from brookhinge.decisions.messages import (
     AttemptEnded,
@@ -310,7 +308,7 @@
             return f"{word} q{effect.request_id}.{effect.attempt}"
         if isinstance(effect, RetireServer):
             return f"{word} {effect.server.server}"
-        return " ".join([word, *(str(v) for v in astuple(effect))])
+        return " ".join([word, *(str(v) for v in effect)])
 
 
 class Machine:
