--- a/brookhinge/engine/effects.py
+++ b/brookhinge/engine/effects.py
@@ -4,18 +4,21 @@
 router's start. `request_id` and `attempt` are numbered as in `engine/events.py`.
 """
 
-import msgspec
+from dataclasses import dataclass
 
 from brookhinge.engine.endpoints import ServerInstance
 
 
-class Effect(msgspec.Struct, frozen=True):
+class Effect:
     """Base of all effects."""
 
+    __slots__ = ()
+
 
 # To servers.
 
 
+@dataclass(frozen=True, slots=True)
 class SendAttempt(Effect):
     """Send an attempt of a request to a server."""
 
@@ -39,6 +42,7 @@
     idempotency_key: bytes | None = None
 
 
+@dataclass(frozen=True, slots=True)
 class CancelAttempt(Effect):
     """Give up an attempt: its response is not wanted any more."""
 
@@ -46,6 +50,7 @@
     attempt: int
 
 
+@dataclass(frozen=True, slots=True)
 class RetireServer(Effect):
     """Use the connections to one start of a server for nothing new."""
 
@@ -55,6 +60,7 @@
 # To clients.
 
 
+@dataclass(frozen=True, slots=True)
 class Respond(Effect):
     """The final response: an object, or that the client's copy of it still holds."""
 
@@ -64,6 +70,7 @@
     is_unchanged: bool
 
 
+@dataclass(frozen=True, slots=True)
 class RejectRequest(Effect):
     """The final response: not served, and asking again is harmless."""
 
@@ -72,6 +79,7 @@
     retry_after_s: float  # 0: no advice
 
 
+@dataclass(frozen=True, slots=True)
 class FailRequest(Effect):
     """The final response: an error."""
 
@@ -79,6 +87,7 @@
     number: int
 
 
+@dataclass(frozen=True, slots=True)
 class RefuseCall(Effect):
     """A call that cannot be taken, answered with an exception of the protocol."""
 
@@ -87,6 +96,7 @@
     reason: str
 
 
+@dataclass(frozen=True, slots=True)
 class CloseClient(Effect):
     """Close the connection of a client that broke the protocol."""
 
@@ -97,6 +107,7 @@
 # To the rest of the process.
 
 
+@dataclass(frozen=True, slots=True)
 class WriteLog(Effect):
     """Write an event to the log."""
 
@@ -104,6 +115,7 @@
     values: dict[str, object]
 
 
+@dataclass(frozen=True, slots=True)
 class WriteTrace(Effect):
     """Write a step of a request to the trace."""
 
@@ -112,6 +124,7 @@
     values: dict[str, object]
 
 
+@dataclass(frozen=True, slots=True)
 class NotifyPeers(Effect):
     """Notify the peers of something that tightens a rule."""
 
--- a/brookhinge/engine/events.py
+++ b/brookhinge/engine/events.py
@@ -6,20 +6,22 @@
 """
 
 from collections.abc import Sequence
-
-import msgspec
+from dataclasses import dataclass
 
 from brookhinge.decisions.rules import AttemptResult
 from brookhinge.engine.endpoints import ListedEndpoint
 
 
-class Event(msgspec.Struct, frozen=True):
+class Event:
     """Base of all events."""
 
+    __slots__ = ()
+
 
 # From clients' connections.
 
 
+@dataclass(frozen=True, slots=True)
 class ClientConnected(Event):
     """A connection was accepted; posted only where retries are recognized."""
 
@@ -27,12 +29,14 @@
     address: str
 
 
+@dataclass(frozen=True, slots=True)
 class ClientDisconnected(Event):
     """A client's connection has ended: nothing is owed on it any more."""
 
     client: int
 
 
+@dataclass(frozen=True, slots=True)
 class RequestReceived(Event):
     """A call that is owed exactly one final response."""
 
@@ -52,6 +56,7 @@
     idempotency_key: bytes | None = None
 
 
+@dataclass(frozen=True, slots=True)
 class RequestCancelled(Event):
     """A client has withdrawn one of its calls."""
 
@@ -62,6 +67,7 @@
 # From connections to servers.
 
 
+@dataclass(frozen=True, slots=True)
 class AttemptEnded(Event):
     """A response of a server, or what became of an attempt without one."""
 
@@ -82,6 +88,7 @@
 # From the command channel; `number` is the place of each in its order.
 
 
+@dataclass(frozen=True, slots=True)
 class EndpointsListed(Event):
     """Servers and their health: the whole endpoint list, or its changes."""
 
@@ -90,6 +97,7 @@
     endpoints: Sequence[ListedEndpoint]
 
 
+@dataclass(frozen=True, slots=True)
 class ObjectsPurged(Event):
     """Copies made before a moment must not be used any more."""
 
@@ -99,6 +107,7 @@
     object_key: str  # "": all objects of the group
 
 
+@dataclass(frozen=True, slots=True)
 class CommandSkipped(Event):
     """A command that cannot be read."""
 
@@ -109,6 +118,7 @@
 # From the fleet.
 
 
+@dataclass(frozen=True, slots=True)
 class PeerNoticeReceived(Event):
     """A notice of a peer; it can only tighten a rule."""
 
@@ -116,6 +126,7 @@
     values: tuple
 
 
+@dataclass(frozen=True, slots=True)
 class PurgeLogEntryRead(Event):
     """An entry of the purge log."""
 
@@ -125,6 +136,7 @@
     stamp_ms: int
 
 
+@dataclass(frozen=True, slots=True)
 class CopyRuleChanged(Event):
     """What this router may do with copies that it holds itself, as far as it knows all purges."""
 
@@ -132,6 +144,7 @@
     missed_purges: object | None
 
 
+@dataclass(frozen=True, slots=True)
 class RouterCountChanged(Event):
     """By how many routers the limits of this zone and of the whole fleet are divided."""
 
@@ -139,18 +152,21 @@
     everywhere: int
 
 
+@dataclass(frozen=True, slots=True)
 class QuotasAssigned(Event):
     """What this router may use of limits that the fleet shares."""
 
     quotas: Sequence[tuple]  # (kind, server, its start in ms, quota or None) each
 
 
+@dataclass(frozen=True, slots=True)
 class OutlierVerdictsChanged(Event):
     """What follows from what all routers saw of servers."""
 
     verdicts: Sequence[tuple]  # (server, its start in ms, verdict, seconds) each
 
 
+@dataclass(frozen=True, slots=True)
 class WarmStartReceived(Event):
     """What a peer knows that has run for longer."""
 
@@ -160,5 +176,6 @@
 # From the process itself.
 
 
+@dataclass(frozen=True, slots=True)
 class ShutdownBegan(Event):
     """The process ends now: what is open fails, nothing more is decided."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,8 +3,7 @@
 
 import asyncio
 import json
-
-from msgspec.structs import astuple
+from dataclasses import astuple
 
 from brookhinge.decide import Router
 from brookhinge.decisions.messages import (
--- a/tests/standstill/test_held_back.py
+++ b/tests/standstill/test_held_back.py
@@ -1,10 +1,9 @@
 """Each reason for which an attempt is not written at the moment at which it could be."""
 
 import asyncio
+import dataclasses
 import time
 
-from msgspec import structs
-
 from brookhinge.decisions.rules import HeldBack
 from brookhinge.engine.effects import SendAttempt
 from brookhinge.engine.endpoints import ListedEndpoint, ServerInstance
@@ -116,7 +115,7 @@
 
 def test_its_time_is_over(tmp_path):
     assert (
-        reason_after(tmp_path, lambda t, raw, decided: structs.replace(decided, deadline=t.service.now()))
+        reason_after(tmp_path, lambda t, raw, decided: dataclasses.replace(decided, deadline=t.service.now()))
         is HeldBack.NO_TIME
     )
 
@@ -125,7 +124,7 @@
     async def scene(t):
         _, decided = await one_out(t)
         line = next(line for line in t.service.upstream_connections.pool.connections if line.in_flight)
-        other = structs.replace(decided, client_request_id=b"other", attempt=9)
+        other = dataclasses.replace(decided, client_request_id=b"other", attempt=9)
         queued_at = t.service.now() - 1.0
         t.service.upstream_connections.place(line, PendingAttempt(other, queued_at))
         return dict(t.service.upstream_connections.holds)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,7 +1,8 @@
 """Parsers and encoders: bytes in any pieces, what can't be read, what is written."""
 
+import dataclasses
+
 import pytest
-from msgspec import structs
 
 from brookhinge.engine import commands
 from brookhinge.engine.effects import SendAttempt
@@ -174,7 +175,7 @@
 
 
 def test_what_a_cache_is_sent():
-    full = structs.replace(
+    full = dataclasses.replace(
         PLAIN_ATTEMPT,
         part=b"03",
         fill_from="s-11",
@@ -193,7 +194,7 @@
     assert cachewire.encode_pull(PLAIN_ATTEMPT, 0.0) == (
         b"PULL 9b1f sort=page,asset=7f3a,slice=3,patience=1 0\r\n\r\n"
     )
-    keyed = structs.replace(PLAIN_ATTEMPT, class_name=b"order", idempotency_key=b"1ff975")
+    keyed = dataclasses.replace(PLAIN_ATTEMPT, class_name=b"order", idempotency_key=b"1ff975")
     assert b",patience=1,op=1ff975 0\r\n" in cachewire.encode_pull(keyed, 0.0)
     assert cachewire.encode_kill(b"9b1f") + cachewire.encode_echo(b"t") == b"KILL 9b1f\r\nECHO t\r\n"
 
