--- a/brookhinge/cli/ask.py
+++ b/brookhinge/cli/ask.py
@@ -1,15 +1,23 @@
-"""brookhinge ask"""
+"""The command `brookhinge ask`."""
+
+from __future__ import annotations
 
 import sys
+from typing import TYPE_CHECKING, BinaryIO
 
 import click
 
 from brookhinge.cli import refuse
-from brookhinge.cli.standin import place
+from brookhinge.cli.standin import parse_address
+
+if TYPE_CHECKING:
+    from brookhinge.client import Answer
+
+OBJECT_DIGITS = 16
 
 
 @click.command("ask")
-@click.argument("router", callback=place)
+@click.argument("router", callback=parse_address)
 @click.argument("object", metavar="OBJECT")
 @click.option("--part", type=click.IntRange(0, 999_999_999), default=0, show_default=True)
 @click.option("--track", default="page", show_default=True, help="The class, as in the router's settings.")
@@ -17,16 +25,28 @@
 @click.option("--patience", type=click.FloatRange(0.01, 600), default=2.9, show_default=True, help="Seconds.")
 @click.option("--tries", type=click.IntRange(1, 20), default=3, show_default=True)
 @click.option("--out", type=click.File("wb"), help="Where the bytes go; - for standard output.")
-def command(router, object, part, track, group, patience, tries, out):
-    """Asks the ROUTER (HOST:PORT) for OBJECT (16 hex digits); comes back when told. Exit 1 if it is not satisfied."""
+def command(
+    router: tuple[str, int],
+    object: str,
+    part: int,
+    track: str,
+    group: int,
+    patience: float,
+    tries: int,
+    out: BinaryIO | None,
+) -> None:
+    """Ask the ROUTER (HOST:PORT) for OBJECT (16 hex digits); retry when told.
+
+    Exit 1 if it is not satisfied.
+    """
     import asyncio
 
     from brookhinge.client import Client
 
-    if len(object) != 16 or set(object) - set("0123456789abcdef"):
+    if len(object) != OBJECT_DIGITS or set(object) - set("0123456789abcdef"):
         refuse(f"OBJECT: expected 16 hex digits, got {object!r:.40}")
 
-    async def run():
+    async def run() -> Answer:
         async with Client(router, tries) as client:
             return await client.fetch(object, part, track, patience, group)
 
--- a/brookhinge/cli/check.py
+++ b/brookhinge/cli/check.py
@@ -1,4 +1,4 @@
-"""brookhinge check FILE"""
+"""The command `brookhinge check FILE`."""
 
 import click
 
@@ -9,32 +9,25 @@
 @click.command("check")
 @click.argument("file", type=click.Path())
 @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
-def command(file, as_json):
-    """Reads an operator's FILE as the programs do; prints what it turns on."""
+def command(file: str, as_json: bool) -> None:
+    """Read an operator's FILE as the programs do; print what it turns on."""
     try:
-        told = read_file(file)
-    except OperatorError as fault:
-        refuse(f"{file}: {fault}")
+        settings = read_file(file)
+    except OperatorError as error:
+        refuse(f"{file}: {error}")
     rows = [
-        {
-            "block": "box",
-            "name": name,
-            "listen": "%s:%d" % stand.listen,
-            "store": stand.store.dir or "memory alone",
-        }
-        for name, stand in told.box.items()
+        _row("box", name, box.listen, box.store.dir or "memory alone") for name, box in settings.box.items()
     ]
-    rows += [
-        {"block": "fleet", "name": name, "listen": "%s:%d" % fleet.listen, "store": ""}
-        for name, fleet in told.fleet.items()
-    ]
-    rows += [
-        {"block": "control", "name": name, "listen": "%s:%d" % control.listen, "store": ""}
-        for name, control in told.control.items()
-    ]
-    if told.metrics:
-        rows.append({"block": "metrics", "name": "", "listen": "%s:%d" % told.metrics, "store": ""})
-    if told.capacity:
-        size = f"{told.capacity.routers} routers at {len(told.capacity.sites())} sites"
-        rows.append({"block": "capacity", "name": size, "listen": "", "store": ""})
+    rows += [_row("fleet", name, fleet.listen) for name, fleet in settings.fleet.items()]
+    rows += [_row("control", name, control.listen) for name, control in settings.control.items()]
+    if settings.metrics:
+        rows.append(_row("metrics", "", settings.metrics))
+    if settings.capacity:
+        size = f"{settings.capacity.routers} routers at {len(settings.capacity.sites())} sites"
+        rows.append(_row("capacity", size, None))
     table(rows, ["block", "name", "listen", "store"], as_json)
+
+
+def _row(kind: str, name: str, listen: tuple[str, int] | None, store: str = "") -> dict[str, str]:
+    address = f"{listen[0]}:{listen[1]}" if listen else ""
+    return {"block": kind, "name": name, "listen": address, "store": store}
--- a/brookhinge/cli/demo.py
+++ b/brookhinge/cli/demo.py
@@ -1,22 +1,26 @@
-"""brookhinge demo: a newcomer's first minute."""
+"""The command `brookhinge demo`: a newcomer's first minute."""
 
 import asyncio
 import tempfile
 import time
+from collections.abc import Awaitable
+from typing import TypeVar
 
 import click
 
 from brookhinge.cli import refuse
 
+T = TypeVar("T")
+
 PACE_S = 0.015  # between two queries: a caller in a hurry would be told to come back
 
 
-async def after(pause_s, asking):
+async def _after(pause_s: float, asking: Awaitable[T]) -> T:
     await asyncio.sleep(pause_s)
     return await asking
 
 
-async def play():
+async def _play() -> bool:
     from brookhinge.standin.origin import body_of, group_of
     from brookhinge.standin.town import Town
 
@@ -30,15 +34,17 @@
             objects = [f"{7919 * n + 5:016x}" for n in range(40)]
             wrong = 0
 
-            async def round_(what):
+            async def round_(what: str) -> None:
                 nonlocal wrong
                 began = time.monotonic()
                 asked = len(objects)
                 filled = town.origin.counts["queries"]
                 answers = await asyncio.gather(
-                    *(after(n * PACE_S, caller.ask(o, lot=group_of(o))) for n, o in enumerate(objects))
+                    *(_after(n * PACE_S, caller.ask(o, lot=group_of(o))) for n, o in enumerate(objects))
                 )
-                good = [(o, body) for o, (word, body) in zip(objects, answers) if word == "satisfied"]
+                good = [
+                    (o, body) for o, (word, body) in zip(objects, answers, strict=True) if word == "satisfied"
+                ]
                 wrong += sum(
                     body != body_of(o, 0, town.origin.version(o), town.origin.sizes) for o, body in good
                 )
@@ -67,12 +73,14 @@
 
 
 @click.command("demo")
-def command():
-    """Origin, parent, three boxes, command channel and one router on loopback with free ports: asks, kills a box, purges
-    an object, drains a box, and says in a dozen lines what happened."""
+def command() -> None:
+    """Run origin, parent, three boxes, command channel and one router on loopback with free ports.
+
+    Asks, kills a box, purges an object, drains a box, and says in a dozen lines what happened.
+    """
     try:
-        good = asyncio.run(play())
-    except (OSError, RuntimeError) as fault:
-        refuse(f"demo: {fault}", 1)
+        good = asyncio.run(_play())
+    except (OSError, RuntimeError) as error:
+        refuse(f"demo: {error}", 1)
     if not good:
         refuse("demo: an answer was not what the origin gave out", 1)
--- a/brookhinge/cli/explain.py
+++ b/brookhinge/cli/explain.py
@@ -10,7 +10,7 @@
 @click.command("explain")
 @click.argument("log", type=click.Path(allow_dash=True))
 @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
-def command(log, as_json):
+def command(log: str, as_json: bool) -> None:
     """Tells the storms in a router's LOG as a story: when, who, how damped, how ended. - reads standard input."""
     from brookhinge.storm import story
 
--- a/brookhinge/cli/standin.py
+++ b/brookhinge/cli/standin.py
@@ -1,8 +1,11 @@
-"""brookhinge standin origin|channel|fleet"""
+"""The commands `brookhinge standin origin`, `channel` and `fleet`."""
 
 import asyncio
+import contextlib
 import json
 import sys
+from collections.abc import AsyncIterator, Callable, Coroutine
+from typing import Any
 
 import click
 
@@ -10,34 +13,38 @@
 from brookhinge.operator.value_checks import address
 
 
-def place(_, option, value):
+def parse_address(_: object, option: object, value: str) -> tuple[str, int]:
+    """Parse an option HOST:PORT."""
     try:
         return address(value)
-    except ValueError as fault:
-        raise click.BadParameter(f"expected {fault}, got {value!r}") from None
+    except ValueError as error:
+        raise click.BadParameter(f"expected {error}, got {value!r}") from None
 
 
 @click.group("standin")
-def command():
+def command() -> None:
     """Scripted peers for trying things out; no part of a service."""
 
 
 @command.command("origin")
-@click.option("--listen", required=True, callback=place, help="HOST:PORT.")
+@click.option("--listen", required=True, callback=parse_address, help="HOST:PORT.")
 @click.option(
     "--delay-ms", type=click.FloatRange(0, 60000), default=20.0, show_default=True, help="Before each answer."
 )
 @click.option(
     "--largest", type=click.IntRange(2000, 240000), default=60000, show_default=True, help="Bytes of a part."
 )
-def origin(listen, delay_ms, largest):
-    """An origin whose bytes follow from object, part and version. On standard input: `change OBJECT`, `change-group N`."""
+def origin(listen: tuple[str, int], delay_ms: float, largest: int) -> None:
+    """Run an origin whose bytes follow from object, part and version.
+
+    On standard input: `change OBJECT`, `change-group N`.
+    """
     from brookhinge.standin.origin import Origin
 
-    async def run():
+    async def run() -> None:
         peer = Origin((2000, largest), delay_ms / 1000)
-        click.echo("origin listens at %s:%d" % peer.listen(*listen))
-        async for words in spoken():
+        click.echo("origin listens at {}:{}".format(*peer.listen(*listen)))
+        async for words in _input_lines():
             if words[0] == "change" and len(words) == 2:
                 peer.change(words[1])
             elif words[0] == "change-group" and len(words) == 2 and words[1].isdigit():
@@ -47,16 +54,19 @@
                     f"cannot do {' '.join(words)!r}: expected change OBJECT or change-group N", err=True
                 )
 
-    started(run)
+    _run_until_interrupted(run)
 
 
 @command.command("channel")
-@click.option("--listen", required=True, callback=place, help="HOST:PORT.")
+@click.option("--listen", required=True, callback=parse_address, help="HOST:PORT.")
 @click.option(
     "--hosts", "hosts_file", type=click.Path(), help="JSON list of servers, as in the protocol's `hosts`."
 )
-def channel(listen, hosts_file):
-    """A command channel. On standard input: `drain NAME`, `remove NAME`, `purge OBJECT`, `purge-group N`."""
+def channel(listen: tuple[str, int], hosts_file: str | None) -> None:
+    """Run a command channel.
+
+    On standard input: `drain NAME`, `remove NAME`, `purge OBJECT`, `purge-group N`.
+    """
     from brookhinge.standin.channel import CommandChannel
 
     hosts = []
@@ -65,13 +75,13 @@
             with open(hosts_file, "rb") as file:
                 hosts = json.load(file)
             hosts = [{**row, "host": row["host"], "dial": row["dial"]} for row in hosts]
-        except (OSError, ValueError, KeyError, TypeError) as fault:
-            refuse(f"--hosts {hosts_file}: expected a JSON list of servers with host and dial ({fault})")
+        except (OSError, ValueError, KeyError, TypeError) as error:
+            refuse(f"--hosts {hosts_file}: expected a JSON list of servers with host and dial ({error})")
 
-    async def run():
+    async def run() -> None:
         peer = CommandChannel(hosts)
-        click.echo("command channel listens at %s:%d" % (await peer.listen(*listen)))
-        async for words in spoken():
+        click.echo("command channel listens at {}:{}".format(*(await peer.listen(*listen))[:2]))
+        async for words in _input_lines():
             verb = words[0]
             name = words[1] if len(words) == 2 else ""
             if verb == "drain" and name in peer.hosts:
@@ -85,14 +95,14 @@
             else:
                 click.echo(f"cannot do {' '.join(words)!r}", err=True)
 
-    started(run)
+    _run_until_interrupted(run)
 
 
 @command.command("fleet")
 @click.argument("script", type=click.Path())
 @click.option("--json", "as_json", is_flag=True, help="Print the table as JSON.")
-def fleet(script, as_json):
-    """Plays SCRIPT (HCL): several real routers on loopback, killed, frozen, cut off; a line an event, then a table."""
+def fleet(script: str, as_json: bool) -> None:
+    """Play SCRIPT (HCL): several real routers on loopback, killed, frozen, cut off; then a table."""
     import tempfile
 
     from brookhinge.operator import OperatorError
@@ -104,17 +114,15 @@
             tempfile.TemporaryDirectory(prefix="brookhinge-") as folder,
         ):
             rows, good = asyncio.run(play(file.read(), folder, lambda line: click.echo(line, err=as_json)))
-    except (OSError, UnicodeDecodeError) as fault:
-        refuse(f"{script}: {fault}")
-    except OperatorError as fault:
-        refuse(f"{script}: {fault}")
+    except (OSError, UnicodeDecodeError, OperatorError) as error:
+        refuse(f"{script}: {error}")
     table(rows, list(rows[0]), as_json)
     if not good:
         sys.exit(1)
 
 
-async def spoken():
-    """Lines of standard input as words; waits for good after its end."""
+async def _input_lines() -> AsyncIterator[list[str]]:
+    """Yield lines of standard input as words; wait for good after its end."""
     reader = asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
@@ -125,10 +133,9 @@
     await asyncio.Event().wait()
 
 
-def started(run):
+def _run_until_interrupted(run: Callable[[], Coroutine[Any, Any, None]]) -> None:
     try:
-        asyncio.run(run())
-    except KeyboardInterrupt:
-        pass
-    except OSError as fault:
-        refuse(f"--listen: {fault.strerror}", 1)
+        with contextlib.suppress(KeyboardInterrupt):
+            asyncio.run(run())
+    except OSError as error:
+        refuse(f"--listen: {error.strerror}", 1)
--- a/brookhinge/cli/store.py
+++ b/brookhinge/cli/store.py
@@ -51,7 +51,11 @@
 def _inspect_segment_files(folder: str) -> tuple[list[int], list[tuple[str, str]]]:
     """Sizes of the segment files, and those whose header can't be read with the reason."""
     from brookhinge.store.errors import DamagedError, UnsupportedVersionError
-    from brookhinge.store.file_format import FILE_HEADER_BYTES, FileKind, decode_file_header
+    from brookhinge.store.file_format import (
+        FILE_HEADER_BYTES,
+        FileKind,
+        decode_file_header,
+    )
 
     sizes = []
     damaged_headers = []
