--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -26,13 +26,13 @@
 
 def used(fleet, begin, end):
     """What was sent to cold boxes over what was asked of them, as far as all routers together may send that."""
-    budget, step, may = fleet.routers[0].router.cold["cache"], 0.1, 0.0
+    budget, step, may = fleet.routers[0].router.slow_start["cache"], 0.1, 0.0
     for box in fleet.boxes.values():
         at = begin
         while at < end:
             may += (
                 min(
-                    budget.whole(at, box.born, float(box.cores), fleet.work),
+                    budget.fleet_rate(at, box.born, float(box.cores), fleet.work),
                     fleet.rate * fleet.work / len(fleet.boxes),
                 )
                 * step
@@ -112,9 +112,9 @@
     for k in range(int(seconds)):
         fleet.play(k + 1.0)
         for reducer in fleet.routers[1:]:
-            health = reducer.router.health
-            resting += sum(until > fleet.now for until in health.rest_until.values()) + sum(
-                how in ("rest", "trial") for how, _ in getattr(health, "how", {}).values()
+            ejector = reducer.router.cache_outliers
+            resting += sum(until > fleet.now for until in ejector.ejected_until.values()) + sum(
+                how in ("rest", "trial") for how, _ in getattr(ejector, "verdicts", {}).values()
             )
     return {
         "resting_share": resting / seconds / (routers - 1) / boxes,
--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -111,26 +111,26 @@
 
 
 def sent_to_draining():
-    from brookhinge import decide
     from brookhinge.decisions import rules
+    from brookhinge.decisions.endpoints import EndpointTable
 
     no_checks()
     rules.may_send_to = lambda state: state != "gone"
-    decide.Fleet.is_own_cache = lambda self, c: (
-        self.role[c] == "cache" and self.zone[c] == self.here and self.state[c] != "gone"
+    EndpointTable.is_ready_local_cache = lambda self, c: (
+        self.role[c] == "cache" and self.zone[c] == self.own_zone and self.state[c] != "gone"
     )
 
 
 def slow_start():
-    from brookhinge.decide import ColdBudget
+    from brookhinge.decisions.slow_start import SlowStartBudget
 
     no_checks()
-    ColdBudget.take = lambda self, *values: True
+    SlowStartBudget.admits = lambda self, *values, **named: True
 
 
 def purged_copy():
     """Purges are passed over."""
-    from brookhinge.decide import Router
+    from brookhinge.decisions.router import Router
 
     no_checks()
     Router.on_purge = lambda self, purge: None
@@ -138,21 +138,20 @@
 
 def aged_copy():
     """The age that a class allows is passed over for copies of its own."""
-    from brookhinge.decide import Router
+    from brookhinge.decisions.router import Router
 
-    real = Router.own
+    real = Router.respond_from_copy
 
-    def own(self, query, q):
-        oldest = self.oldest
-        self.oldest = lambda doc, track, ageing: 0.0
+    def respond_from_copy(self, request):
+        self.purges.max_age_s = lambda *values, **named: 0.0
         try:
-            return real(self, query, q)
+            return real(self, request)
         finally:
-            self.oldest = oldest
+            del self.purges.max_age_s
 
-    Router.own = own
-    refuse = Router.place
-    Router.place = lambda self, query, q: own(self, query, q) or refuse(self, query, q)
+    Router.respond_from_copy = respond_from_copy
+    route = Router.route
+    Router.route = lambda self, request: respond_from_copy(self, request) or route(self, request)
 
 
 def deadline():
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -14,7 +14,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from benchmarks import kept
-from brookhinge.decide import Router
+from brookhinge.decisions.router import Router
 from brookhinge.decisions.settings import (
     DeduplicationScope,
     FillPolicy,
@@ -123,8 +123,7 @@
             parent_slow_start=SlowStart(1.0, 0.0, 0.0, 1.0),
             purge_settled_s=6.0,
             server_kinds=("parent", "origin"),
-            reports=[],
-            returns=returns,
+            retry_schedule=returns,
         )
         return Reducer(
             router, [t.name.encode() for t in TRACKS], ["hub", "edge"], Lineage() if self.storm else None
@@ -247,7 +246,7 @@
 
     def note_plans(self):
         """What was promised before the boxes were back is left out: nobody knew yet that they would be gone."""
-        self.plans_before = [dict(r.router.returns.counts) for r in self.routers] if self.storm else []
+        self.plans_before = [dict(r.router.retry_schedule.counts) for r in self.routers] if self.storm else []
 
     def run(self):
         self.tell("ready", 1)
@@ -281,7 +280,7 @@
         herd = [n for n in self.needs if n.herd]
         plans = (
             [
-                {key: r.router.returns.counts[key] - before[key] for key in before}
+                {key: r.router.retry_schedule.counts[key] - before[key] for key in before}
                 for r, before in zip(self.routers, self.plans_before)
             ]
             if self.storm
--- /dev/null
+++ b/brookhinge/decisions/beacon_rings.py
@@ -0,0 +1,79 @@
+"""Beacon rings: which cache is the home of an object, by load-following sub-ranges.
+
+Source: "Cache Clouds: Cooperative Caching of Dynamic Documents in Edge Networks", section 2.3. Each object has a ring and,
+on it, an IrH value; the beacon point whose sub-range holds that value is its home.
+"""
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+IRH_VALUES = 1000  # IrH values of a beacon ring
+
+
+class BeaconRing(NamedTuple):
+    """The caches of one ring. Sub-ranges begin where the one before ends."""
+
+    points: list[int]
+    range_ends: list[int]
+    loads: list[float]  # requests lately of each IrH value
+
+
+class BeaconRings:
+    """Beacon rings over the location's sorted caches."""
+
+    def __init__(self):
+        self.rings: list[BeaconRing] = []
+
+    def assign(self, caches: list[int]) -> None:
+        """Pairs the caches, an odd one joins the last ring; a ring with the same points keeps its sub-ranges."""
+        old = {tuple(ring.points): ring for ring in self.rings}
+        count = max(1, len(caches) // 2)
+        self.rings = []
+        for k in range(count if caches else 0):
+            points = caches[2 * k :] if k == count - 1 else caches[2 * k : 2 * k + 2]
+            ends = [IRH_VALUES * (i + 1) // len(points) for i in range(len(points))]
+            self.rings.append(old.get(tuple(points)) or BeaconRing(points, ends, [0.0] * IRH_VALUES))
+
+    def beacon_order(self, code: int) -> list[int]:
+        """Returns the beacon point of an object, then the others in the order in which they stand in for it."""
+        if not self.rings:
+            return []
+        irh = code % IRH_VALUES
+        points, ends, _ = self.rings[code % len(self.rings)]
+        i = next(i for i, end in enumerate(ends) if irh < end)
+        rest = [c for ring in self.rings for c in ring.points if c != points[i]]
+        start = irh % max(1, len(rest))  # what an ejected home leaves spreads over all
+        return [points[i], *rest[start:], *rest[:start]]
+
+    def record_load(self, code: int, load: float) -> None:
+        """Counts a request for an object."""
+        if self.rings:
+            self.rings[code % len(self.rings)].loads[code % IRH_VALUES] += load
+
+    def rebalance(self, capability: Callable[[int], float]) -> None:
+        """Moves the end of each sub-range until its load is near its point's part of the ring's, and begins anew to count.
+
+        A point's part is AptLd = Cp / TotCp x BRingLd of the paper.
+        """
+        for ring in self.rings:
+            total = sum(ring.loads)
+            total_capability = sum(capability(c) for c in ring.points)
+            start = 0
+            for i, c in enumerate(ring.points[:-1]):
+                load = sum(ring.loads[start : ring.range_ends[i]])
+                surplus = load - capability(c) / total_capability * total
+                _move_end(ring, i, start, surplus)
+                start = ring.range_ends[i]
+            ring.loads[:] = [0.0] * IRH_VALUES
+
+
+def _move_end(ring: BeaconRing, i: int, start: int, surplus: float) -> None:
+    """Moves the end of sub-range `i`, which begins at `start`, by as much load as it has in surplus, or lacks."""
+    _, ends, loads = ring
+    moved = 0.0
+    while surplus > 0 and ends[i] > start + 1 and moved + loads[ends[i] - 1] <= surplus:
+        ends[i] -= 1
+        moved += loads[ends[i]]
+    while surplus < 0 and ends[i] < ends[i + 1] - 1 and moved + loads[ends[i]] <= -surplus:
+        moved += loads[ends[i]]
+        ends[i] += 1
--- /dev/null
+++ b/brookhinge/decisions/eligibility.py
@@ -0,0 +1,134 @@
+"""Whether a server may be asked now: the checks of all mechanisms that can hold a request back from it."""
+
+from random import Random
+
+from brookhinge.decisions import rules
+from brookhinge.decisions.class_statistics import ClassStatistics
+from brookhinge.decisions.concurrency import ConcurrencyLimiter
+from brookhinge.decisions.endpoints import EndpointTable, ServerRole
+from brookhinge.decisions.object_state import ObjectState, digest
+from brookhinge.decisions.outliers import OutlierEjector
+from brookhinge.decisions.request_state import RequestState
+from brookhinge.decisions.slow_start import SlowStartBudget
+from brookhinge.decisions.throughput import ThroughputEstimate
+
+HOLDER_TIMEOUT_S = 20.0  # after which a cache is not taken for a holder any more
+LATE_RETRY_RESERVE = 0.5  # of a budget's credit that a retry which earns nothing leaves to others
+SCHEDULED_BORROWING = 0.25  # of a budget's credit that who comes when told may borrow
+
+
+class ServerEligibility:
+    """The checks of one router. Times are seconds."""
+
+    def __init__(
+        self,
+        endpoints: EndpointTable,
+        *,
+        slow_start: dict[ServerRole, SlowStartBudget],
+        concurrency: ConcurrencyLimiter,
+        cache_outliers: OutlierEjector,
+        parent_outliers: OutlierEjector,
+        throughput: ThroughputEstimate,
+        statistics: ClassStatistics,
+        chance: Random,
+    ):
+        self._endpoints = endpoints
+        self._slow_start = slow_start
+        self._concurrency = concurrency
+        self._cache_outliers = cache_outliers
+        self._parent_outliers = parent_outliers
+        self._throughput = throughput
+        self._statistics = statistics
+        self._chance = chance
+
+    def may_repeat(self, c: int, request: RequestState, now: float) -> bool:
+        """Whether an attempt at a server could not be a second effect."""
+        zone = self._endpoints.zone[c]
+        cell = self._endpoints.cell[c]
+        return rules.may_repeat(request.request_class, request.may_have_run, zone, cell, now)
+
+    def is_open(self, c: int, request: RequestState, now: float) -> bool:
+        """Whether a cache is ready, not ejected, and has not failed the request."""
+        return (
+            c not in request.failed_servers
+            and rules.may_send_to(self._endpoints.state[c])
+            and self._cache_outliers.is_eligible(c, now)
+            and self.may_repeat(c, request, now)
+        )
+
+    def is_warming_up(self, c: int, now: float) -> bool:
+        """Whether a cache or parent is in slow start."""
+        budget = self._slow_start[self._endpoints.role[c]]
+        return budget.is_warming_up(now, self._endpoints.warming_since[c])
+
+    def admits_work(self, c: int, work: float, request: RequestState, now: float) -> bool:
+        """Whether a server is warm, or has budget for so many seconds of transfer; takes them from it if so.
+
+        Late retries leave half of it to others; who comes when told may borrow.
+        """
+        budget = self._slow_start[self._endpoints.role[c]]
+        reserve = LATE_RETRY_RESERVE * (1.0 - request.priority_weight)
+        return budget.admits(
+            c,
+            now=now,
+            started_at=self._endpoints.warming_since[c],
+            power=self._throughput.power(c, now),
+            work=work,
+            largest_s=self._statistics.largest_transfer_s(),
+            chance=self._chance,
+            reserve=-SCHEDULED_BORROWING if request.is_scheduled else reserve,
+        )
+
+    def has_capacity(self, c: int, share: float, now: float) -> bool:
+        """Whether a cache can take one more for who has that share of its limit. One always goes where none is out."""
+        in_flight = self._endpoints.in_flight[c]
+        weight = self._throughput.known_weight(c)
+        if not self._concurrency.has_capacity(c, in_flight, share, weight):
+            return False
+        return not in_flight or self._concurrency.admits(c, now, share, self._chance)
+
+    def current_holders(self, state: ObjectState, now: float) -> list[int]:
+        """Returns the caches remembered serving a kept copy; forgotten on a restart, a drain, a miss or a purge."""
+        state.holders = {
+            c: at
+            for c, at in state.holders.items()
+            if now - at <= HOLDER_TIMEOUT_S
+            and at > self._endpoints.emptied_at[c]
+            and rules.may_send_to(self._endpoints.state[c])
+        }
+        return list(state.holders)
+
+    def first_upstream(self, request: RequestState, work: float, now: float) -> int | None:
+        """Returns the first usable of the parents in the object's own order over all listed ones; then the origin."""
+        failed = request.failed_servers | request.failed_sources
+        for c in self._parent_order(request.object) + self._endpoints.origins:
+            if not rules.may_send_to(self._endpoints.state[c]) or c in failed:
+                continue
+            if self._endpoints.role[c] is ServerRole.ORIGIN:
+                return c
+            if self._parent_outliers.is_eligible(c, now) and self.admits_work(c, work, request, now):
+                return c
+        return None
+
+    def local_capacity(self, at: float, now: float) -> float:
+        """Returns the seconds of transfer a second that this router may send to its caches at a time ahead."""
+        budget = self._slow_start[ServerRole.CACHE]
+        largest_s = self._statistics.largest_transfer_s()
+        total = 0.0
+        for c in self._endpoints.local_caches:
+            started_at = self._endpoints.warming_since[c]
+            limit = self._concurrency.current_limit(c)
+            if budget.is_limited(at, started_at):
+                power = self._throughput.power(c, now)
+                rate = budget.fleet_rate(at, started_at, power, largest_s)
+                limit = min(limit, rate * budget.share(c, started_at))
+            total += limit
+        return total
+
+    def _parent_order(self, state: ObjectState) -> list[int]:
+        parents = self._endpoints.parents
+        if state.ordered_parents is not parents:
+            state.ordered_parents = parents
+            ids = self._endpoints.ids
+            state.parent_order = sorted(parents, key=lambda c: digest(f"{state.key_code} {ids[c]}"))
+        return state.parent_order
--- /dev/null
+++ b/brookhinge/decisions/fill_planning.py
@@ -0,0 +1,122 @@
+"""Where the cache of a request may fill from: the parent hashed from the object, the next on failure, at last the origin."""
+
+from random import Random
+from typing import NamedTuple
+
+from brookhinge.decisions.class_statistics import ClassStatistics
+from brookhinge.decisions.concurrency import UPLINK, ConcurrencyLimiter
+from brookhinge.decisions.eligibility import ServerEligibility
+from brookhinge.decisions.endpoints import EndpointTable, ServerRole
+from brookhinge.decisions.origin_breaker import OriginCircuitBreaker
+from brookhinge.decisions.request_state import FillKind, RequestState
+from brookhinge.decisions.rules import Refusal
+from brookhinge.decisions.server_selection import CacheChoice
+
+HOLDER_FILL_SHARE = 0.25  # of a transfer that a holder's source has to do on the mean
+
+
+class FillPlan(NamedTuple):
+    """Where a request's server takes the object from."""
+
+    kind: FillKind
+    source: int  # the server itself where it may not fill
+
+
+class FillPlanner:
+    """Plans the fill of a request. Times are seconds."""
+
+    def __init__(
+        self,
+        endpoints: EndpointTable,
+        *,
+        eligibility: ServerEligibility,
+        concurrency: ConcurrencyLimiter,
+        origin_breaker: OriginCircuitBreaker,
+        statistics: ClassStatistics,
+        routers_here: int,
+        chance: Random,
+    ):
+        """`routers_here` is how many routers share the location's caches."""
+        self.routers_here = routers_here
+        self._endpoints = endpoints
+        self._eligibility = eligibility
+        self._concurrency = concurrency
+        self._origin_breaker = origin_breaker
+        self._statistics = statistics
+        self._chance = chance
+
+    def plan(
+        self,
+        request: RequestState,
+        choice: CacheChoice,
+        *,
+        fair_share: float,
+        fills_in_flight: int,
+        now: float,
+    ) -> FillPlan | Refusal:
+        """Returns where the chosen cache may fill from, or why the request is refused.
+
+        A request that may not be filled now is looked for once: another router may have had it filled.
+        """
+        if choice.sibling is not None:
+            return FillPlan(FillKind.SIBLING, choice.sibling)
+        source = None
+        if not request.is_lookup_only and not self._looks_first(request, choice, now):
+            source = self._upstream(request, choice, fair_share, fills_in_flight, now)
+            if source is None:
+                if request.lookup_missed:
+                    return Refusal.LINK_CROWDED
+                request.is_lookup_only = True
+        if choice.is_holder:
+            return FillPlan(FillKind.HOLDER, choice.server if source is None else source)
+        if source is None:
+            return FillPlan(FillKind.NONE, choice.server)
+        return self._through_breaker(request, choice, source, now)
+
+    def _looks_first(self, request: RequestState, choice: CacheChoice, now: float) -> bool:
+        """Whether the cache is asked for what it holds before it is filled.
+
+        Among other routers what this one does not know of is mostly there.
+        """
+        return self.routers_here > 1 and not (
+            choice.is_holder
+            or request.lookup_missed
+            or request.is_uncacheable
+            or request.request_class.fresh_s > 0
+            or self._eligibility.is_warming_up(choice.server, now)
+        )
+
+    def _upstream(
+        self, request: RequestState, choice: CacheChoice, fair_share: float, fills_in_flight: int, now: float
+    ) -> int | None:
+        """The parent or origin to fill from, if the uplink and its sources have capacity."""
+        work = self._statistics.transfer_s[request.class_index]
+        work *= HOLDER_FILL_SHARE if choice.is_holder else 1.0
+        source = self._eligibility.first_upstream(request, work, now)
+        if source is None or choice.is_holder:
+            return source
+        # Who has a small share of a cache's limit has a larger one of the uplink, but is shed sooner by its congestion.
+        uplink_share = min(1.0, fair_share) ** 0.5
+        if not self._concurrency.has_capacity(UPLINK, fills_in_flight, uplink_share):
+            return None
+        is_admitted = self._concurrency.admits(source, now, fair_share**2, self._chance, is_upstream=True)
+        return source if is_admitted else None
+
+    def _through_breaker(
+        self, request: RequestState, choice: CacheChoice, source: int, now: float
+    ) -> FillPlan | Refusal:
+        """The fill, as far as the circuit breaker of the origin lets it through.
+
+        What a parent holds costs the origin nothing: it is asked for that first.
+        """
+        probability = self._origin_breaker.admit_probability(now)
+        if probability >= 1.0 or request.is_uncacheable:
+            return FillPlan(FillKind.UPSTREAM, source)
+        if self._endpoints.role[source] is ServerRole.PARENT and not request.parent_missed:
+            return FillPlan(FillKind.UPSTREAM_CACHED, source)
+        if self._chance.random() < probability:
+            return FillPlan(FillKind.UPSTREAM, source)
+        if request.request_class.stale_s <= 0 or request.is_lookup_only:
+            return Refusal.ORIGIN_FAILING
+        request.is_lookup_only = True
+        return FillPlan(FillKind.NONE, choice.server)
--- a/brookhinge/decisions/messages.py
+++ b/brookhinge/decisions/messages.py
@@ -4,6 +4,7 @@
 by small integers that the caller gives.
 """
 
+import enum
 from typing import NamedTuple
 
 from brookhinge.decisions.rules import AttemptResult
@@ -16,6 +17,22 @@
     size_bytes: int
 
 
+class ResponseNote(enum.IntEnum):
+    """What a cache tells of how it answered."""
+
+    NONE = 0
+    HIT = 1
+    FILLED = 2
+    VIA_ORIGIN = 3
+    JOINED = 4  # it waited for a fill of another request
+    STALE = 5
+    SOURCE_REFUSED = 6
+    SOURCE_BROKE = 7
+    SOURCE_LACKS = 8
+    NO_SLOT = 9
+    ORIGIN_FAILED = 10
+
+
 class RequestArrived(NamedTuple):
     """A client asks for an object, or for one part of it."""
 
@@ -47,7 +64,7 @@
     result: AttemptResult
     took_s: float
     is_final: bool  # the request is over with it: satisfied or withdrawn
-    note: int  # what the server tells of how it answered, a number of the cache protocol; 0: nothing
+    note: int  # a `ResponseNote`
     waited_s: float  # how long it stood in the server's queue, as told
     copy: StoredCopy | None = None
 
--- /dev/null
+++ b/brookhinge/decisions/router.py
@@ -0,0 +1,584 @@
+"""The router: takes messages in order, asks each mechanism in turn, and tells the sink what to do.
+
+The ordinary path is the Cache Clouds design: beacon rings, load-following sub-ranges, remembered holders, sibling fills of
+objects in demand, a parent for all other fills. `Router.route` reads as the order in which the mechanisms are asked.
+"""
+
+from collections.abc import Iterable, Sequence
+from random import Random
+from typing import Any
+
+from brookhinge.decisions import rules
+from brookhinge.decisions.beacon_rings import BeaconRings
+from brookhinge.decisions.class_statistics import ClassStatistics
+from brookhinge.decisions.concurrency import ConcurrencyLimiter
+from brookhinge.decisions.eligibility import ServerEligibility
+from brookhinge.decisions.endpoints import EndpointTable, ServerRole
+from brookhinge.decisions.fault_attribution import FaultAttribution
+from brookhinge.decisions.feedback import AttemptOutcome, Feedback, full_utility_within_s
+from brookhinge.decisions.fill_planning import FillPlan, FillPlanner
+from brookhinge.decisions.load_shedding import fair_share
+from brookhinge.decisions.local_cache import LocalCache
+from brookhinge.decisions.messages import (
+    AttemptEnded,
+    EndpointsListed,
+    ObjectsPurged,
+    RequestArrived,
+    RequestWithdrawn,
+    ResponseNote,
+    RouterCountChanged,
+)
+from brookhinge.decisions.object_state import ObjectTable
+from brookhinge.decisions.origin_breaker import OriginCircuitBreaker
+from brookhinge.decisions.outliers import OutlierEjector
+from brookhinge.decisions.purges import PurgeRecord
+from brookhinge.decisions.request_state import FillKind, RequestState
+from brookhinge.decisions.retry_budget import RetryBudget
+from brookhinge.decisions.rules import AttemptResult, Ran, Refusal
+from brookhinge.decisions.server_selection import ServerSelector
+from brookhinge.decisions.settings import (
+    FillPolicy,
+    Idempotency,
+    Location,
+    NoteDetail,
+    RequestClass,
+    RouterLimits,
+    SlowStart,
+)
+from brookhinge.decisions.sink import Attempt, DecisionSink, Retention
+from brookhinge.decisions.slow_start import SlowStartBudget
+from brookhinge.decisions.throughput import ThroughputEstimate
+
+REBALANCE_S = 10.0
+REBALANCE_REQUESTS = 1000  # counted since the last time: few would move sub-ranges by chance
+MIN_TIME_LEFT_S = 0.002
+HURRY_S = 0.2  # beside a transfer: what the way by a cache may take
+COPY_MARGIN_S = 0.02  # of the time left that is not used when a copy is promised
+DEADLINE_MARGIN_S = 0.001
+MAX_DIRECT_IN_FLIGHT = 16
+FIRST_ATTEMPT_SHARE = 0.6  # of the time left, where another attempt fits behind it
+ATTEMPTS_CUT_SHORT = 3
+RETRY_TIME_FACTOR = 6.0  # of an object's own time that an attempt must leave room for
+RETRY_TIME_MARGIN_S = 0.3
+RETRY_AFTER_BASE_S = 0.1
+RETRY_AFTER_SPREAD_S = 0.15
+DEMAND_COUNT = 2  # requests lately from which a copy is worth more than others
+
+ENDED_AT_ORIGIN = (ResponseNote.VIA_ORIGIN, ResponseNote.SOURCE_REFUSED, ResponseNote.ORIGIN_FAILED)
+
+
+class Router:
+    """All decisions of one router. Times are seconds of the caller's clock.
+
+    Attributes:
+        requests: requests without a final response.
+        fills_in_flight: attempts that are expected to come through the uplink.
+        knows_all_purges: False while a purge may have been told that is not known here yet.
+    """
+
+    def __init__(
+        self,
+        seed: int,
+        *,
+        request_classes: Sequence[RequestClass],
+        location: Location,
+        limits: RouterLimits,
+        fill_policy: FillPolicy,
+        cache_slow_start: SlowStart,
+        parent_slow_start: SlowStart,
+        purge_settled_s: float,
+        server_kinds: tuple[str, str],
+        machine: Any = None,
+        retry_schedule: Any = None,
+    ):
+        """`server_kinds` is what the list calls parents and origins.
+
+        `machine` tells memory and link of the router (`Bounds` of `brookhinge/startup.py`), None keeps no copies.
+        `retry_schedule` gives rejected clients a time to come back; None gives a short random one.
+        """
+        self.chance = Random(seed)
+        self.request_classes = request_classes
+        self.limits = limits
+        self.fill_policy = fill_policy
+        self.retry_schedule = retry_schedule
+        self.requests: dict[int, RequestState] = {}
+        self.fills_in_flight = 0
+        self.knows_all_purges = True
+        self.now = 0.0
+        self.sink: DecisionSink | None = None
+        self.requests_counted = 0
+        self._rebalance_at = REBALANCE_S
+        self.endpoints = EndpointTable(*server_kinds, location.zone)
+        self.rings = BeaconRings()
+        self.objects = ObjectTable(machine.memory_mb if machine else None)
+        self.purges = PurgeRecord(purge_settled_s)
+        self.statistics = ClassStatistics(request_classes)
+        self.origin_breaker = OriginCircuitBreaker()
+        self.retry_budget = RetryBudget(self.chance)
+        self.local_cache = LocalCache()
+        if machine:
+            self.local_cache = LocalCache(machine.memory_mb, machine.flow_bytes_s, machine.link_bytes_s)
+        self.slow_start = {
+            ServerRole.CACHE: self.create_slow_start_budget(cache_slow_start, location.routers_here),
+            ServerRole.PARENT: self.create_slow_start_budget(parent_slow_start, location.routers),
+        }
+        self.cache_outliers = self.create_cache_ejector()
+        self.parent_outliers = OutlierEjector()
+        self.concurrency = self.create_concurrency_limiter(location.routers_here)
+        self.throughput = ThroughputEstimate(self.endpoints, self.slow_start, location.weights_known)
+        self._join_mechanisms(location.routers_here)
+
+    def create_slow_start_budget(self, start: SlowStart, routers: int) -> SlowStartBudget:
+        """Makes the budget of a role of servers."""
+        return SlowStartBudget(start, routers)
+
+    def create_concurrency_limiter(self, routers: int) -> ConcurrencyLimiter:
+        """Makes the limiter of what is in flight."""
+        return ConcurrencyLimiter(routers)
+
+    def create_cache_ejector(self) -> OutlierEjector:
+        """Makes the outlier ejector of the caches."""
+        return OutlierEjector()
+
+    def _join_mechanisms(self, routers_here: int) -> None:
+        """Makes what needs several mechanisms."""
+        shared = {"concurrency": self.concurrency, "statistics": self.statistics}
+        self.eligibility = ServerEligibility(
+            self.endpoints,
+            slow_start=self.slow_start,
+            cache_outliers=self.cache_outliers,
+            parent_outliers=self.parent_outliers,
+            throughput=self.throughput,
+            chance=self.chance,
+            **shared,
+        )
+        self.selector = ServerSelector(
+            self.endpoints,
+            rings=self.rings,
+            objects=self.objects,
+            eligibility=self.eligibility,
+            siblings=self.fill_policy.siblings,
+            chance=self.chance,
+            **shared,
+        )
+        self.fill_planner = FillPlanner(
+            self.endpoints,
+            eligibility=self.eligibility,
+            origin_breaker=self.origin_breaker,
+            routers_here=routers_here,
+            chance=self.chance,
+            **shared,
+        )
+        self.feedback = Feedback(
+            self.endpoints,
+            throughput=self.throughput,
+            purges=self.purges,
+            notes=self.fill_policy.notes,
+            **shared,
+        )
+        self.fault_attribution = FaultAttribution(
+            self.endpoints,
+            concurrency=self.concurrency,
+            cache_outliers=self.cache_outliers,
+            parent_outliers=self.parent_outliers,
+            notes=self.fill_policy.notes,
+        )
+
+    # messages
+
+    def process(self, now: float, messages: Iterable[Any], sink: DecisionSink) -> None:
+        """One round: handles the messages in order."""
+        self.now = now
+        self.sink = sink
+        for message in messages:
+            self.handle(message)
+        if now >= self._rebalance_at and self.requests_counted >= REBALANCE_REQUESTS:
+            self._rebalance()
+
+    def handle(self, message: Any) -> None:
+        """Handles one message; TypeError for one that this router does not take."""
+        match message:
+            case RequestArrived():
+                self.on_request(message)
+            case AttemptEnded():
+                self.on_attempt_ended(message)
+            case RequestWithdrawn():
+                self.on_withdrawn(message)
+            case EndpointsListed():
+                self.on_endpoints(message)
+            case ObjectsPurged():
+                self.on_purge(message)
+            case RouterCountChanged():
+                self.on_router_count(message)
+            case _:
+                raise TypeError(f"message: expected one that this router takes, got {type(message).__name__}")
+
+    def on_endpoints(self, listed: EndpointsListed) -> None:
+        """Takes an endpoint list; what is known of servers that are gone is dropped with their index."""
+        endpoints = self.endpoints
+        local_caches = endpoints.local_caches
+        endpoints.update(self.now, listed.is_complete, listed.endpoints)
+        for c, emptied_at in enumerate(endpoints.emptied_at):
+            if emptied_at == self.now and endpoints.role[c] in self.slow_start:
+                self.slow_start[endpoints.role[c]].forget_credit(c, self.now)
+        for c in endpoints.newly_indexed:
+            for mechanism in (
+                *self.slow_start.values(),
+                self.cache_outliers,
+                self.parent_outliers,
+                self.concurrency,
+                self.fault_attribution,
+            ):
+                mechanism.forget(c)
+        if endpoints.local_caches != local_caches or not self.rings.rings:
+            self.rings.assign(endpoints.local_caches)
+
+    def on_request(self, message: RequestArrived) -> None:
+        """Takes a request and decides on it."""
+        is_first = not message.retry_age_s  # a retry counts under its first try
+        state = self.objects.get_or_add(message.key, message.part, message.group)
+        state.count += is_first
+        state.requests += is_first
+        self.requests_counted += is_first
+        self.rings.record_load(state.code, is_first)
+        request_class = self.request_classes[message.request_class]
+        pace = self.fill_policy.transfer_kb_s
+        request = RequestState(
+            message.request_id,
+            message.request_class,
+            request_class,
+            state,
+            now=self.now,
+            timeout_s=message.timeout_s,
+            is_uncacheable=message.is_write or request_class.uncacheable,
+            transfer_s=message.size_kb / pace if message.size_kb and pace else 0.0,
+            retry_client=message.retry_client,
+        )
+        self.requests[message.request_id] = request
+        self.statistics.record_transfer(message.request_class, request.transfer_s)
+        request.priority_weight = self._priority_weight(request, message.retry_age_s)
+        self.retry_budget.earn(self.now, is_first)
+        if (
+            self.retry_schedule is None
+            or message.retry_client is None
+            or self._keeps_schedule(request, is_first)
+        ):
+            self.route(request)
+
+    def _priority_weight(self, request: RequestState, retry_age_s: float) -> float:
+        """The part of its utility that a response can still earn: a late retry has missed its first try's objective."""
+        one = request.request_class
+        transfer_s = request.transfer_s or self.statistics.transfer_s[request.class_index]
+        needed_s = self.statistics.response_s[request.class_index] - one.objective_stretch * transfer_s
+        return one.late_share if retry_age_s > max(0.0, one.latency_objective_s - needed_s) else 1.0
+
+    def _keeps_schedule(self, request: RequestState, is_first: bool) -> bool:
+        """Whether a client did not come back before its time; else it is told the same time again."""
+        name = self._schedule_name(request)
+        wait_s, request.is_scheduled = self.retry_schedule.arrives(self.now, request.retry_client, name)
+        if wait_s:
+            del self.requests[request.request_id]
+            self.sink.reject(request.request_id, wait_s, Refusal.EARLY)
+            return False
+        if request.is_scheduled:  # what was promised holds
+            request.priority_weight = 1.0
+        if is_first:
+            self.retry_schedule.newcomer(self.now, self.statistics.transfer_s[request.class_index])
+        return True
+
+    def on_attempt_ended(self, end: AttemptEnded) -> None:
+        """Learns from the end of an attempt, and retries or answers a request that still waits."""
+        request = self.requests.get(end.request_id)
+        c = self.endpoints.index.get(end.server)
+        due_at = self.origin_breaker.fill_ended(end.request_id)
+        if c is not None:
+            self.endpoints.in_flight[c] = max(0, self.endpoints.in_flight[c] - 1)
+        if request is None or c is None:
+            return
+        self.fills_in_flight -= request.fills_upstream
+        if due_at is not None:
+            self._record_fill_end(end, due_at)
+        if end.result != AttemptResult.UNSENT:
+            outcome = AttemptOutcome(
+                request, c, end.result, end.took_s, end.note, end.waited_s, self.now, self.fills_in_flight
+            )
+            is_lagging = self.feedback.learn(outcome)
+            self.fault_attribution.judge(outcome, is_lagging, self.sink)
+        if request.is_scheduled and end.result == AttemptResult.SATISFIED:
+            self.retry_schedule.counts["served"] += 1
+        if end.copy is not None:
+            self._keep_copy(request, end)
+        if end.is_final or request.is_withdrawn:
+            del self.requests[end.request_id]
+        elif end.result == AttemptResult.UNSENT:
+            # Drains, purges, budgets and windows may have changed meanwhile; nothing ran, so all is decided anew.
+            request.attempts -= 1
+            self.route(request)
+        else:
+            if end.result not in rules.NEVER_RAN and request.may_have_run is None:
+                request.may_have_run = Ran(self.endpoints.zone[c], self.endpoints.cell[c], request.sent_at)
+            self.retry(request, end.result)
+
+    def _record_fill_end(self, end: AttemptEnded, due_at: float) -> None:
+        """Counts a fill that ended at the origin. One given up before it was due, by a client in a hurry, tells nothing."""
+        is_given_up = end.result in (AttemptResult.TIMEOUT, AttemptResult.CANCELLED)
+        is_overdue = is_given_up and due_at < self.now
+        broke_on_the_way = end.note == ResponseNote.SOURCE_BROKE and end.result != AttemptResult.FULL
+        if is_overdue or end.note in ENDED_AT_ORIGIN or broke_on_the_way:
+            is_good = end.result == AttemptResult.SATISFIED and due_at >= self.now
+            self.origin_breaker.record(self.now, is_good)
+
+    def _keep_copy(self, request: RequestState, end: AttemptEnded) -> None:
+        """Keeps a response that may be given to others. It may have come after a purge that was heeded meanwhile."""
+        request_class = request.request_class
+        if request_class.idempotency is not Idempotency.REPEATABLE or request.is_uncacheable:
+            return
+        max_age_s = self.purges.max_age_s(request.object, request_class, self.now, accept_stale=True)
+        is_young = not max_age_s or self.now - end.copy.made_at < max_age_s
+        if is_young and end.copy.made_at > request.object.purged_at:
+            name = request.class_index, request.object.code
+            self.local_cache.keep(name, request.object, end.copy, request.request_id, self.sink)
+
+    def on_withdrawn(self, withdrawn: RequestWithdrawn) -> None:
+        """Notes that no response is owed any more; the request ends with its attempt."""
+        if withdrawn.request_id in self.requests:
+            self.requests[withdrawn.request_id].is_withdrawn = True
+
+    def on_purge(self, purge: ObjectsPurged) -> None:
+        """Keeps the moment of the purge and forgets what held the objects."""
+        at = self.now - purge.age_s
+        self.purges.add(self.now, purge.key or purge.group, at)
+        for state in {*self.objects.states.values(), *(r.object for r in self.requests.values())}:
+            if state.is_covered_by_purge(purge.key, purge.group):
+                state.record_purge(at)
+        self.local_cache.drop_purged(purge.key, purge.group, self.sink)
+
+    def on_router_count(self, count: RouterCountChanged) -> None:
+        """Divides limits by other numbers of routers from here on."""
+        self.slow_start[ServerRole.CACHE].routers = count.here
+        self.slow_start[ServerRole.PARENT].routers = count.everywhere
+        self.concurrency.routers = count.here
+        self.fill_planner.routers_here = count.here
+
+    # the path of a request
+
+    def route(self, request: RequestState) -> None:
+        """Sends one attempt for a request, or its final response."""
+        now = self.now
+        time_left_s = request.deadline - now
+        if time_left_s <= MIN_TIME_LEFT_S:
+            return self.refuse(request, Refusal.NO_TIME)
+        if request.attempts >= self.limits.max_attempts:
+            return self.refuse(request, Refusal.ATTEMPTS_USED)
+        if time_left_s < request.transfer_s + HURRY_S and self.respond_from_copy(request):
+            return None
+        share = fair_share(request, self.statistics)
+        choice = self.selector.choose(request, min(1.0, share), now)
+        if choice is None:
+            return self._route_directly(request)
+        if not choice.has_capacity:
+            return self.refuse(request, Refusal.CROWDED)
+        plan = self.fill_planner.plan(
+            request, choice, fair_share=share, fills_in_flight=self.fills_in_flight, now=now
+        )
+        if isinstance(plan, Refusal):
+            return self.refuse(request, plan)
+        return self._send(
+            request,
+            choice.server,
+            plan,
+            retention=_retention(request),
+            max_age_s=self._max_age_s(request),
+            renews=request.request_class.fresh_s > 0,
+        )
+
+    def _route_directly(self, request: RequestState) -> None:
+        """Goes straight to a parent or the origin where no cache may take it and that is allowed."""
+        endpoints = self.endpoints
+        if not self.fill_policy.allows_direct:
+            return self.refuse(request, Refusal.NO_SERVER)
+        if endpoints.local_caches and not self.retry_budget.take_token():
+            return self.refuse(request, Refusal.NO_SERVER)
+        work = self.statistics.transfer_s[request.class_index]
+        server = self.eligibility.first_upstream(request, work, self.now)
+        if (
+            server is None
+            or endpoints.in_flight[server] > MAX_DIRECT_IN_FLIGHT
+            or not self.eligibility.may_repeat(server, request, self.now)
+        ):
+            return self.refuse(request, Refusal.NO_SERVER)
+        max_age_s = self.purges.max_age_s(request.object, request.request_class, self.now, accept_stale=False)
+        plan = FillPlan(FillKind.NONE, server)
+        return self._send(request, server, plan, retention=Retention.NONE, max_age_s=max_age_s, renews=False)
+
+    def _max_age_s(self, request: RequestState) -> float:
+        """The oldest copy that a cache may answer with: a stale one while fills earn less."""
+        accept_stale = self.statistics.prefers_stale(request.class_index) or request.is_lookup_only
+        return self.purges.max_age_s(request.object, request.request_class, self.now, accept_stale)
+
+    def _send(
+        self,
+        request: RequestState,
+        server: int,
+        plan: FillPlan,
+        *,
+        retention: Retention,
+        max_age_s: float,
+        renews: bool,
+    ) -> None:
+        """Notes an attempt and forwards it."""
+        now = self.now
+        request.attempts += 1
+        request.server = server
+        request.source = plan.source
+        request.fill = plan.kind
+        request.sent_at = now
+        request.retention = retention
+        self.endpoints.in_flight[server] += 1
+        self.fills_in_flight += request.fills_upstream
+        if plan.kind is FillKind.UPSTREAM and self.fill_policy.notes is NoteDetail.ALL:
+            due_at = now + full_utility_within_s(request, self.statistics)
+            self.origin_breaker.fill_started(request.request_id, due_at)
+        self.cache_outliers.note_attempt(server, now)
+        self.parent_outliers.note_attempt(plan.source, now)
+        attempt = Attempt(
+            server=self.endpoints.ids[server],
+            deadline=now + self._attempt_timeout_s(request),
+            fill_from=self.endpoints.ids[plan.source],
+            retention=retention,
+            max_age_s=max_age_s,
+            joins_fill=self.fill_policy.joins_fills,
+            cached_only=plan.kind is FillKind.SIBLING or plan.kind is FillKind.UPSTREAM_CACHED,
+            renews=renews,
+        )
+        self.sink.forward(request.request_id, attempt)
+
+    def _attempt_timeout_s(self, request: RequestState) -> float:
+        """How long an attempt is waited for: cut short only where another fits behind it."""
+        time_left_s = request.deadline - self.now
+        needed_s = RETRY_TIME_FACTOR * max(request.object.best_s, request.transfer_s)  # 0: not known
+        first_s = time_left_s * FIRST_ATTEMPT_SHARE
+        can_retry = request.attempts < min(self.limits.max_attempts, ATTEMPTS_CUT_SHORT)
+        if can_retry and needed_s and needed_s + RETRY_TIME_MARGIN_S < first_s:
+            return first_s
+        return time_left_s - DEADLINE_MARGIN_S
+
+    def retry(self, request: RequestState, result: AttemptResult) -> None:
+        """After an attempt that did not answer: another, or the final response. No effect twice."""
+        is_shed_or_missed = result in (AttemptResult.FULL, AttemptResult.MISS)
+        if request.fill is FillKind.SIBLING and is_shed_or_missed:  # it retries home, outside the budget
+            request.object.holders.pop(request.source, None)
+            return self.route(request)
+        if result == AttemptResult.MISS and request.fill is FillKind.UPSTREAM_CACHED:
+            request.parent_missed = True
+            return self.route(request)
+        if result == AttemptResult.MISS and request.fills_from_nobody:
+            request.lookup_missed = True
+            if request.is_lookup_only:
+                return self.refuse(request, Refusal.NOT_HELD)
+            return self.route(request)
+        self._note_failure(request, result)
+        if request.may_have_run is not None and request.request_class.idempotency is Idempotency.ONCE:
+            return self.refuse(request, Refusal.MAY_HAVE_RUN)
+        if (
+            not self.retry_budget.take_token()
+        ):  # no budget to fill it from elsewhere: an old copy is looked for
+            accepts_stale = request.request_class.stale_s > 0
+            if request.is_lookup_only or request.fills_from_nobody or not accepts_stale:
+                return self.refuse(request, Refusal.RETRY_BUDGET)
+            request.is_lookup_only = True
+        return self.route(request)
+
+    def _note_failure(self, request: RequestState, result: AttemptResult) -> None:
+        """Notes which server or source failed a request: it is not asked again for that."""
+        is_first_fill_error = (
+            result == AttemptResult.ERRORED and request.fills_upstream and not request.failed_sources
+        )
+        if result in (AttemptResult.FULL, AttemptResult.MISS) or is_first_fill_error:
+            request.failed_sources.add(request.source)
+        is_sources_fault = request.source in request.failed_sources
+        if not is_sources_fault or request.fills_from_nobody or request.is_held:
+            request.failed_servers.add(request.server)
+
+    # final responses
+
+    def refuse(self, request: RequestState, reason: Refusal) -> None:
+        """The final response, at once; the client is invited to repeat only where that can do no harm."""
+        if self.respond_from_copy(request):
+            return
+        if rules.may_invite_repeat(request.request_class, request.may_have_run):
+            self.sink.reject(request.request_id, self._retry_after_s(request), reason)
+        else:
+            self.sink.fail(request.request_id, reason)
+        del self.requests[request.request_id]
+
+    def respond_from_copy(self, request: RequestState) -> bool:
+        """Answers from memory, if a copy there will do and comes in time; returns whether it did."""
+        if not self.knows_all_purges:
+            return False
+        one = request.request_class
+        name = request.class_index, request.object.code
+        time_left_s = min(request.deadline - self.now, one.latency_objective_s + request.transfer_s)
+        max_age_s = self.purges.max_age_s(request.object, one, self.now, accept_stale=True)
+        if not self.local_cache.reserve(name, self.now, max_age_s, time_left_s - COPY_MARGIN_S):
+            return False
+        self.sink.respond_from_copy(request.request_id, name)
+        del self.requests[request.request_id]
+        return True
+
+    def _retry_after_s(self, request: RequestState) -> float:
+        """Seconds after which to come back: a place in the retry schedule, where one can be told."""
+        if self.retry_schedule is None or request.retry_client is None:
+            random_s = RETRY_AFTER_BASE_S + RETRY_AFTER_SPREAD_S * self.chance.random()
+            return min(self.limits.max_retry_after_s, random_s)
+        highest = max(one.utility for one in self.request_classes)
+        return self.retry_schedule.place(
+            self.now,
+            request.retry_client,
+            self._schedule_name(request),
+            self.statistics.transfer_s[request.class_index],
+            0.5 + 0.5 * request.request_class.utility / highest,
+            lambda at: self.eligibility.local_capacity(at, self.now),
+        )
+
+    def _schedule_name(self, request: RequestState) -> tuple[int, str, int]:
+        return request.class_index, request.object.key, request.object.part
+
+    # what the engine asks
+
+    def slow_start_bound(self, server: int | str, now: float) -> tuple[float, float] | None:
+        """Returns the seconds of transfer that all routers may send a server in a window, and the window.
+
+        None for a server that is warm, or that nothing overloads.
+        """
+        c = self.endpoints.index.get(server)
+        budget = self.slow_start.get(self.endpoints.role[c]) if c is not None else None
+        if budget is None or not budget.is_limited(now, self.endpoints.warming_since[c]):
+            return None
+        mean_s = self.statistics.mean_transfer_s()
+        power = self.throughput.power(c, self.now)
+        capacity = budget.capacity(now, self.endpoints.warming_since[c], power)
+        calls = budget.overload_work(capacity) / mean_s
+        return rules.slow_start_bound(calls) * mean_s, budget.start.window_s
+
+    def mean_transfer_s(self, class_index: int) -> float:
+        """Returns the mean transfer time of a request class."""
+        return self.statistics.transfer_s[class_index]
+
+    def forget_request(self, request_id: int) -> None:
+        """Drops a request that ended without the decisions."""
+        self.requests.pop(request_id, None)
+
+    def _rebalance(self) -> None:
+        """Sub-ranges follow the load; object counts are halved."""
+        self._rebalance_at = self.now + REBALANCE_S
+        self.requests_counted = 0
+        self.rings.rebalance(lambda c: self.endpoints.weight[c] or 1.0)
+        self.objects.halve_counts()
+
+
+def _retention(request: RequestState) -> Retention:
+    """How much a cache should want to keep the object."""
+    if request.is_uncacheable:
+        return Retention.NONE
+    return Retention.IN_DEMAND if request.object.count >= DEMAND_COUNT else Retention.NORMAL
--- a/brookhinge/decisions/rules.py
+++ b/brookhinge/decisions/rules.py
@@ -9,6 +9,7 @@
 
 from brookhinge.decisions.settings import DeduplicationScope, Idempotency
 
+NEVER = -1e9  # a time before any other
 SEND_STATE = "ready"  # the only state of a server that takes new work, as server or as source of a fill
 CONNECT_MARGIN_S = 0.1  # a push may wait so long for its connection: a window of repeats ends earlier by that
 DEADLINE_SLACK_S = 0.15  # by how much the deadline passed to a server may exceed what the client has left
--- /dev/null
+++ b/brookhinge/decisions/server_selection.py
@@ -0,0 +1,141 @@
+"""Which cache a request goes to: a holder of the object, else its home on the beacon rings, else who stands in for that.
+
+An object in demand gets one cache more, filled from a holder.
+"""
+
+from collections.abc import Sequence
+from random import Random
+from typing import NamedTuple
+
+from brookhinge.decisions.beacon_rings import BeaconRings
+from brookhinge.decisions.class_statistics import ClassStatistics
+from brookhinge.decisions.concurrency import ConcurrencyLimiter
+from brookhinge.decisions.eligibility import ServerEligibility
+from brookhinge.decisions.endpoints import EndpointTable
+from brookhinge.decisions.object_state import ObjectTable
+from brookhinge.decisions.request_state import RequestState
+from brookhinge.decisions.settings import SiblingFills
+
+SLOW_EVIDENCE_S = (
+    2.0  # seconds of transfer that must speak of a cache before it counts as slower than its peers
+)
+
+
+class CacheChoice(NamedTuple):
+    """The cache chosen for a request."""
+
+    server: int
+    has_capacity: bool
+    is_holder: bool  # it served a fresh copy lately
+    sibling: int | None = None  # the holder that it is to be filled from
+
+
+class ServerSelector:
+    """Chooses the cache of a request. Times are seconds."""
+
+    def __init__(
+        self,
+        endpoints: EndpointTable,
+        *,
+        rings: BeaconRings,
+        objects: ObjectTable,
+        eligibility: ServerEligibility,
+        concurrency: ConcurrencyLimiter,
+        statistics: ClassStatistics,
+        siblings: SiblingFills,
+        chance: Random,
+    ):
+        self._endpoints = endpoints
+        self._rings = rings
+        self._objects = objects
+        self._eligibility = eligibility
+        self._concurrency = concurrency
+        self._statistics = statistics
+        self._siblings = siblings
+        self._chance = chance
+
+    def choose(self, request: RequestState, share: float, now: float) -> CacheChoice | None:
+        """Returns the cache for a request that has that share of a limit; None if no cache may take it."""
+        work = self._statistics.transfer_s[request.class_index]
+        holders, candidates = self._candidates(request, now)
+        home = next((c for c in candidates if self._eligibility.admits_work(c, work, request, now)), None)
+        if home is None:
+            return None
+        server, has_capacity = self._with_capacity(home, request, holders, candidates, share, now)
+        fresh_s = request.request_class.fresh_s
+        is_stale = (
+            0.0 < fresh_s < now - request.object.filled_at
+        )  # a holder's copy past its fresh time is a fill
+        is_holder = server in holders and not is_stale
+        if is_holder and request.attempts == 0:
+            replica = self._new_replica(server, request, holders, share, now)
+            if replica is not None:
+                return CacheChoice(replica, has_capacity=True, is_holder=False, sibling=server)
+        return CacheChoice(server, has_capacity, is_holder)
+
+    def _candidates(self, request: RequestState, now: float) -> tuple[list[int], list[int]]:
+        """The holders that may be asked, and all caches that may be, in order: holders by load, home, stand-ins."""
+        endpoints = self._endpoints
+        beacon_order = self._rings.beacon_order(request.object.code)
+        holders: list[int] = []
+        if not request.is_uncacheable:  # what runs at the origin is held by nobody
+            known = self._eligibility.current_holders(request.object, now)
+            holders = [c for c in known if c in beacon_order and c not in request.failed_servers]
+        load = {
+            c: (endpoints.in_flight[c] / (endpoints.weight[c] or 1.0), self._chance.random()) for c in holders
+        }
+        order = sorted(holders, key=load.get)
+        order += [c for c in beacon_order if c not in load]
+        return holders, [c for c in order if self._eligibility.is_open(c, request, now)]
+
+    def _with_capacity(
+        self,
+        home: int,
+        request: RequestState,
+        holders: Sequence[int],
+        candidates: Sequence[int],
+        share: float,
+        now: float,
+    ) -> tuple[int, bool]:
+        """The chosen cache, or another in its place that has capacity; and whether it has.
+
+        Elsewhere than at a holder the request would miss and be filled anew, so only holders stand in for one another,
+        unless the cache alone is crowded and not all are.
+        """
+        if self._eligibility.has_capacity(home, share, now):
+            return home, True
+        peers = self._endpoints.local_caches
+        is_slow = self._concurrency.is_slower_than_peers(home, now, peers, evidence_s=SLOW_EVIDENCE_S)
+        if not is_slow and home not in holders:
+            return home, False
+        work = self._statistics.transfer_s[request.class_index]
+        others = [
+            c
+            for c in candidates
+            if (is_slow or c in holders) and c != home and self._eligibility.has_capacity(c, share, now)
+        ]
+        other = next((c for c in others if self._eligibility.admits_work(c, work, request, now)), None)
+        return (home, False) if other is None else (other, True)
+
+    def _new_replica(
+        self, holder: int, request: RequestState, holders: Sequence[int], share: float, now: float
+    ) -> int | None:
+        """The cache that should hold the object too, if its demand asks for one more and that can take it."""
+        caches = self._endpoints.local_caches
+        max_holders = (len(caches) + 1) // 2
+        if len(holders) >= max_holders:
+            return None
+        if self._objects.replication_utility(request.object, len(holders), now) <= 1.0:
+            return None
+        last = caches.index(holders[-1])
+        replica = next((c for c in caches[last + 1 :] + caches[:last] if c not in holders), None)
+        if replica is None or self._siblings is SiblingFills.NONE:
+            return None
+        work = self._statistics.transfer_s[request.class_index]
+        can_fill = (
+            self._eligibility.is_open(replica, request, now)
+            and not self._eligibility.is_warming_up(holder, now)
+            and self._eligibility.has_capacity(replica, share, now)
+            and self._eligibility.admits_work(replica, work, request, now)
+        )
+        return replica if can_fill else None
--- a/brookhinge/engine/reducer.py
+++ b/brookhinge/engine/reducer.py
@@ -99,7 +99,7 @@
     def __init__(self, router, tracks, zones, lineage=None, tight=None, scores=None, traced=False):
         """traced: each step of each query comes out as an effect `trace`."""
         self.scores, self.traced = scores, traced
-        self.invariants = Invariants(router.purge_settled_s + PURGES_KEPT_S, router.slow_start_bound)
+        self.invariants = Invariants(router.purges.settled_s + PURGES_KEPT_S, router.slow_start_bound)
         self.refusals, self.retries = collections.Counter(), collections.Counter()  # by reason
         self.withdrawals = collections.Counter()
         self.router, self.lineage, self.tight = router, lineage, tight
@@ -143,7 +143,7 @@
     def reduce(self, now, events, knows_all=True):
         """One pass: the events, then the pushes whose time is over, then one round. knows_all: whether purges may be taken to
         be known that were told before this moment; else no copy of the router's own is an answer."""
-        self.router.knows_all = knows_all
+        self.router.knows_all_purges = knows_all
         self.now, self.effects, self.inbox, self.shut, self.served = now, [], [], set(), {}
         self.facts = []
         if not self.begun:
@@ -181,7 +181,7 @@
             self.log(f"{type(fault).__name__}: {fault} ({where.name}, line {where.lineno}) in {method}")
         if query in self.queries:
             if not self.end_out(query):  # else the decisions still have to count what was out
-                self.router.queries.pop(query, None)
+                self.router.forget_request(query)
             self.fail(query, Refusal.FAULT)
 
     def current_step(self):
@@ -626,7 +626,7 @@
         q = self.queries.get(query)
         if q is None or self.closed:
             raise RuleBroken(self.invariants.violated(Invariant.AFTER_END, f"a push of query {query}"))
-        track, work = self.router.request_classes[q.track], self.router.sending[q.track]
+        track, work = self.router.request_classes[q.track], self.router.mean_transfer_s(q.track)
         attempt = Attempt(cache, source, q.until - self.now, until - self.now, age_s, work)
         violation = self.invariants.of_attempt(self.now, q, track, attempt)
         if violation is not None:
--- a/brookhinge/limits/shared.py
+++ b/brookhinge/limits/shared.py
@@ -1,117 +1,173 @@
-"""The decisions where limits are shared: the same budgets, with parts that are told and demand that is counted. No I/O,
-no clock. A part that was told belongs to one start of a server; of another start, or of a limit that nothing was told
-of, a router has its own part, one of N."""
+"""The decisions where limits are shared: the same budgets, with quotas that are assigned and demand that is counted.
 
-from brookhinge.decide import ColdBudget, Crowding
+A quota belongs to one start of a server; of another start, or of a limit that no quota was assigned of, a router has its own
+part, one of N. No I/O, no clock.
+"""
+
+from typing import Any
+
+from brookhinge.decisions.concurrency import (
+    MIN_WEIGHT_SHARE,
+    WEIGHT_SHARE_RANGE,
+    ConcurrencyLimiter,
+)
+from brookhinge.decisions.endpoints import ServerRole
 from brookhinge.decisions.messages import QuotasAssigned
+from brookhinge.decisions.rules import SEND_STATE
+from brookhinge.decisions.settings import SlowStart
+from brookhinge.decisions.slow_start import SlowStartBudget
 
+OWN_SHARE = "own"  # names the part that a router has of all limits without a quota
+CONCURRENCY = "room"  # names the concurrency limit of a server
+MIN_DEMAND_SPAN_S = 0.05
 
-class SharedBudget(ColdBudget):
-    def __init__(self, start, routers):
-        super().__init__(start, routers)
-        self.parts, self.asked, self.own, self.refused_at = {}, {}, 0.0, None
 
-    def part(self, c, born):
-        told = self.parts.get(c)
-        return told[1] if told and told[0] == born else self.own / self.routers
+class SharedSlowStartBudget(SlowStartBudget):
+    """A budget with a quota for each server, that counts what is asked of it."""
 
-    def take(self, c, now, born, power, work, lump, chance, spare=0.0):
-        went = super().take(c, now, born, power, work, lump, chance, spare)
-        if (
-            went or self.refused_at != now
-        ):  # what a server refuses is wanting there, not at those asked in its place
+    def __init__(self, start: SlowStart, routers: int):
+        """As the plain budget."""
+        super().__init__(start, routers)
+        self.quotas: dict[int, tuple[float | None, float]] = {}  # of each server: (its start, quota)
+        self.asked: dict[int, float] = {}
+        self.own_share = 0.0
+        self._refused_at: float | None = None
+
+    def forget(self, c: int) -> None:
+        """Drops what is known of a server."""
+        super().forget(c)
+        self.quotas.pop(c, None)
+        self.asked.pop(c, None)
+
+    def share(self, c: int, started_at: float | None) -> float:
+        """Returns the quota for that start of a server, else the router's own part."""
+        quota = self.quotas.get(c)
+        return quota[1] if quota and quota[0] == started_at else self.own_share / self.routers
+
+    def admits(self, c: int, *, now: float, work: float, **other: Any) -> bool:
+        """As the plain budget, and counts the demand.
+
+        What a server refuses is wanting there, not at those asked in its place.
+        """
+        is_admitted = super().admits(c, now=now, work=work, **other)
+        if is_admitted or self._refused_at != now:
             self.asked[c] = self.asked.get(c, 0.0) + work
-        self.refused_at = None if went else now
-        return went
+        self._refused_at = None if is_admitted else now
+        return is_admitted
 
-    def settle(self, c, now, born, power, lump):
-        """What was saved up to now was saved at the part that held till now."""
-        if c in self.at:
-            come = self.whole(now, born, power, lump) * self.part(c, born) * (now - self.at[c])
-            self.credit[c], self.at[c] = self.credit.get(c, 0.0) + come, now
+    def settle(self, c: int, *, now: float, started_at: float, power: float, largest_s: float) -> None:
+        """Saves what came up to now, at the quota that held till now."""
+        if c in self.credited_at:
+            rate = self.fleet_rate(now, started_at, power, largest_s) * self.share(c, started_at)
+            income = rate * (now - self.credited_at[c])
+            self.credit[c] = self.credit.get(c, 0.0) + income
+            self.credited_at[c] = now
 
 
-class SharedCrowding(Crowding):
-    def __init__(self, routers):
-        super().__init__(routers)
-        self.parts, self.peaks, self.own = {}, {}, 0.0
-
-    def share(self, c):
-        return self.parts[c][1] if c in self.parts else self.own / self.routers
+class SharedConcurrencyLimiter(ConcurrencyLimiter):
+    """A limiter with a quota for each server, that notes the most that was wanted."""
 
-    def room(self, c, inflight, part, weight=0.0):
+    def __init__(self, routers: int):
+        """As the plain limiter."""
+        super().__init__(routers)
+        self.quotas: dict[int, tuple[float | None, float]] = {}  # of each server: (its start, quota)
+        self.peaks: dict[int, float] = {}  # of each server: the share that was wanted at most
+        self.own_share = 0.0
+
+    def forget(self, c: int) -> None:
+        """Drops what is known of a server."""
+        super().forget(c)
+        self.quotas.pop(c, None)
+        self.peaks.pop(c, None)
+
+    def share(self, c: int) -> float:
+        """Returns the quota for a server, else the router's own part."""
+        return self.quotas[c][1] if c in self.quotas else self.own_share / self.routers
+
+    def has_capacity(self, c: int, in_flight: int, share: float, weight: float = 0.0) -> bool:
+        """As the plain limiter, and notes the share that is wanted."""
         if weight:
-            self.peaks[c] = max(self.peaks.get(c, 0.0), ((inflight + 1) / weight - 0.6) / 1.9)
-        return super().room(c, inflight, part, weight)
+            wanted = ((in_flight + 1) / weight - MIN_WEIGHT_SHARE) / WEIGHT_SHARE_RANGE
+            self.peaks[c] = max(self.peaks.get(c, 0.0), wanted)
+        return super().has_capacity(c, in_flight, share, weight)
 
 
 class Sharing:
-    """Goes before Router: beside its messages it takes `QuotasAssigned`, and `demand(now)` tells what was asked since the last call."""
+    """Goes before Router: it also takes `QuotasAssigned`, and `demand` tells what was asked since the last call."""
 
-    def __init__(self, *args, **named):
+    def __init__(self, *args: Any, **named: Any):
+        """As the router."""
         super().__init__(*args, **named)
-        cold = self.cold
-        self.cold = {role: SharedBudget(old.start, old.routers) for role, old in cold.items()}
-        self.crowding, self.counted_at = SharedCrowding(self.crowding.routers), 0.0
-        self.figures += [
-            figures
-            for limit in (self.crowding, *self.cold.values())
-            for figures in vars(limit).values()
-            if isinstance(figures, dict)
-        ]
-
-    def handle(self, message):
+        self._demand_told_at = 0.0
+
+    def create_slow_start_budget(self, start: SlowStart, routers: int) -> SharedSlowStartBudget:
+        """Makes a budget with quotas."""
+        return SharedSlowStartBudget(start, routers)
+
+    def create_concurrency_limiter(self, routers: int) -> SharedConcurrencyLimiter:
+        """Makes a limiter with quotas."""
+        return SharedConcurrencyLimiter(routers)
+
+    def handle(self, message: Any) -> None:
+        """Handles one message."""
         if isinstance(message, QuotasAssigned):
-            self.parts(message.quotas)
+            for quota in message.quotas:
+                self._assign(*quota)
         else:
             super().handle(message)
 
-    def parts(self, rows):
-        """(kind, server, born, part) each; part None: its own again. Kind "own": the part that it has by itself of all
-        that nothing is told of, 0 to 1 times one of N."""
-        for kind, server, born, part in rows:
-            if kind == "own":
-                for limit in (self.crowding, *self.cold.values()):
-                    limit.own = part
-                continue
-            c, limit = self.fleet.index.get(server), self.crowding if kind == "room" else self.cold[kind]
-            if c is not None and kind != "room" and limit.cold(self.now, self.fleet.cold_from[c]):
-                limit.settle(c, self.now, self.fleet.cold_from[c], self.power(c), max(self.sending))
-            if c is not None and part is not None:
-                limit.parts[c] = born, part
-            else:
-                limit.parts.pop(c, None)
-
-    def demand(self, now):
-        """(kind, server, born, rate, whole) of each server that was asked: seconds of sending a second; whole 0 where it is
-        warm. Of room: what was in flight at most, beside what each may have."""
-        rows, fleet = [], self.fleet
-        elapsed = max(0.05, now - self.counted_at)
-        for role, budget in self.cold.items():
-            for c, work in budget.asked.items():
-                whole = (
-                    budget.whole(now, fleet.cold_from[c], self.power(c), max(self.sending))
-                    if budget.cold(now, fleet.cold_from[c]) and budget.start.overload_multiple > 0
-                    else 0.0
-                )
-                rows.append((role, fleet.ids[c], fleet.born[c], work / elapsed, whole))
-            rows += [
-                (
-                    role,
-                    fleet.ids[c],
-                    fleet.born[c],
-                    0.0,
-                    budget.whole(now, fleet.cold_from[c], self.power(c), max(self.sending)),
-                )
-                for c in (fleet.own if role == "cache" else fleet.parents)
-                if c not in budget.asked
-                and budget.cold(now, fleet.cold_from[c])
-                and budget.start.overload_multiple > 0
-            ]
+    def _assign(self, kind: str, server: int | str, started_at: float | None, quota: float | None) -> None:
+        """Takes one quota; None gives the router its own part again.
+
+        Of kind "own" it is the part that the router has by itself of all limits without a quota, 0 to 1 times one of N.
+        """
+        if kind == OWN_SHARE:
+            for limit in (self.concurrency, *self.slow_start.values()):
+                limit.own_share = quota
+            return
+        c = self.endpoints.index.get(server)
+        limit = self.concurrency if kind == CONCURRENCY else self.slow_start[kind]
+        if c is not None and kind != CONCURRENCY:
+            since = self.endpoints.warming_since[c]
+            if limit.is_warming_up(self.now, since):
+                power = self.throughput.power(c, self.now)
+                largest_s = self.statistics.largest_transfer_s()
+                limit.settle(c, now=self.now, started_at=since, power=power, largest_s=largest_s)
+        if c is not None and quota is not None:
+            limit.quotas[c] = started_at, quota
+        else:
+            limit.quotas.pop(c, None)
+
+    def demand(self, now: float) -> list[tuple]:
+        """Returns (kind, server, started_at, rate, fleet rate) of each limit that was asked for; begins anew to count.
+
+        Rates are seconds of transfer a second, the fleet's is 0 where the server is warm. Of concurrency limits it is the
+        share of a server that was wanted at most, and 1.
+        """
+        endpoints = self.endpoints
+        elapsed_s = max(MIN_DEMAND_SPAN_S, now - self._demand_told_at)
+        rows = []
+        for role, budget in self.slow_start.items():
+            local = endpoints.local_caches if role is ServerRole.CACHE else endpoints.parents
+            idle = [c for c in local if c not in budget.asked and self._is_limited(budget, c, now)]
+            for c, work in [*budget.asked.items(), *((c, 0.0) for c in idle)]:
+                rate = work / elapsed_s
+                fleet_rate = self._fleet_rate(budget, c, now)
+                rows.append((role.value, endpoints.ids[c], endpoints.started_at[c], rate, fleet_rate))
             budget.asked.clear()
-        for c, peak in self.crowding.peaks.items():
-            if fleet.state[c] == "ready" and peak > 0.0:
-                rows.append(("room", fleet.ids[c], fleet.born[c], peak, 1.0))
-        self.crowding.peaks.clear()
-        self.counted_at = now
+        for c, peak in self.concurrency.peaks.items():
+            if endpoints.state[c] == SEND_STATE and peak > 0.0:
+                rows.append((CONCURRENCY, endpoints.ids[c], endpoints.started_at[c], peak, 1.0))
+        self.concurrency.peaks.clear()
+        self._demand_told_at = now
         return rows
+
+    def _is_limited(self, budget: SlowStartBudget, c: int, now: float) -> bool:
+        return budget.is_limited(now, self.endpoints.warming_since[c])
+
+    def _fleet_rate(self, budget: SlowStartBudget, c: int, now: float) -> float:
+        if not self._is_limited(budget, c, now):
+            return 0.0
+        power = self.throughput.power(c, self.now)
+        since = self.endpoints.warming_since[c]
+        return budget.fleet_rate(now, since, power, self.statistics.largest_transfer_s())
--- a/brookhinge/membership/memory.py
+++ b/brookhinge/membership/memory.py
@@ -8,12 +8,16 @@
 
 import xxhash
 
-from brookhinge.decision_records import Doc
 from brookhinge.decisions.messages import WarmStartReceived
 from brookhinge.membership.view import ALIVE
 
 AGAIN_S, TRIES = 0.5, 6
 ROWS, MOST = 10, 200  # in one datagram; in all
+LONGEST_KEY = 64  # of objects whose holders are told
+# Kinds of rows.
+RING = "ring"
+TRANSFER_TIME = "takes"
+HOLDER = "holder"
 
 
 class Memory:
@@ -63,57 +67,70 @@
 
 
 class Remembering:
-    """Goes before Router: beside its messages it takes `WarmStartReceived`, and `memory()` tells what a peer may want."""
+    """Goes before Router: it also takes `WarmStartReceived`, and `memory` tells what a peer may want."""
+
+    def handle(self, message):
+        """Handles one message."""
+        if isinstance(message, WarmStartReceived):
+            for kind, *row in message.rows:
+                if kind == RING:
+                    self._learn_ring(*row)
+                elif kind == TRANSFER_TIME:
+                    self._learn_transfer_time(*row)
+                elif kind == HOLDER:
+                    self._learn_holder(*row)
+        else:
+            super().handle(message)
 
     def memory(self):
+        """Returns rows of what this router knows: (kind, text, number, text, number, number) each."""
+        ids = self.endpoints.ids
         rows = [
-            ("ring", self.fleet.ids[points[0]], len(points), "", ends[0], ends[1])
-            for points, ends, _ in self.rings.rings
-            if len(points) in (2, 3)
+            (RING, ids[ring.points[0]], len(ring.points), "", ring.range_ends[0], ring.range_ends[1])
+            for ring in self.rings.rings
+            if len(ring.points) in (2, 3)
         ]
         rows += [
-            ("takes", track.name, 0, "", mean, count)
-            for track, mean, count in zip(self.request_classes, self.sending, self.known)
+            (TRANSFER_TIME, one.name, 0, "", mean_s, samples)
+            for one, mean_s, samples in zip(
+                self.request_classes, self.statistics.transfer_s, self.statistics.samples
+            )
         ]
-        hot = sorted(
-            (doc for doc in self.docs.values() if self.holders(doc) and len(doc.key) <= 64),
-            key=lambda doc: -doc.count,
+        wanted = sorted(
+            (
+                state
+                for state in self.objects.states.values()
+                if self.eligibility.current_holders(state, self.now) and len(state.key) <= LONGEST_KEY
+            ),
+            key=lambda state: -state.count,
         )
         return rows + [
-            ("holder", doc.key, doc.part, self.fleet.ids[c], doc.group, doc.count)
-            for doc in hot[:MOST]
-            for c in doc.holders
+            (HOLDER, state.key, state.part, ids[c], state.group, state.count)
+            for state in wanted[:MOST]
+            for c in state.holders
         ]
 
-    def handle(self, message):
-        if isinstance(message, WarmStartReceived):
-            self.remember(message.rows)
-        else:
-            super().handle(message)
-
-    def remember(self, rows):
-        """What it has learnt itself by now goes before what it is told."""
-        for kind, name, number, other, one, two in rows:
-            if kind == "ring":
-                for points, ends, _ in self.rings.rings:
-                    if (
-                        self.fleet.ids[points[0]] == name
-                        and len(points) == number
-                        and 0 < one <= two <= ends[-1]
-                    ):
-                        ends[:-1] = [one, two][: number - 1]
-            elif kind == "takes":
-                for t, track in enumerate(self.request_classes):
-                    if track.name == name and two > self.known[t] and one > 0.0:
-                        self.sending[t], self.known[t] = one, two
-            elif kind == "holder":
-                c = self.fleet.index.get(other)
-                if c in self.fleet.own and len(self.docs) < self.most and not self.purged_lately(name, one):
-                    doc = self.docs.get((name, number)) or self.docs.setdefault(
-                        (name, number), Doc(name, number, one)
-                    )
-                    doc.holders.setdefault(c, self.now)
-                    doc.count = max(doc.count, two / 2.0)
-
-    def purged_lately(self, key, group):
-        return key in self.groups or group in self.groups
+    def _learn_ring(self, first, points, _, one, two):
+        """Takes over the sub-ranges of a ring that has the same points here."""
+        for ring in self.rings.rings:
+            is_same = self.endpoints.ids[ring.points[0]] == first and len(ring.points) == points
+            if is_same and 0 < one <= two <= ring.range_ends[-1]:
+                ring.range_ends[:-1] = [one, two][: points - 1]
+
+    def _learn_transfer_time(self, name, _, __, mean_s, samples):
+        """Takes over a class's mean transfer time where the peer has counted more requests."""
+        statistics = self.statistics
+        for i, one in enumerate(self.request_classes):
+            if one.name == name and samples > statistics.samples[i] and mean_s > 0.0:
+                statistics.transfer_s[i] = mean_s
+                statistics.samples[i] = samples
+
+    def _learn_holder(self, key, part, server, group, count):
+        """Takes over a holder of an object, unless that was purged lately."""
+        c = self.endpoints.index.get(server)
+        objects = self.objects
+        was_purged = self.purges.is_known(key) or self.purges.is_known(group)
+        if c in self.endpoints.local_caches and len(objects.states) < objects.max_objects and not was_purged:
+            state = objects.get_or_add(key, part, group)
+            state.holders.setdefault(c, self.now)
+            state.count = max(state.count, count / 2.0)
--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from brookhinge.decide import Router
+from brookhinge.decisions.router import Router
 from brookhinge.engine.reducer import Reducer
 from brookhinge.startup import Site
 
@@ -125,7 +125,7 @@
     def _share_outlier_evidence(self) -> None:
         from brookhinge.verdicts.verdicts import Verdicts
 
-        servers = self._reducer.router.fleet
+        servers = self._reducer.router.endpoints
         self._talk.add(
             lambda talk, now: Verdicts(
                 talk.peer.view,
@@ -134,7 +134,7 @@
                 talk.peer.version,
                 lambda: talk.counted[0],
                 self._reducer.seen,
-                lambda: len(servers.own),
+                lambda: len(servers.local_caches),
                 now,
             )
         )
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -139,7 +139,9 @@
 
             lineage = Lineage()
             returns = Returns(decisions["limits"].max_retry_after_s)
-        router = router_class(fleet)(self.site.seed, machine=self.site.bounds, returns=returns, **decisions)
+        router = router_class(fleet)(
+            self.site.seed, machine=self.site.bounds, retry_schedule=returns, **decisions
+        )
         return Reducer(
             router,
             [request_class.name.encode() for request_class in request_classes],
--- a/brookhinge/net/write_guard.py
+++ b/brookhinge/net/write_guard.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Callable
 
+from brookhinge.decisions.rules import HeldBack
 from brookhinge.engine.reducer import Reducer
 from brookhinge.engine.rounds import Rounds
 from brookhinge.net.caches import Decided
 from brookhinge.net.channel import Channel
 from brookhinge.net.front import Front
-from brookhinge.decisions.rules import HeldBack
 
 MIN_TIME_LEFT_S = 0.002  # an attempt with less time than this cannot be answered in time
 
--- a/brookhinge/purgelog/copies.py
+++ b/brookhinge/purgelog/copies.py
@@ -33,7 +33,7 @@
             self.drop_aside(lambda doc: True)
         elif rule is CopyRule.READMIT:
             self.drop_aside(lambda doc: purges.covers(doc.key, doc.group))
-            self.readmitted = {name: made for name, (_, made, _) in self.copies.held.items()}
+            self.readmitted = {name: made for name, (_, made, _) in self.local_cache.held.items()}
         elif rule is CopyRule.DROP:
             self.drop_aside(lambda doc: True)
 
@@ -41,18 +41,18 @@
         """Drops the copies set aside whose object was purged."""
         dropped = [
             name
-            for name, (doc, made, _) in self.copies.held.items()
+            for name, (doc, made, _) in self.local_cache.held.items()
             if made <= self.aside_until and purged(doc)
         ]
-        self.copies.drop(dropped, self.sink)
+        self.local_cache.drop(dropped, self.sink)
 
-    def own(self, query, q):
+    def respond_from_copy(self, request):
         """Answers from memory, if a copy there may be used, will do and comes in time."""
-        name = q.track, q.doc.code
-        held = self.copies.held.get(name)
-        if held is None or not self.proven or not self.admitted(name, held[1]):
+        name = request.class_index, request.object.code
+        held = self.local_cache.held.get(name)
+        if held is None or not self.proven or not self.admitted(name, held.made_at):
             return False
-        return super().own(query, q)
+        return super().respond_from_copy(request)
 
     def admitted(self, name, made):
         return made > self.aside_until or self.readmitted.get(name) == made
--- a/brookhinge/standin/rollout_cluster.py
+++ b/brookhinge/standin/rollout_cluster.py
@@ -33,7 +33,7 @@
 """
 # what a version may do before it runs as usual
 FAILS = (
-    "import brookhinge.decide as d, random; real = d.Router.on_request; d.Router.on_request = lambda self, request: "
+    "import brookhinge.decisions.router as d, random; real = d.Router.on_request; d.Router.on_request = lambda self, request: "
     "self.sink.reject(request.request_id, 0) if random.random() < {part} else real(self, request)"
 )
 LEAKS = (
--- a/brookhinge/standin/sharing.py
+++ b/brookhinge/standin/sharing.py
@@ -1,7 +1,7 @@
 """A fleet of routers that share limits and verdicts, or nothing, among modelled boxes in simulated time: the daemon's reducer,
 decisions and cores; wires and the news of the view are stood in for."""
 
-from brookhinge.decide import Router
+from brookhinge.decisions.router import Router
 from brookhinge.decisions.settings import (
     DeduplicationScope,
     FillPolicy,
@@ -82,7 +82,6 @@
                     parent_slow_start=SlowStart(1.0, 0.0, 0.0, 1.0),
                     purge_settled_s=6.0,
                     server_kinds=("parent", "origin"),
-                    reports=[],
                 ),
                 [b"pages"],
                 ["hub", "edge"],
@@ -96,7 +95,7 @@
             view = View(600.0)
             for k in range(routers):
                 view.take(0.0, (f"n{k}", k + 1, 1, 1, ALIVE, "h", k + 1, "z", 1, 0.0), "n0")
-            reducer, own = self.routers[n], self.routers[n].router.fleet
+            reducer, own = self.routers[n], self.routers[n].router.endpoints
             self.views.append(view)
             self.writers.append(Writer(self, n))
             self.cores.append(
@@ -109,7 +108,7 @@
                         1,
                         lambda: routers,
                         reducer.seen,
-                        lambda own=own: len(own.own),
+                        lambda own=own: len(own.local_caches),
                         0.0,
                     ),
                 ]
--- a/brookhinge/startup.py
+++ b/brookhinge/startup.py
@@ -115,6 +115,11 @@
         return self.checked(f"{self.name(key)}[{place}]", row[place], *form) if place < len(row) else default
 
 
+def read_load_columns(settings):
+    """The columns of a load report, as the router calls them."""
+    return [REPORT_FIELDS.get(c, c) for c in settings.table("Report", {}).names("Columns")]
+
+
 def read_start(settings):
     """The settings of an instance as the small records of the interface, by the names of Router's arguments."""
     rules, limits = settings.table("Rules", {}), settings.table("Limits", {})
@@ -200,7 +205,6 @@
         "parent_slow_start": parent_slow_start,
         "purge_settled_s": fam.span("GoneEverywhereNs", 0),
         "server_kinds": (kind("UpperKind"), kind("MasterKind")),
-        "reports": [REPORT_FIELDS.get(c, c) for c in report.names("Columns")],
     }
 
 
@@ -297,7 +301,7 @@
             more_than(0, calls, "Multiplex", WHOLE, 32),
         ),
         settings.names("Zones"),
-        [c.encode() for c in decisions["reports"]],
+        [c.encode() for c in read_load_columns(settings)],
         decisions,
         bool(top.take("storm", FLAG, False)),
     )
--- a/brookhinge/verdicts/shared.py
+++ b/brookhinge/verdicts/shared.py
@@ -1,82 +1,103 @@
-"""The decisions where verdicts are shared: tries and failures of caches are counted for the peers, and what all saw comes
-in beside own experience. No I/O, no clock."""
+"""The decisions where outlier evidence is shared.
 
-from brookhinge.decide import Health
-from brookhinge.decisions.messages import OutlierVerdictsChanged
-from brookhinge.decisions.rules import AttemptResult
+Tries and failures of caches are counted for the peers, and what follows from all routers' evidence comes in beside the router's
+own. No I/O, no clock.
+"""
+
+from collections.abc import Sequence
+from random import Random
+from typing import Any
+
+from brookhinge.decisions.messages import AttemptEnded, OutlierVerdictsChanged
+from brookhinge.decisions.outliers import EJECTION_S, OutlierEjector
+from brookhinge.decisions.rules import NEVER, SEND_STATE, AttemptResult
 from brookhinge.verdicts.verdicts import RAMP
 
-FIRST = (
-    0.1  # the part of the queries that comes back at once when a rest ends; the rest of them over the ramp
-)
+FIRST_SHARE = 0.1  # of the requests that come back at once when an ejection ends; the rest over the ramp
 
+# Verdicts as they are told; "rest" ejects.
+TRIAL = "trial"
+RAMP_UP = "ramp"
+ALONE = "alone"  # nobody has seen anything of it lately: as without peers
+WELL = "well"
 
-class SharedHealth(Health):
-    """Mechanism 2 with the fleet's evidence: a server that rests by it gets one query a turn, then more by and by."""
 
-    def __init__(self, chance):
+class FleetOutlierEjector(OutlierEjector):
+    """Ejects by the fleet's evidence too: such a server gets one request a turn, then more by and by."""
+
+    def __init__(self, chance: Random):
+        """`chance` draws which requests come back during a ramp."""
         super().__init__()
-        self.chance, self.counts, self.how, self.used = chance, {}, {}, {}
-        self.slow = (
-            False  # the answer that is judged came, late beside the peers': that is each router's own measure
-        )
-
-    def judge(self, c, now, failed, weight, peers):
-        tries, bad = self.counts.get(c, (0, 0.0))
-        self.counts[c] = tries + 1, bad + (weight if failed and not self.slow else 0.0)
-        if c in self.how:
-            self.used[c] = self.how[c][1]  # one answer a turn
-        return super().judge(c, now, failed, weight, peers)
-
-    def told(self, c, how, now, until):
-        if how == "well":
-            self.how.pop(c, None)
-            self.rest_until.pop(c, None)
-        elif how == "alone":  # nobody has seen anything of it lately: as without peers
-            self.how.pop(c, None)
-            self.rest_until[c] = now
+        self.counts: dict[int, tuple[int, float]] = {}  # (tries, failures) of this process
+        self.verdicts: dict[int, tuple[str, float]] = {}  # (verdict, until when)
+        # A response that counts as a failure was late beside the peers': that is each router's own measure.
+        self.is_late_response = False
+        self._chance = chance
+        self._turns_used: dict[int, float] = {}  # the end of the turn in which a server was tried
+
+    def forget(self, c: int) -> None:
+        """Drops what is known of a server."""
+        super().forget(c)
+        for figures in (self.counts, self.verdicts, self._turns_used):
+            figures.pop(c, None)
+
+    def observe(self, c: int, now: float, failed: bool, weight: float, peers: Sequence[int]) -> bool:
+        """As the plain ejector, and counts the evidence."""
+        tries, failures = self.counts.get(c, (0, 0.0))
+        self.counts[c] = tries + 1, failures + (weight if failed and not self.is_late_response else 0.0)
+        if c in self.verdicts:
+            self._turns_used[c] = self.verdicts[c][1]
+        return super().observe(c, now, failed, weight, peers)
+
+    def apply(self, c: int, verdict: str, now: float, until: float) -> None:
+        """Takes a verdict on a server."""
+        if verdict == WELL:
+            self.verdicts.pop(c, None)
+            self.ejected_until.pop(c, None)
+        elif verdict == ALONE:
+            self.verdicts.pop(c, None)
+            self.ejected_until[c] = now
         else:
-            self.how[c] = how, until
-            self.rest_until.setdefault(c, now)
+            self.verdicts[c] = verdict, until
+            self.ejected_until.setdefault(c, now)
 
-    def fit(self, c, now):
-        how, until = self.how.get(c, (None, 0.0))
-        if how is None or now >= until:
-            return super().fit(c, now)
-        if how == "trial":
-            return self.used.get(c) != until and now - self.trial_at.get(c, -1e9) >= self.REST
-        return how == "ramp" and self.chance.random() < max(FIRST, 1.0 - (until - now) / RAMP)
+    def is_eligible(self, c: int, now: float) -> bool:
+        """Whether a server may be asked, by the fleet's verdict while that holds, else as the plain ejector."""
+        verdict, until = self.verdicts.get(c, (None, 0.0))
+        if verdict is None or now >= until:
+            return super().is_eligible(c, now)
+        if verdict == TRIAL:
+            is_probe_due = now - self.probed_at.get(c, NEVER) >= EJECTION_S
+            return self._turns_used.get(c) != until and is_probe_due
+        return verdict == RAMP_UP and self._chance.random() < max(FIRST_SHARE, 1.0 - (until - now) / RAMP)
 
 
 class Judging:
-    """Goes before Router: beside its messages it takes `OutlierVerdictsChanged`, and `seen()` tells totals of this process."""
-
-    def __init__(self, *args, **named):
-        super().__init__(*args, **named)
-        self.health = SharedHealth(self.chance)
-        self.figures += [figures for figures in vars(self.health).values() if isinstance(figures, dict)]
+    """Goes before Router: it also takes `OutlierVerdictsChanged`, and `seen` tells totals of this process."""
 
-    def learn(self, q, c, result, *rest):
-        self.health.slow = result == AttemptResult.SATISFIED
-        super().learn(q, c, result, *rest)
+    def create_cache_ejector(self) -> FleetOutlierEjector:
+        """Makes the ejector that takes the fleet's verdicts."""
+        return FleetOutlierEjector(self.chance)
 
-    def handle(self, message):
+    def handle(self, message: Any) -> None:
+        """Handles one message."""
         if isinstance(message, OutlierVerdictsChanged):
-            self.verdicts(message.verdicts)
+            for server, verdict, seconds in message.verdicts:
+                c = self.endpoints.index.get(server)
+                if c is not None:
+                    self.cache_outliers.apply(c, verdict, self.now, self.now + seconds)
         else:
             super().handle(message)
 
-    def verdicts(self, rows):
-        """(server, how, seconds) each; how: rest, trial, ramp, alone, well."""
-        for server, how, seconds in rows:
-            c = self.fleet.index.get(server)
-            if c is not None:
-                self.health.told(c, how, self.now, self.now + seconds)
+    def on_attempt_ended(self, end: AttemptEnded) -> None:
+        """As the router."""
+        self.cache_outliers.is_late_response = end.result == AttemptResult.SATISFIED
+        super().on_attempt_ended(end)
 
-    def seen(self):
-        """(server, born, tries, failed) of caches, since they were last entered."""
+    def seen(self) -> list[tuple]:
+        """Returns (server, started_at, tries, failures) of caches, since they were last entered."""
         return [
-            (self.fleet.ids[c], self.fleet.born[c], *told)
-            for c, told in self.health.counts.items()
-            if self.fleet.state[c] == "ready"
+            (self.endpoints.ids[c], self.endpoints.started_at[c], *counts)
+            for c, counts in self.cache_outliers.counts.items()
+            if self.endpoints.state[c] == SEND_STATE
         ]
--- a/brookhinge/wirehost.py
+++ b/brookhinge/wirehost.py
@@ -3,8 +3,8 @@
 import json
 import sys
 
-from brookhinge.decide import Router
 from brookhinge.decisions.messages import AttemptEnded, RequestWithdrawn
+from brookhinge.decisions.router import Router
 from brookhinge.startup import TABLE, StartError, Table, read_start
 from brookhinge.wire.codec import Instance, WireError, number, parts, read_row
 
--- a/tests/crossings/test_cold_sum.py
+++ b/tests/crossings/test_cold_sum.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from brookhinge.decide import ColdBudget
 from brookhinge.decisions.messages import EndpointsListed
 from brookhinge.decisions.settings import SlowStart
+from brookhinge.decisions.slow_start import SlowStartBudget
 from tests.helpers import Bench
 
 START = SlowStart(0.2, 10.0, 2.5, 2.0)
 
 
-def over(routers, seed, works, power=6.0, unequal=False, idle_s=0.0, restart_at=None, made=ColdBudget):
+def over(routers, seed, works, power=6.0, unequal=False, idle_s=0.0, restart_at=None, made=SlowStartBudget):
     """By how many calls the worst window passes the bound, over one cold start at time 0 of which all are told at once;
     after idle_s far more is asked than the server can do, by some routers many times as much as by others."""
     chance = random.Random(seed)
@@ -25,14 +25,17 @@
         while (now := now + chance.expovariate(rate)) < START.warm_up_s:
             asked.append((now, i, chance.choice(works)))
     for budget in budgets:
-        budget.at[0], budget.credit[0] = 0.0, 0.0  # as Router.on_endpoints does at the telling
+        budget.credited_at[0], budget.credit[0] = 0.0, 0.0  # as Router.on_endpoints does at the telling
     sent, worst, done = [], -1e9, 0.0
     for now, i, work in sorted(asked):
         if restart_at is not None and now >= restart_at:
             restart_at, budgets = None, [made(START, routers) for _ in range(routers)]
             for budget in budgets:
-                budget.at[0], budget.credit[0] = now, 0.0
-        if budgets[i].take(0, now, 0.0, power, work, max(works), chances[i]):
+                budget.credited_at[0], budget.credit[0] = now, 0.0
+        admitted = budgets[i].admits(
+            0, now=now, started_at=0.0, power=power, work=work, largest_s=max(works), chance=chances[i]
+        )
+        if admitted:
             sent.append((now, work))
             done += work
             while sent[0][0] <= now - START.window_s:
@@ -68,9 +71,9 @@
 def test_the_bound_finds_what_is_saved_without_one():
     """Planted: what comes is kept for four windows, as it was, and nothing bounds one."""
 
-    class Saving(ColdBudget):
-        def bears(self, *values):
-            return super().bears(*values)[0], 1e9
+    class Saving(SlowStartBudget):
+        def fleet_limits(self, *values):
+            return super().fleet_limits(*values)[0], 1e9
 
     assert over(30, 1, (0.05,), idle_s=6.0, made=Saving) > 20.0
 
@@ -78,12 +81,12 @@
 def test_each_takes_more_than_its_part_and_the_bound_finds_it():
     """Planted: a part of a call rounded up by each."""
 
-    class Rounding(ColdBudget):
-        def take(self, c, now, born, power, work, lump, chance, spare=0.0):
+    class Rounding(SlowStartBudget):
+        def admits(self, c, *, now, **values):
             return (
-                super().take(c, now, born, power, work, lump, chance, spare)
-                or now - self.at.get("up", -9.0) > 2.0
-                and self.at.update(up=now) is None
+                super().admits(c, now=now, **values)
+                or now - self.credited_at.get("up", -9.0) > 2.0
+                and self.credited_at.update(up=now) is None
             )
 
     assert over(200, 1, (0.4, 0.06), made=Rounding) > 20.0
@@ -97,13 +100,13 @@
         b = Bench(weight=0.0, caches=range(21, 31), routers=8)
         for step in range(200):
             b.router.now = b.now = b.now + 0.1
-            for c in b.router.fleet.own:
-                b.router.carried(c, 0.05)
+            for c in b.router.endpoints.local_caches:
+                b.router.throughput.record_work(c, b.now, 0.05)
         rows = [b.row(c, "gone") for c in range(21, 21 + gone)] + [
             b.row(50 + n, born=b.now) for n in range(gone)
         ]
         b.call(EndpointsListed(False, rows))
-        return b.router.power(b.router.fleet.index[30])
+        return b.router.throughput.power(b.router.endpoints.index[30], b.now)
 
     assert 3.0 < power(0) <= power(6) < 4.1  # 0.05 s in 0.1 s at each, by each of 8 routers: 4.0
 
@@ -115,9 +118,9 @@
         b = Bench(weight=0.0, routers=40, tells="all")
         for part in range(60):
             b.ask("k", part=part)
-            while b.next in b.router.queries:
-                looks = b.router.queries[b.next].source == b.router.queries[b.next].server
+            while b.next in b.router.requests:
+                looks = b.router.requests[b.next].source == b.router.requests[b.next].server
                 b.end(b.next, "miss" if looks else result, took=0.3, note=0 if looks else 3)
-        return b.router.power(b.router.fleet.index[11])
+        return b.router.throughput.power(b.router.endpoints.index[11], b.now)
 
     assert power("timeout") == 1.0 < power("satisfied")
--- a/tests/crossings/test_sockets.py
+++ b/tests/crossings/test_sockets.py
@@ -107,7 +107,7 @@
 
     async def scene(t):
         await warm(t)
-        t.service.reducer.router.retries = 10.0
+        t.service.reducer.router.retry_budget.tokens = 10.0
         for machine in t.machines.values():
             machine.act = "silent"
         raw = Raw(t.address).asks(2, allow="1600", lookup=f"{1000:016x}").send()
@@ -125,7 +125,7 @@
 def test_no_further_push_on_an_answer_that_lay_there_with_the_clients_end(tmp_path):
     async def scene(t):
         await warm(t)
-        t.service.reducer.router.retries = 10.0
+        t.service.reducer.router.retry_budget.tokens = 10.0
         first = []
         for machine in t.machines.values():
             machine.act = lambda line: first.append(line) or "silent"
@@ -251,7 +251,7 @@
     assert desk.ask()[0][:4] == "pull"
     assert [line.split()[0] for line in desk.hear(("closing", ()))] == ["kill", "error"]
     assert desk.ask(key=b"bb") == ["nack 1 2 0.0"]
-    assert not desk.reducer.queries and not desk.router.queries
+    assert not desk.reducer.queries and not desk.router.requests
 
 
 def test_told_to_end_before_it_is_ready_it_ends(tmp_path):
@@ -310,7 +310,7 @@
     lines = []
 
     async def scene(t, server):
-        t.service.reducer.router.among = 1
+        t.service.reducer.router.fill_planner.routers_here = 1
         rows = [host(s, t.machines[s].port, health="draining") for s in ("s-11", "s-12")]
         t.commands.answers.append(Commands.reply(4, listed(4, rows, whole=False)))
         await until(lambda: t.service.reducer.cursor == 4)
@@ -327,7 +327,7 @@
 
     async def scene(t, server):
         drop = {"cursor": 4, "drop": {"id": "ab" * 8, "when": int(time.time() * 1000)}}
-        t.service.reducer.router.purge_settled_s = 6.0
+        t.service.reducer.router.purges.settled_s = 6.0
         t.commands.answers.append(Commands.reply(4, drop))
         await until(lambda: t.service.reducer.cursor == 4)
         await asyncio.sleep(0.1)
--- a/tests/crossings/test_windows.py
+++ b/tests/crossings/test_windows.py
@@ -28,11 +28,11 @@
         [],
         [],
     )
-    b.router.retries = 20.0
+    b.router.retry_budget.tokens = 20.0
     lines = b.ask("k", left=4.0)
     while any(" push " in line for line in lines):
         pushes.append(b.now)
-        b.router.retries = 20.0
+        b.router.retry_budget.tokens = 20.0
         result = chance.choice(MAY_RUN + NEVER_RAN)
         at = b.now + chance.choice((0.01, 0.1, 0.3, 0.5))
         if result in MAY_RUN and not ran:
@@ -82,7 +82,7 @@
     b = Bench(request_classes=[request_class(timeout_s=8.1)], machine=Bounds(192, 256, 1e6, 1e7))
     b.ask("k", left=8.1, at=1.0)
     b.end(1, "miss", at=1.01)
-    b.router.docs.clear()
+    b.router.objects.states.clear()
     b.call(ObjectsPurged(0, 0.0, ""), at=1.1)
     b.call(ObjectsPurged(5, 0.0, ""), at=8.8)
     b.end(1, "satisfied", took=7.9, at=8.9, copy=(-50.0, 10_000))
--- a/tests/engine/test_invariants.py
+++ b/tests/engine/test_invariants.py
@@ -31,7 +31,7 @@
 
 def planted(desk, act, **ask):
     """Asks a query for which the decisions do `act(query)`; what came out, and what was counted."""
-    desk.router.place = lambda query, q: act(query)
+    desk.router.route = lambda request: act(request.request_id)
     lines = desk.ask(**ask)
     return lines, violations(desk)
 
@@ -75,14 +75,14 @@
 
 def test_a_single_use_query_that_may_have_run(desk):
     desk.ask(kind=b"order")
-    desk.router.again = lambda query, q, result: push(desk, query, "s-22", "s-22")
+    desk.router.retry = lambda request, result: push(desk, request.request_id, "s-22", "s-22")
     lines = desk.end(0, 1, "broken")
     assert violations(desk) == {"effect_twice": 1} and [line.split()[0] for line in lines] == ["say", "error"]
 
 
 def test_a_refusal_that_invites_a_second_effect(desk):
     desk.ask(kind=b"order")
-    desk.router.again = lambda query, q, result: desk.reducer.reject(query, 0.0, Refusal.CROWDED)
+    desk.router.retry = lambda request, result: desk.reducer.reject(request.request_id, 0.0, Refusal.CROWDED)
     lines = desk.end(0, 1, "broken")
     assert violations(desk) == {"effect_twice": 1} and [line.split()[0] for line in lines] == ["say", "error"]
 
@@ -106,16 +106,16 @@
 
 
 def test_more_than_all_routers_may_send_to_a_cold_server(desk):
-    desk.router.cold["cache"].start = SlowStart(0.1, 60.0, 1.0, 1.0)
+    desk.router.slow_start["cache"].start = SlowStart(0.1, 60.0, 1.0, 1.0)
     row = ("s-22", ("127.0.0.1", 9), "edge-1", "box", 0, "ready", 4.0, desk.now)
     desk.hear(("listed", (4, False, [row])))
-    desk.router.place = lambda query, q: push(desk, query, "s-22", "s-22")
+    desk.router.route = lambda request: push(desk, request.request_id, "s-22", "s-22")
     for number in range(30):
         desk.ask(key=b"%x" % number)
     assert violations(desk).keys() == {"slow_start"}
     calls = desk.reducer.counts["pushes"]
     assert calls + violations(desk)["slow_start"] == 30
-    allowed = 0.1 * 4.0 / desk.router.sending[0]  # of the mean work
+    allowed = 0.1 * 4.0 / desk.router.statistics.transfer_s[0]  # of the mean work
     assert calls <= allowed + 3.0 * allowed**0.5 + 3.0
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,7 +4,6 @@
 import asyncio
 import json
 
-from brookhinge.decide import Router
 from brookhinge.decisions.messages import (
     AttemptEnded,
     Endpoint,
@@ -12,6 +11,7 @@
     RequestArrived,
     StoredCopy,
 )
+from brookhinge.decisions.router import Router
 from brookhinge.decisions.settings import (
     DeduplicationScope,
     FillPolicy,
@@ -109,10 +109,9 @@
             parent_slow_start=SlowStart(0.1, 10.0, 2.0, 1.0),
             purge_settled_s=6.0,
             server_kinds=("parent", "origin"),
-            reports=[],
             **other,
         )
-        self.router.retries = 10.0
+        self.router.retry_budget.tokens = 10.0
         rows = [self.row(ORIGIN, kind="origin", zone=0)] + [
             self.row(p, kind="parent", zone=0) for p in parents
         ]
@@ -135,8 +134,8 @@
 
     def end(self, query, result, took=0.1, note=0, over=None, at=None, copy=None):
         """Ends the push that is out for a query."""
-        q = self.router.queries[query]
-        server = self.router.fleet.ids[q.server]
+        q = self.router.requests[query]
+        server = self.router.endpoints.ids[q.server]
         over = result == "satisfied" if over is None else over
         copy = copy and StoredCopy(*copy)
         return self.call(AttemptEnded(query, server, result, took, over, note, 0.0, copy), at=at)
@@ -147,7 +146,7 @@
         if (
             note > 1
             and lines
-            and self.router.queries[self.next].source == self.router.queries[self.next].server
+            and self.router.requests[self.next].source == self.router.requests[self.next].server
         ):
             lines += self.end(self.next, "miss")
         self.end(self.next, "satisfied", note=note)
--- a/tests/limits/test_shared.py
+++ b/tests/limits/test_shared.py
@@ -6,7 +6,7 @@
 from brookhinge.decisions.settings import SlowStart
 from brookhinge.limits.holder import Holder
 from brookhinge.limits.keeper import Keeper, filled
-from brookhinge.limits.shared import SharedBudget, SharedCrowding
+from brookhinge.limits.shared import SharedConcurrencyLimiter, SharedSlowStartBudget
 from brookhinge.limits.terms import BEAT, LEAST, LEND, SILENT, START, TERM
 
 LIMIT = ("cache", "s-1", 5)
@@ -83,25 +83,25 @@
 
 def test_saved_at_the_part_that_held_while_it_was_saved():
     """A loan that comes after seconds without a query must not count for those seconds too."""
-    budget = SharedBudget(START_OF, 8)
-    budget.own = 1.0
-    budget.at[0], budget.credit[0] = 0.0, 0.0
-    rate = budget.whole(2.0, 0.0, 4.0, 0.1)
-    budget.settle(0, 2.0, 0.0, 4.0, 0.1)
-    budget.parts[0] = 0.0, 0.75
+    budget = SharedSlowStartBudget(START_OF, 8)
+    budget.own_share = 1.0
+    budget.credited_at[0], budget.credit[0] = 0.0, 0.0
+    rate = budget.fleet_rate(2.0, 0.0, 4.0, 0.1)
+    budget.settle(0, now=2.0, started_at=0.0, power=4.0, largest_s=0.1)
+    budget.quotas[0] = 0.0, 0.75
     assert round(budget.credit[0] / rate, 6) == 2.0 / 8
-    budget.settle(0, 3.0, 0.0, 4.0, 0.1)
-    assert round(budget.credit[0] - rate / 4, 3) == round(0.75 * budget.whole(3.0, 0.0, 4.0, 0.1), 3)
+    budget.settle(0, now=3.0, started_at=0.0, power=4.0, largest_s=0.1)
+    assert round(budget.credit[0] - rate / 4, 3) == round(0.75 * budget.fleet_rate(3.0, 0.0, 4.0, 0.1), 3)
 
 
 def test_a_part_belongs_to_one_start_of_a_server():
-    budget = SharedBudget(START_OF, 8)
-    budget.own, budget.parts[0] = 1.0, (5.0, 0.9)
-    assert [budget.part(0, 5.0), budget.part(0, 6.0), budget.part(1, 5.0)] == [0.9, 1 / 8, 1 / 8]
+    budget = SharedSlowStartBudget(START_OF, 8)
+    budget.own_share, budget.quotas[0] = 1.0, (5.0, 0.9)
+    assert [budget.share(0, 5.0), budget.share(0, 6.0), budget.share(1, 5.0)] == [0.9, 1 / 8, 1 / 8]
 
 
 def test_room_in_flight_follows_the_part():
-    crowding = SharedCrowding(8)
-    crowding.own, crowding.parts[0] = 1.0, (None, 0.8)
+    crowding = SharedConcurrencyLimiter(8)
+    crowding.own_share, crowding.quotas[0] = 1.0, (None, 0.8)
     crowding.limit = {0: 200.0, 1: 200.0}
-    assert [sum(crowding.room(c, n, 1.0, 10.0) for n in range(40)) for c in (0, 1)] == [22, 9]
+    assert [sum(crowding.has_capacity(c, n, 1.0, 10.0) for n in range(40)) for c in (0, 1)] == [22, 9]
--- a/tests/membership/test_memory.py
+++ b/tests/membership/test_memory.py
@@ -4,8 +4,8 @@
 
 from helpers import Bench
 
-from brookhinge.decide import Router
 from brookhinge.decisions.messages import ObjectsPurged, WarmStartReceived
+from brookhinge.decisions.router import Router
 from brookhinge.membership.memory import Memory, Remembering
 from brookhinge.membership.view import ALIVE, LOST, View
 from brookhinge.standin.rig import Rig
@@ -31,13 +31,13 @@
     told(old, new)
     assert (
         new.router.rings.rings[0][1] == old.router.rings.rings[0][1]
-        and new.router.sending == old.router.sending
+        and new.router.statistics.transfer_s == old.router.statistics.transfer_s
     )
-    assert {key: list(doc.holders) for key, doc in new.router.docs.items()} == {
-        key: list(doc.holders) for key, doc in old.router.docs.items()
+    assert {key: list(doc.holders) for key, doc in new.router.objects.states.items()} == {
+        key: list(doc.holders) for key, doc in old.router.objects.states.items()
     }
     target = new.ask("a")[0].split()[2]
-    assert target in [str(old.router.fleet.ids[c]) for c in old.router.docs["a", 0].holders]
+    assert target in [str(old.router.endpoints.ids[c]) for c in old.router.objects.states["a", 0].holders]
 
 
 def test_own_experience_and_purges_go_before_what_is_told():
@@ -47,12 +47,14 @@
     old.serve("b", group=5)
     for _ in range(60):
         new.serve("c")
-    mean = new.router.sending[0]
+    mean = new.router.statistics.transfer_s[0]
     new.call(ObjectsPurged(5, 0.0, ""))
     new.call(ObjectsPurged(-1, 0.0, "a"))
     told(old, new)
     assert (
-        new.router.sending[0] == mean and ("a", 0) not in new.router.docs and ("b", 0) not in new.router.docs
+        new.router.statistics.transfer_s[0] == mean
+        and ("a", 0) not in new.router.objects.states
+        and ("b", 0) not in new.router.objects.states
     )
 
 
@@ -67,7 +69,7 @@
         ("song", "x", 0, "", 0, 0),
     ]
     new.router.process(new.now, [WarmStartReceived(rows)], new.trace)
-    assert [ends for _, ends, _ in new.router.rings.rings] == before and not new.router.docs
+    assert [ends for _, ends, _ in new.router.rings.rings] == before and not new.router.objects.states
 
 
 class Writer:
--- a/tests/membership/test_tight.py
+++ b/tests/membership/test_tight.py
@@ -92,9 +92,11 @@
 
 def test_more_sharers_make_a_cold_budget_smaller_at_once():
     b = Bench(routers=4)
-    rate = [cold.whole(0.5, 0.0, 4.0, 0.1) * cold.part(0, 0.0) for cold in b.router.cold.values()]
+    rate = [cold.fleet_rate(0.5, 0.0, 4.0, 0.1) * cold.share(0, 0.0) for cold in b.router.slow_start.values()]
     b.call(RouterCountChanged(8, 16))
-    assert [cold.whole(0.5, 0.0, 4.0, 0.1) * cold.part(0, 0.0) for cold in b.router.cold.values()] == [
+    assert [
+        cold.fleet_rate(0.5, 0.0, 4.0, 0.1) * cold.share(0, 0.0) for cold in b.router.slow_start.values()
+    ] == [
         rate[0] / 2,
         rate[1] / 4,
     ]
--- a/tests/purgelog/test_copies.py
+++ b/tests/purgelog/test_copies.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from brookhinge.decisions.local_cache import LocalCopy
 from brookhinge.purgelog.backfill import PurgeSet
 from brookhinge.purgelog.copies import ProvenCopies
 from brookhinge.purgelog.log import fingerprint
@@ -17,10 +18,10 @@
 
 
 class Asked:
-    track = 0
+    class_index = 0
 
     def __init__(self, doc):
-        self.doc = doc
+        self.object = doc
 
 
 class Held:
@@ -38,18 +39,18 @@
     """Answers from memory whatever it holds."""
 
     def __init__(self):
-        self.copies, self.sink, self.now = Held(), None, 0.0
+        self.local_cache, self.sink, self.now = Held(), None, 0.0
 
-    def own(self, query, q):
-        return (q.track, q.doc.code) in self.copies.held
+    def respond_from_copy(self, request):
+        return (request.class_index, request.object.code) in self.local_cache.held
 
 
 class Router(ProvenCopies, PlainRouter):
     def keep(self, doc, made):
-        self.copies.held[0, doc.code] = doc, made, 1
+        self.local_cache.held[0, doc.code] = LocalCopy(doc, made, 1)
 
     def uses(self, doc):
-        return self.own(1, Asked(doc))
+        return self.respond_from_copy(Asked(doc))
 
 
 @pytest.fixture
@@ -79,7 +80,7 @@
     )
     router.copy_rule(CopyRule.READMIT, purges)
     assert router.uses(Doc("a")) and not router.uses(Doc("b")) and router.uses(Doc("c"))
-    assert set(router.copies.held) == {(0, "a"), (0, "c")}
+    assert set(router.local_cache.held) == {(0, "a"), (0, "c")}
 
 
 def test_a_copy_that_was_under_way_while_purges_were_missed_stays_aside(router):
@@ -94,7 +95,7 @@
     router.copy_rule(CopyRule.PROVEN, None)
     router.copy_rule(CopyRule.ASIDE, None)
     router.copy_rule(CopyRule.READMIT, PurgeSet([fingerprint(Entry(Kind.PURGE, "", 1, 0))]))
-    assert not router.copies.held
+    assert not router.local_cache.held
 
 
 def test_what_cannot_be_known_is_dropped(router):
@@ -102,7 +103,7 @@
     router.copy_rule(CopyRule.ASIDE, None)
     router.keep(Doc("c"), 11.0)
     router.copy_rule(CopyRule.DROP, None)
-    assert set(router.copies.held) == {(0, "c")} and router.aside_until < math.inf
+    assert set(router.local_cache.held) == {(0, "c")} and router.aside_until < math.inf
 
 
 def test_a_router_that_has_just_begun_to_read_drops_what_it_kept_before(router):
--- a/tests/standstill/test_every_point.py
+++ b/tests/standstill/test_every_point.py
@@ -81,7 +81,7 @@
     async def play(self, at, seconds):
         """(the steps, how many attempts came after the client's end)."""
         town, clients = self.town, self.town.service.client_connections.clients
-        town.service.reducer.router.retries = 10.0
+        town.service.reducer.router.retry_budget.tokens = 10.0
         others, raw = set(clients), Raw(town.address)
         await until(lambda: set(clients) - others)
         self.asked += 1
--- a/tests/storm/test_decisions.py
+++ b/tests/storm/test_decisions.py
@@ -9,7 +9,7 @@
 
 def bench(**other):
     b = Bench(routers=2, **other)
-    b.router.returns = Returns(2.0)
+    b.router.retry_schedule = Returns(2.0)
     return b
 
 
@@ -21,21 +21,23 @@
 def test_a_retry_counts_under_its_first_try():
     b = bench()
     ask(b)
-    saved = b.router.retries
+    saved = b.router.retry_budget.tokens
     for _ in range(5):
         ask(b, since=0.4)
-    doc = b.router.docs["a", 0]
-    assert doc.count == doc.asked == b.router.counted == 1 and b.router.retries <= saved
+    doc = b.router.objects.states["a", 0]
+    assert (
+        doc.count == doc.requests == b.router.requests_counted == 1 and b.router.retry_budget.tokens <= saved
+    )
 
 
 def test_who_comes_early_is_told_the_same_place_and_nothing_is_sent():
     b = bench()
     b.now = 10.0
-    wait = b.router.returns.place(10.0, "w", (0, "a", 0), 0.1, 1.0, lambda at: 1.0)
-    assert ask(b, since=0.2, who="w", at=10.01) == ["q1 nack"] and not b.router.queries
+    wait = b.router.retry_schedule.place(10.0, "w", (0, "a", 0), 0.1, 1.0, lambda at: 1.0)
+    assert ask(b, since=0.2, who="w", at=10.01) == ["q1 nack"] and not b.router.requests
     assert ask(b, since=0.2, who="v", at=10.02)[0].startswith("q2 push")  # somebody else is free to ask
     assert ask(b, since=0.2, who="w", at=10.0 + wait)[0].startswith("q3 push")
-    assert b.router.queries[3].invited
+    assert b.router.requests[3].is_scheduled
 
 
 def sent(kinds, seconds=2.0, rate=100):
@@ -46,10 +48,10 @@
         now, kind = 0.1 + n / rate, n % len(kinds)
         since, told = kinds[kind]
         if told:
-            b.router.returns.places[n, (0, f"o{n}", 0)] = now
+            b.router.retry_schedule.places[n, (0, f"o{n}", 0)] = now
         lines = ask(b, f"o{n}", since=since, who=n if told else None, at=now)
         counts[kind] += any(" push " in line for line in lines)
-        if b.next in b.router.queries:
+        if b.next in b.router.requests:
             b.end(b.next, "satisfied", at=now + 0.004)
     return counts
 
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -48,26 +48,26 @@
 
 
 @pytest.mark.parametrize(
-    "born, cold_from", [(-HOUR_S, 10.0), (HOUR_S, 10.0), (9.5, 9.5), (-20.0, 10.0), (None, None)]
+    "born, warming_since", [(-HOUR_S, 10.0), (HOUR_S, 10.0), (9.5, 9.5), (-20.0, 10.0), (None, None)]
 )
-def test_a_server_listed_just_now_is_in_slow_start_whatever_clock_it_was_told_by(born, cold_from):
+def test_a_server_listed_just_now_is_in_slow_start_whatever_clock_it_was_told_by(born, warming_since):
     bench = Bench()
     bench.call(EndpointsListed(False, [bench.row(31, born=born)]), at=10.0)
-    fleet = bench.router.fleet
-    assert fleet.cold_from[fleet.index[31]] == cold_from
+    fleet = bench.router.endpoints
+    assert fleet.warming_since[fleet.index[31]] == warming_since
     bench.call(EndpointsListed(False, [bench.row(31, born=born)]), at=90.0)  # told again: the same start
-    assert fleet.cold_from[fleet.index[31]] == cold_from
+    assert fleet.warming_since[fleet.index[31]] == warming_since
 
 
 def test_servers_in_the_first_list_count_from_the_newest_of_them():
     """Whatever clock the router started with: the newest start cannot be later than now."""
     bench = Bench(caches=())
-    fleet = bench.router.fleet
-    fleet.first_at = None
+    fleet = bench.router.endpoints
+    fleet.first_listed_at = None
     bench.call(
         EndpointsListed(True, [bench.row(31, born=-HOUR_S), bench.row(32, born=-HOUR_S - 5.0)]), at=10.0
     )
-    assert [fleet.cold_from[fleet.index[server]] for server in (31, 32)] == [10.0, 5.0]
+    assert [fleet.warming_since[fleet.index[server]] for server in (31, 32)] == [10.0, 5.0]
 
 
 @pytest.mark.parametrize("knows_all, answer", [(True, "satisfy"), (False, "pull")])
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -2,9 +2,10 @@
 
 from helpers import CACHES, Bench, request_class
 
-from brookhinge.decide import Way
-from brookhinge.decision_records import Doc
 from brookhinge.decisions.messages import EndpointsListed, ObjectsPurged
+from brookhinge.decisions.object_state import ObjectState
+from brookhinge.decisions.origin_breaker import OriginCircuitBreaker
+from brookhinge.decisions.request_state import FillKind
 from brookhinge.decisions.settings import Idempotency
 from brookhinge.startup import Bounds
 
@@ -14,7 +15,7 @@
     lines = []
     for i in range(count):
         b.ask(key, part=i)
-        while b.next in b.router.queries:
+        while b.next in b.router.requests:
             b.end(b.next, result, **end)
     return lines
 
@@ -26,7 +27,7 @@
 def fills_of_a_slow_parent(b, count, pause):
     for i in range(count):
         b.ask("abcdefgh"[i % 8], part=i)
-        slow = b.router.queries[b.next].source == b.router.fleet.index[11]
+        slow = b.router.requests[b.next].source == b.router.endpoints.index[11]
         b.end(b.next, "satisfied", note=2, took=1.5 if slow else 0.15)
         b.now += pause
 
@@ -36,7 +37,7 @@
     b = Bench(tells="all")
     for i in range(24):
         b.ask("abcdefgh"[i % 8], part=i)
-        silent = b.router.queries[b.next].source == b.router.fleet.index[11]
+        silent = b.router.requests[b.next].source == b.router.endpoints.index[11]
         b.end(b.next, "timeout" if silent else "satisfied", note=0 if silent else 2, over=True)
         b.now += 0.5
     assert says(b) == ["say resting parent 11: timeout"]
@@ -65,9 +66,9 @@
     for held in (False, True):
         b = Bench(tells="all")
         b.ask("a")
-        b.router.queries[b.next].local = held
+        b.router.requests[b.next].fill = FillKind.UPSTREAM_CACHED if held else FillKind.UPSTREAM
         b.end(b.next, "timeout", took=2.9, over=True)
-        crowds.append(b.router.crowding.crowd(-1, b.now) > 0.5)
+        crowds.append(b.router.concurrency.congestion(-1, b.now) > 0.5)
     assert crowds == [False, True]
 
 
@@ -75,9 +76,9 @@
     """roll+mass, zone+mass: half the caches are new or emptied, each fill through the full link came late."""
     b = Bench(routers=8)
     for c in (-1, 21):
-        b.router.crowding.timed(c, 0.0, 10.0, 6.0)
+        b.router.concurrency.record_time(c, 0.0, 10.0, 6.0)
     went = {
-        way: sum(b.router.crowding.open(c, 0.0, 1.0, b.router.chance, way) for _ in range(4000)) / 4000
+        way: sum(b.router.concurrency.admits(c, 0.0, 1.0, b.router.chance, way) for _ in range(4000)) / 4000
         for way, c in ((False, 21), (True, -1))
     }
     assert went[False] > 0.8 > 0.7 > went[True]
@@ -98,9 +99,9 @@
     for i in range(40):
         b.ask("abcdefgh"[i % 8], part=i)
         for _ in range(2):
-            q = b.router.queries.get(b.next)
+            q = b.router.requests.get(b.next)
             if q:
-                b.end(b.next, "errored" if q.source == b.router.fleet.index[11] else "satisfied", note=0)
+                b.end(b.next, "errored" if q.source == b.router.endpoints.index[11] else "satisfied", note=0)
     assert says(b) == ["say resting parent 11: errored"]
 
 
@@ -137,7 +138,7 @@
     for i in range(8):
         b.ask("b", part=i)
         b.end(b.next, "miss")
-        if b.next in b.router.queries:
+        if b.next in b.router.requests:
             b.end(b.next, "satisfied", note=2, took=2.0)
     assert b.ask("a") + b.end(b.next, "miss") == ["q9 push 21 from 21 rank 1", "q9 nack"]
     assert b.ask("c", size=5.0) + b.end(b.next, "miss") == [
@@ -156,7 +157,7 @@
 def test_failed_fill_without_budget_looks_for_an_ageing_copy():
     """tender-portal-later rough-2: fills failed behind the parents while old copies stood by."""
     b = Bench(request_classes=[request_class(fresh_s=5.0, stale_s=10.0, stale_share=0.7)])
-    b.router.retries = 0.0
+    b.router.retry_budget.tokens = 0.0
     assert b.ask("a") + b.end(1, "full", note=10) + b.end(1, "miss") == [
         "q1 push 21 from 12 rank 1 age<5.000 renew",
         "q1 push 21 from 21 rank 1 age<15.000 renew",
@@ -182,7 +183,7 @@
     b.serve("a")
     b.ask("a", at=2.0)
     b.ask("a", at=6.0)
-    assert [b.router.queries[n].filling for n in (2, 3)] == [False, True]
+    assert [b.router.requests[n].fills_upstream for n in (2, 3)] == [False, True]
 
 
 def slow_cache(b, pace):
@@ -192,8 +193,8 @@
         b.serve("k", part=part)
     for part in [i % 24 for i in range(96)]:
         b.ask("k", part=part)
-        while b.next in b.router.queries:
-            at = b.router.fleet.ids[b.router.queries[b.next].server]
+        while b.next in b.router.requests:
+            at = b.router.endpoints.ids[b.router.requests[b.next].server]
             b.end(b.next, "satisfied", note=1, took=0.1 * (pace if at == 21 else 1.0))
     return says(b)
 
@@ -211,8 +212,10 @@
 def test_what_a_resting_home_leaves_spreads_over_all_others():
     """Fleet seed 11: its ring's other point alone was crowded by it."""
     b = Bench()
-    codes = [code for code in range(1000) if b.router.rings.home(code)[0] == b.router.fleet.index[21]]
-    seconds = [b.router.fleet.ids[b.router.rings.home(code)[1]] for code in codes]
+    codes = [
+        code for code in range(1000) if b.router.rings.beacon_order(code)[0] == b.router.endpoints.index[21]
+    ]
+    seconds = [b.router.endpoints.ids[b.router.rings.beacon_order(code)[1]] for code in codes]
     assert {c: seconds.count(c) > len(codes) / 5 for c in (22, 23, 24)} == dict.fromkeys((22, 23, 24), True)
 
 
@@ -222,10 +225,10 @@
     def fault(took):
         b = Bench(tells="all", routers=2)
         b.serve("k"), b.serve("k"), b.ask("k")
-        c = b.router.queries[b.next].server
-        b.router.crowding.timed(c, b.now, 4.0, 36.0)
+        c = b.router.requests[b.next].server
+        b.router.concurrency.record_time(c, b.now, 4.0, 36.0)
         b.end(b.next, "satisfied", note=1, took=took)
-        return b.router.health.fault.get(c, 0.0)
+        return b.router.cache_outliers.failure_rate.get(c, 0.0)
 
     assert (fault(0.11) > 0.0, fault(0.5) > 0.0) == (False, True)
 
@@ -236,13 +239,15 @@
     def shed(others):
         b = Bench(routers=2)
         for c, crowd in ((21, 9.0), (22, others), (23, others), (24, others)):
-            b.router.crowding.timed(b.router.fleet.index[c], b.now, 4.0, 4.0 * crowd)
-            b.router.fleet.inflight[b.router.fleet.index[c]] = 1
+            b.router.concurrency.record_time(b.router.endpoints.index[c], b.now, 4.0, 4.0 * crowd)
+            b.router.endpoints.in_flight[b.router.endpoints.index[c]] = 1
         home = next(
             part
             for part in range(99)
-            if b.router.rings.home(b.router.docs.setdefault(("k", part), Doc("k", part, 0)).code)[0]
-            == b.router.fleet.index[21]
+            if b.router.rings.beacon_order(
+                b.router.objects.states.setdefault(("k", part), ObjectState("k", part, 0)).code
+            )[0]
+            == b.router.endpoints.index[21]
         )
         return b.ask("k", part=home)[0].split(" from")[0]
 
@@ -257,9 +262,9 @@
         b = Bench(weight=0.0, routers=40)
         for part in range(60):
             b.ask("k", part=part)
-            while b.next in b.router.queries:
+            while b.next in b.router.requests:
                 b.end(b.next, result, took=0.3)
-        return b.router.power(b.router.fleet.index[21])
+        return b.router.throughput.power(b.router.endpoints.index[21], b.now)
 
     assert power("timeout") == 1.0 < power("satisfied")
 
@@ -271,11 +276,11 @@
         rows = [b.row(c) for c in CACHES[:3]] + [b.row(n)]
         b.call(EndpointsListed(False, rows[3:] + [b.row(n - 1, "gone")]), at=n * 20.0)
         b.serve(f"k{n}", at=n * 20.0 + 1.0)
-        b.router.health.fault[b.router.fleet.index[n]] = 0.9
-    fleet = b.router.fleet
-    assert len(fleet.ids) <= 12 and len(fleet.index) == len(fleet.ids) == len(fleet.forgot_at)
+        b.router.cache_outliers.failure_rate[b.router.endpoints.index[n]] = 0.9
+    fleet = b.router.endpoints
+    assert len(fleet.ids) <= 12 and len(fleet.index) == len(fleet.ids) == len(fleet.emptied_at)
     b.call(EndpointsListed(False, [b.row(999)]), at=5000.0)
-    assert fleet.ids[fleet.index[999]] == 999 and fleet.index[999] not in b.router.health.fault
+    assert fleet.ids[fleet.index[999]] == 999 and fleet.index[999] not in b.router.cache_outliers.failure_rate
 
 
 def test_objects_and_purges_are_kept_within_the_memory_that_is_told():
@@ -284,9 +289,9 @@
         b.serve(f"k{n}", at=n * 0.01)
         b.call(ObjectsPurged(f"g{n}", 0.0, ""), at=n * 1.0 + 0.005)
     assert (
-        len(b.router.docs) <= 200
-        and "k499" in {key for key, _ in b.router.docs}
-        and len(b.router.groups) < 10
+        len(b.router.objects.states) <= 200
+        and "k499" in {key for key, _ in b.router.objects.states}
+        and len(b.router.purges.purged_at) < 10
     )
 
 
@@ -295,7 +300,7 @@
     lines = []
     for _ in range(count):
         lines += b.ask(key, **ask)
-        while b.next in b.router.queries:
+        while b.next in b.router.requests:
             lines += b.end(b.next, "full")
     return [line.split()[1] for line in lines if line[0] == "q" and "push" not in line]
 
@@ -321,10 +326,12 @@
 
     def kept(key, made, size=100, **ask):
         b.ask(key, **ask)
-        while b.next in b.router.queries:
+        while b.next in b.router.requests:
             b.end(
                 b.next,
-                "satisfied" if b.router.queries[b.next].source != b.router.queries[b.next].server else "miss",
+                "satisfied"
+                if b.router.requests[b.next].source != b.router.requests[b.next].server
+                else "miss",
                 copy=(made, size),
             )
 
@@ -337,15 +344,18 @@
     assert len(b.trace.kept) == 1
     for n in range(9):
         kept(f"b{n}", 9.0, 30_000)
-    assert len(b.trace.kept) == len(b.router.copies.held) == 4 and b.router.copies.size == 120_000
+    assert (
+        len(b.trace.kept) == len(b.router.local_cache.held) == 4
+        and b.router.local_cache.size_bytes == 120_000
+    )
 
 
 def test_a_limit_found_while_little_was_asked_does_not_stay_under_the_told_weight():
     """rate+silent+leave: limits began at 32 where weights tell of 59 a cache, and grew too slowly for the load."""
     b = Bench(caches=(21,), weight=59.0, routers=2)
-    room = b.router.crowding.room
+    room = b.router.concurrency.has_capacity
     assert [room(c, inflight, 1.0, 59.0) for c, inflight in ((1, 64), (1, 65))] == [True, False]
-    b.router.crowding.limit[1] = 200.0
+    b.router.concurrency.limit[1] = 200.0
     assert [room(1, inflight, 1.0, 59.0) for inflight in (91, 92)] == [True, False]
 
 
@@ -353,18 +363,18 @@
     """Calm days: the way to the origin and a cache slow by nature counted as crowds; 2 to 3% were nacked."""
     b = Bench(routers=3)
     for server, usual, way_in in ((11, 1.5, True), (21, 3.0, False)):
-        c = b.router.fleet.index[server]
-        b.router.crowding.timed(c, b.now, 8.0, usual)
-        assert all(b.router.crowding.open(c, b.now, 0.2, b.router.chance, way_in) for _ in range(50))
-        b.router.crowding.timed(c, b.now, 8.0, 16.0)
-        assert not all(b.router.crowding.open(c, b.now, 0.2, b.router.chance, way_in) for _ in range(50))
+        c = b.router.endpoints.index[server]
+        b.router.concurrency.record_time(c, b.now, 8.0, usual)
+        assert all(b.router.concurrency.admits(c, b.now, 0.2, b.router.chance, way_in) for _ in range(50))
+        b.router.concurrency.record_time(c, b.now, 8.0, 16.0)
+        assert not all(b.router.concurrency.admits(c, b.now, 0.2, b.router.chance, way_in) for _ in range(50))
 
 
 def stuck_origin(b, count=6):
     """Fills that the origin never finishes: each cache gives its own up."""
     for i in range(count):
         b.ask("abcdefgh"[i % 8], part=100 + i)
-        while b.next in b.router.queries:
+        while b.next in b.router.requests:
             b.end(b.next, "errored", note=7, took=1.3)
             b.now += 0.2
 
@@ -382,7 +392,7 @@
         b.now += 0.05
         b.ask("z", part=200 + i)
         shut += b.end(b.next, "miss", note=8) == [f"q{b.next} nack"]
-        if b.next in b.router.queries:
+        if b.next in b.router.requests:
             b.end(b.next, "errored", note=7, over=True)
     assert 15 <= shut < 20  # some go, or nobody would see it recover
     b.now += 12.0
@@ -408,7 +418,7 @@
     for i in range(6):
         b.ask("abcdefgh"[i % 8], part=i)
         b.end(b.next, "full", note=7, took=0.07, over=True)
-    assert b.router.way.open(b.now) == 1.0
+    assert b.router.origin_breaker.admit_probability(b.now) == 1.0
 
 
 def test_clients_in_a_hurry_do_not_speak_of_the_origin():
@@ -418,11 +428,11 @@
         b.ask("abcdefgh"[i % 8], part=i, left=0.15)
         b.now += 0.1
         b.end(b.next, "timeout", took=0.1, over=True)
-    assert b.router.way.open(b.now) == 1.0
+    assert b.router.origin_breaker.admit_probability(b.now) == 1.0
 
 
 def test_way_to_the_origin_follows_what_comes_back():
-    way = Way()
+    breaker = OriginCircuitBreaker()
     told = []
     for now, good in (
         (0.0, True),
@@ -433,8 +443,8 @@
         (9.0, True),
         (14.0, True),
     ):
-        way.count(now, good)
-        told.append(round(way.open(now), 2))
+        breaker.record(now, good)
+        told.append(round(breaker.admit_probability(now), 2))
     assert told == [1.0, 0.37, 0.11, 0.05, 0.02, 0.53, 1.0]
 
 
@@ -442,19 +452,24 @@
     """A router with few queries was refused its first one at each server that started, and a server that started twice met
     all that had been saved since its first start at once."""
     b = Bench(routers=4)
-    budget, power = b.router.cold["cache"], 4.0
+    budget, power = b.router.slow_start["cache"], 4.0
 
     def told(now, born):
         b.router.process(now, [EndpointsListed(False, [b.row(1, "ready", born=born)])], b)
-        c = b.router.fleet.index[1]
-        return c, budget.whole(now, born, power, 0.1) * budget.part(c, born)
+        c = b.router.endpoints.index[1]
+        return c, budget.fleet_rate(now, born, power, 0.1) * budget.share(c, born)
+
+    def take(now, born):
+        return budget.admits(
+            c, now=now, started_at=born, power=power, work=0.1, largest_s=0.1, chance=b.router.chance
+        )
 
     c, rate = told(10.0, 9.9)
-    assert budget.take(c, 10.0, 9.9, power, 0.1, 0.1, b.router.chance) is False
+    assert take(10.0, 9.9) is False
     c, rate = told(100.0, 99.9)  # its second start: nothing is left of what came since the first
-    assert budget.take(c, 100.0, 99.9, power, 0.1, 0.1, b.router.chance) is False
+    assert take(100.0, 99.9) is False
     c, rate = told(200.0, 199.9)
-    assert budget.take(c, 200.0 + 0.2 / rate, 199.9, power, 0.1, 0.1, b.router.chance) is True
+    assert take(200.0 + 0.2 / rate, 199.9) is True
 
 
 def test_a_router_with_few_queries_learns_soon_what_they_take():
@@ -463,7 +478,7 @@
     b = Bench()
     for i in range(10):
         b.serve("a", part=i)
-    assert 0.1 < b.router.sending[0] < 0.2  # each takes 0.1 s, the first guess was 0.3
+    assert 0.1 < b.router.statistics.transfer_s[0] < 0.2  # each takes 0.1 s, the first guess was 0.3
     for i in range(40):
         b.serve("b", part=i)
-    assert 0.1 < b.router.sending[0] < 0.125
+    assert 0.1 < b.router.statistics.transfer_s[0] < 0.125
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -2,7 +2,7 @@
 
 from helpers import Bench, request_class
 
-from brookhinge.decide import Rings
+from brookhinge.decisions.beacon_rings import BeaconRings
 
 
 def test_home_then_holder():
@@ -61,8 +61,8 @@
 
 def test_sub_ranges_follow_load():
     """PAPER 2.3, figure 2-B: a surplus moves from the end of a range to the next point, never past it."""
-    rings = Rings()
-    rings.seat([0, 1])
+    rings = BeaconRings()
+    rings.assign([0, 1])
     points, ends, loads = rings.rings[0]
     for irh, load in (
         (0, 135),
@@ -75,10 +75,10 @@
         (900, 175),
     ):
         loads[irh] = load
-    rings.cycle(lambda c: 1.0)
+    rings.rebalance(lambda c: 1.0)
     assert ends == [301, 1000]
     rings.rings[0][2][999] = 100.0
-    rings.cycle(lambda c: 1.0)
+    rings.rebalance(lambda c: 1.0)
     assert ends == [999, 1000]
 
 
--- a/tests/test_policy_imports.py
+++ b/tests/test_policy_imports.py
@@ -9,29 +9,130 @@
 import pytest
 
 ROOT = Path(__file__).parents[1]
-STANDARD = {"enum", "hashlib", "math", "random", "typing"}
+STANDARD = {"collections.abc", "enum", "hashlib", "math", "random", "typing"}
 DECISIONS = {
-    "brookhinge.decide": {
-        "brookhinge.decision_records",
-        "brookhinge.roster",
+    "brookhinge.decisions": set(),
+    "brookhinge.decisions.beacon_rings": set(),
+    "brookhinge.decisions.class_statistics": {"brookhinge.decisions.settings"},
+    "brookhinge.decisions.concurrency": {"brookhinge.decisions.outliers"},
+    "brookhinge.decisions.eligibility": {
+        "brookhinge.decisions.class_statistics",
+        "brookhinge.decisions.concurrency",
+        "brookhinge.decisions.endpoints",
+        "brookhinge.decisions.object_state",
+        "brookhinge.decisions.outliers",
+        "brookhinge.decisions.request_state",
+        "brookhinge.decisions.rules",
+        "brookhinge.decisions.slow_start",
+        "brookhinge.decisions.throughput",
+    },
+    "brookhinge.decisions.endpoints": {"brookhinge.decisions.messages", "brookhinge.decisions.rules"},
+    "brookhinge.decisions.fault_attribution": {
+        "brookhinge.decisions.concurrency",
+        "brookhinge.decisions.endpoints",
+        "brookhinge.decisions.feedback",
+        "brookhinge.decisions.messages",
+        "brookhinge.decisions.outliers",
+        "brookhinge.decisions.rules",
+        "brookhinge.decisions.settings",
+        "brookhinge.decisions.sink",
+    },
+    "brookhinge.decisions.feedback": {
+        "brookhinge.decisions.class_statistics",
+        "brookhinge.decisions.concurrency",
+        "brookhinge.decisions.endpoints",
         "brookhinge.decisions.messages",
+        "brookhinge.decisions.purges",
+        "brookhinge.decisions.request_state",
         "brookhinge.decisions.rules",
         "brookhinge.decisions.settings",
+        "brookhinge.decisions.throughput",
+    },
+    "brookhinge.decisions.fill_planning": {
+        "brookhinge.decisions.class_statistics",
+        "brookhinge.decisions.concurrency",
+        "brookhinge.decisions.eligibility",
+        "brookhinge.decisions.endpoints",
+        "brookhinge.decisions.origin_breaker",
+        "brookhinge.decisions.request_state",
+        "brookhinge.decisions.rules",
+        "brookhinge.decisions.server_selection",
+    },
+    "brookhinge.decisions.load_shedding": {
+        "brookhinge.decisions.class_statistics",
+        "brookhinge.decisions.request_state",
+    },
+    "brookhinge.decisions.local_cache": {
+        "brookhinge.decisions.messages",
+        "brookhinge.decisions.object_state",
         "brookhinge.decisions.sink",
     },
     "brookhinge.decisions.messages": {"brookhinge.decisions.rules"},
+    "brookhinge.decisions.object_state": {"brookhinge.decisions.rules"},
+    "brookhinge.decisions.origin_breaker": set(),
+    "brookhinge.decisions.outliers": {"brookhinge.decisions.rules"},
+    "brookhinge.decisions.purges": {
+        "brookhinge.decisions.object_state",
+        "brookhinge.decisions.rules",
+        "brookhinge.decisions.settings",
+    },
+    "brookhinge.decisions.request_state": {
+        "brookhinge.decisions.object_state",
+        "brookhinge.decisions.rules",
+        "brookhinge.decisions.settings",
+        "brookhinge.decisions.sink",
+    },
+    "brookhinge.decisions.retry_budget": set(),
+    "brookhinge.decisions.router": {
+        "brookhinge.decisions.beacon_rings",
+        "brookhinge.decisions.class_statistics",
+        "brookhinge.decisions.concurrency",
+        "brookhinge.decisions.eligibility",
+        "brookhinge.decisions.endpoints",
+        "brookhinge.decisions.fault_attribution",
+        "brookhinge.decisions.feedback",
+        "brookhinge.decisions.fill_planning",
+        "brookhinge.decisions.load_shedding",
+        "brookhinge.decisions.local_cache",
+        "brookhinge.decisions.messages",
+        "brookhinge.decisions.object_state",
+        "brookhinge.decisions.origin_breaker",
+        "brookhinge.decisions.outliers",
+        "brookhinge.decisions.purges",
+        "brookhinge.decisions.request_state",
+        "brookhinge.decisions.retry_budget",
+        "brookhinge.decisions.rules",
+        "brookhinge.decisions.server_selection",
+        "brookhinge.decisions.settings",
+        "brookhinge.decisions.sink",
+        "brookhinge.decisions.slow_start",
+        "brookhinge.decisions.throughput",
+    },
     "brookhinge.decisions.rules": {"brookhinge.decisions.settings"},
-    "brookhinge.decisions.sink": {"brookhinge.decisions.rules"},
-    "brookhinge.roster": {"brookhinge.decisions.rules"},
-    "brookhinge.decision_records": set(),
+    "brookhinge.decisions.server_selection": {
+        "brookhinge.decisions.beacon_rings",
+        "brookhinge.decisions.class_statistics",
+        "brookhinge.decisions.concurrency",
+        "brookhinge.decisions.eligibility",
+        "brookhinge.decisions.endpoints",
+        "brookhinge.decisions.object_state",
+        "brookhinge.decisions.request_state",
+        "brookhinge.decisions.settings",
+    },
     "brookhinge.decisions.settings": set(),
+    "brookhinge.decisions.sink": {"brookhinge.decisions.rules"},
+    "brookhinge.decisions.slow_start": {"brookhinge.decisions.settings"},
+    "brookhinge.decisions.throughput": {"brookhinge.decisions.endpoints", "brookhinge.decisions.slow_start"},
 }
+PACKAGE = ROOT / "brookhinge" / "decisions"
 PACKAGES = {"brookhinge", "brookhinge.decisions"}  # a name imported from one of these is a module of it
 REACHING_OUT = {"open", "print", "input", "exec", "eval", "compile", "__import__", "globals"}
 
 
 def path_of(module):
-    return ROOT / (module.replace(".", "/") + ".py")
+    """The file of a module or package."""
+    path = ROOT / module.replace(".", "/")
+    return path / "__init__.py" if path.is_dir() else path.with_suffix(".py")
 
 
 def imports_of(tree):
@@ -68,7 +169,10 @@
 
 def test_every_policy_file_is_a_module_of_decisions():
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    assert {ROOT / name for name in deploy["policy"]} <= {path_of(module) for module in DECISIONS}
+    decisions = {path_of(module) for module in DECISIONS}
+    policy = {ROOT / name for name in deploy["policy"]}
+    assert policy == decisions - {path_of("brookhinge.decisions")} == set(PACKAGE.glob("[!_]*.py"))
+    assert set(PACKAGE.rglob("*.py")) == decisions
 
 
 def test_no_file_is_kept_from_the_formatter():
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -30,7 +30,7 @@
 
 def test_an_answer_of_an_earlier_push_does_not_pass_for_a_later_one(tmp_path):
     d = Desk(tmp_path)
-    d.router.retries = 10.0
+    d.router.retry_budget.tokens = 10.0
     d.ask()
     assert d.end(0, 1, "errored") == ["pull q0.2 r1 s-21 from s-11 rank 1 for 0.989"]
     assert d.end(0, 1, "satisfied", b"of the first") == []
@@ -52,18 +52,18 @@
     assert d.hear(("forgotten", (1, 1))) == []
     assert d.hear(("client_gone", (1,))) == ["kill q1.1"]
     assert d.end(0, 1, "satisfied") + d.end(1, 1, "satisfied") == []
-    assert list(d.reducer.queries) == [2] and list(d.router.queries) == [2]
+    assert list(d.reducer.queries) == [2] and list(d.router.requests) == [2]
 
 
 def test_a_client_that_goes_in_the_pass_of_its_query_or_of_a_failed_push(tmp_path):
     """The decisions must not send for a query that is over when their round begins."""
     d = Desk(tmp_path)
     asked = ("query", (1, 1, b"r", b"page", b"aa", b"0", 0, 4, 100.0, 1.0, None, b"", 0.0))
-    assert d.hear(asked, ("forgotten", (1, 1))) == [] and d.router.queries == {}
+    assert d.hear(asked, ("forgotten", (1, 1))) == [] and d.router.requests == {}
     d.ask()
     failed = ("ended", (1, 1, "full", 6, 0.0, None, b"", False, d.now))
-    assert d.hear(failed, ("client_gone", (1,))) == [] and d.router.queries == {}
-    assert sum(d.router.fleet.inflight) == 0
+    assert d.hear(failed, ("client_gone", (1,))) == [] and d.router.requests == {}
+    assert sum(d.router.endpoints.in_flight) == 0
 
 
 def test_calls_that_cannot_be_taken(tmp_path):
@@ -74,7 +74,7 @@
     assert d.ask(kind=b"tune") == ["reject 1 3 service: no such class"]
     assert d.end(0, 1, "satisfied", b"all of it") == ["satisfy 1 1 b'all of it' False"]
     assert d.ask(name=b"r") == ["reject 1 4 ref: used before"]
-    assert d.reducer.queries == {} and d.router.queries == {}
+    assert d.reducer.queries == {} and d.router.requests == {}
 
 
 def test_a_connection_that_breaks_the_protocol_ends_with_all_that_is_open_on_it(tmp_path):
@@ -99,7 +99,10 @@
         d = Desk(tmp_path)
         assert d.hear(call(1, b"other", 2)) == ["pull q0.1 other s-21 from s-12 rank 1 for 0.979"]
         assert d.hear(*bad) == [f"shut 1 {why}"]
-        assert list(d.reducer.queries) == list(d.router.queries) == [0] and sum(d.router.fleet.inflight) == 1
+        assert (
+            list(d.reducer.queries) == list(d.router.requests) == [0]
+            and sum(d.router.endpoints.in_flight) == 1
+        )
         assert list(d.reducer.numbers) == [2] and d.reducer.withdrawn == {}
 
 
@@ -107,14 +110,14 @@
     d = Desk(tmp_path)
     d.ask(), d.ask()
     assert d.hear(("closing", ())) == ["kill q0.1", "error 1 1", "kill q1.1", "error 1 2"]
-    assert d.reducer.queries == {} and sum(d.router.fleet.inflight) == 0
+    assert d.reducer.queries == {} and sum(d.router.endpoints.in_flight) == 0
 
 
 def test_unchanged_only_where_a_tag_was_passed_on(tmp_path):
     d = Desk(tmp_path)
     d.ask(tag=b"4be0")
     assert d.end(0, 1, "satisfied", same=True) == ["satisfy 1 1 b'' True"]
-    d.router.retries = 0.0
+    d.router.retry_budget.tokens = 0.0
     d.ask(key=b"bb")
     assert d.end(1, 1, "satisfied", same=True) == ["nack 1 2 0.0"]
 
@@ -169,18 +172,18 @@
     d = Desk(tmp_path)
     d.ask(), d.end(0, 1, "satisfied")
     d.hear(*commands({"cursor": 4, "drop": {"id": "aa", "when": 1000}}), at=1.5)
-    assert d.router.docs["aa", 0].purged_at == 1.0
+    assert d.router.objects.states["aa", 0].purged_at == 1.0
     d.hear(*commands({"cursor": 5, "drop": {"family": 4, "when": 2000}}), at=2.5)
-    assert d.router.groups == {4: 2.0, "aa": 1.0}
+    assert d.router.purges.purged_at == {4: 2.0, "aa": 1.0}
 
 
 def test_a_fault_of_the_decisions_costs_its_query_alone(tmp_path):
     d = Desk(tmp_path)
-    place, d.router.place = d.router.place, lambda query, q: place(query, q) if query else 1 / 0
+    route, d.router.route = d.router.route, lambda request: route(request) if request.request_id else 1 / 0
     told = [
         ("query", (1, n, b"r%d" % n, b"page", b"aa", b"0", 0, 4, 100.0, 1.0, None, b"", 0.01)) for n in (1, 2)
     ]
     said, *done = d.hear(*told)
     assert said.startswith("say decisions {'text': 'ZeroDivisionError: division by zero (<lambda>, line")
     assert done == ["error 1 1", "pull q1.1 r2 s-21 from s-12 rank 2 for 0.989"]
-    assert list(d.router.queries) == [1]
+    assert list(d.router.requests) == [1]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -72,9 +72,9 @@
 def test_restarted_holder_is_forgotten():
     b = Bench()
     b.serve("a")
-    assert b.router.docs["a", 0].holders
+    assert b.router.objects.states["a", 0].holders
     b.call(EndpointsListed(False, [b.row(21, born=0.01, weight=400.0)]))
-    assert b.router.holders(b.router.docs["a", 0]) == []
+    assert b.router.eligibility.current_holders(b.router.objects.states["a", 0], b.now) == []
 
 
 def sent_cold(routers, server, each, start=0.0):
@@ -109,9 +109,11 @@
     )
     for i in range(40):
         b.serve("a", part=i, at=i / 4)
-    power = [round(b.router.power(b.router.fleet.index[server]), 1) for server in (11, 21)]
+    power = [
+        round(b.router.throughput.power(b.router.endpoints.index[server], b.now), 1) for server in (11, 21)
+    ]
     b.call(EndpointsListed(False, [b.row(p, kind="parent", zone=0, born=9.0) for p in (11, 12, 13)]))
-    power.append(round(b.router.power(b.router.fleet.index[11]), 1))
+    power.append(round(b.router.throughput.power(b.router.endpoints.index[11], b.now), 1))
     assert power == [1.0, 3.7, 1.0]
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -150,7 +150,7 @@
     """Open connections of a machine that vanished stay open: its pushes must not wait for their whole time."""
 
     async def scene(t):
-        t.service.reducer.router.retries = 10.0
+        t.service.reducer.router.retry_budget.tokens = 10.0
         t.caller.ask(1)
         await until(t.pulled)
         home = t.pulled()[0][:4]
@@ -168,7 +168,7 @@
     """A single-use query goes on to another cache; after a reset it may have run and ends in error."""
 
     async def scene(t):
-        t.service.reducer.router.retries = 10.0
+        t.service.reducer.router.retry_budget.tokens = 10.0
         for machine in list(t.machines.values())[3:5]:
             await machine.stop()
         heard = []
@@ -223,7 +223,7 @@
     also while new pushes go on being written."""
 
     async def scene(t):
-        t.service.reducer.router.retries = 10.0
+        t.service.reducer.router.retry_budget.tokens = 10.0
         t.service.upstream_connections.say = lambda event, **values: said.append(event)
         first, said = [], []
         for machine in t.machines.values():
@@ -319,7 +319,7 @@
             machine.act = lambda line: seen.append(line) or ends[len(seen) % len(ends)]
         other = await Caller.connect(t.address)
         for n in range(120):
-            router.retries = 5.0
+            router.retry_budget.tokens = 5.0
             (other if n % 5 == 0 else t.caller).ask(n, lookup=f"{n % 40:016x}", allow="600")
             if n % 7 == 0:
                 t.caller.forget(t.caller.number)
@@ -334,14 +334,14 @@
             out = [q for q in t.service.reducer.queries.values() if q.out]
             if not t.service.rounds.events:  # what has ended and is not reduced yet
                 agreed.append(
-                    sum(router.fleet.inflight) == len(out) == len(t.service.upstream_connections.where)
+                    sum(router.endpoints.in_flight) == len(out) == len(t.service.upstream_connections.where)
                 )
         await until(lambda: not t.service.reducer.queries)
         return (
             set(agreed),
-            sum(router.fleet.inflight),
-            router.fills,
-            router.queries,
+            sum(router.endpoints.in_flight),
+            router.fills_in_flight,
+            router.requests,
             t.service.upstream_connections.where,
         )
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -45,7 +45,7 @@
     host = wirehost.Host()
     host.batch(1000, START + [ASK.format("a")])
     host.batch(2000, ["ABOUT 3", "DESTROY"] + START[1:])
-    assert host.instances[3].router.queries == {}
+    assert host.instances[3].router.requests == {}
     assert host.batch(3000, ["ABOUT 3", "OUTCOME r-a 0 21 INTERNAL 1000 0"]) == []
 
 
@@ -96,7 +96,7 @@
     assert capsys.readouterr().err == "brookhinge: line 'nonsense': expected BEGIN_BATCH\n"
     host = wirehost.Host()
     host.batch(1000, START)
-    monkeypatch.setattr(host.instances[3].router, "place", lambda *_: 1 / 0)
+    monkeypatch.setattr(host.instances[3].router, "route", lambda *_: 1 / 0)
     assert host.batch(2000, ["ABOUT 3", ASK.format("a")])[1].startswith(
         "PANIC ZeroDivisionError: division by zero"
     )
