--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from brookhinge.decide import Router
+from brookhinge.decisions.router import Router
 from brookhinge.engine.effects import NotifyPeers
 from brookhinge.engine.events import Event
 from brookhinge.engine.reducer import Reducer
@@ -127,7 +127,7 @@
     def _share_outlier_evidence(self) -> None:
         from brookhinge.verdicts.outlier_detection import OutlierDetection
 
-        servers = self._reducer.router.fleet
+        servers = self._reducer.router.endpoints
         self._talk.add(
             lambda talk, now: OutlierDetection(
                 talk.peer.view,
@@ -136,7 +136,7 @@
                 talk.peer.version,
                 lambda: talk.fleet_size.in_zone,
                 self._reducer.seen,
-                lambda: len(servers.own),
+                lambda: len(servers.local_caches),
                 now,
             )
         )
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -154,7 +154,7 @@
             lineage = Lineage()
             returns = Returns(decisions.limits.max_retry_after_s)
         router = router_class(fleet)(
-            self.site.seed, machine=self.site.bounds, returns=returns, **decisions._asdict()
+            self.site.seed, machine=self.site.bounds, retry_schedule=returns, **decisions._asdict()
         )
         return Reducer(
             router,
--- a/brookhinge/wirehost.py
+++ b/brookhinge/wirehost.py
@@ -3,9 +3,9 @@
 import json
 import sys
 
-from brookhinge.decide import Router
 from brookhinge.decision_settings import read_decision_settings
 from brookhinge.decisions.messages import AttemptEnded, RequestWithdrawn
+from brookhinge.decisions.router import Router
 from brookhinge.settings_reader import OBJECT, SettingsReader, StartError, check
 from brookhinge.wire.codec import Instance, WireError, number, parts, read_row
 
