--- a/brookhinge/net/client_calls.py
+++ b/brookhinge/net/client_calls.py
@@ -9,11 +9,11 @@
 from tornado.iostream import StreamClosedError
 
 from brookhinge.decisions.rules import CloseReason
-from brookhinge.engine.events import Event, RequestCancelled, RequestReceived
+from brookhinge.engine.events import Event, RequestCancelled
 from brookhinge.net import client_protocol, thrift
 from brookhinge.net.client_connection import ClientConnection, Ending, ReceivedCall
 from brookhinge.net.receive_times import ReceiveTimes
-from brookhinge.net.request_validation import validate_request
+from brookhinge.net.request_validation import read_request
 
 if TYPE_CHECKING:
     from brookhinge.net.client_connections import ClientConnections
@@ -163,26 +163,8 @@
         client.used_at = received.received_at
 
     def _post_request(self, client: ClientConnection, call: client_protocol.Call, received_at: float) -> None:
-        fields = call.arguments.get(client_protocol.FIELDS_ARGUMENT, {})
-        body = call.arguments.get(client_protocol.BODY_ARGUMENT, b"")
-        request = validate_request(fields, body, self._max_timeout_s)
+        event = read_request(client.number, call, received_at, self._max_timeout_s)
         client.unanswered.add(call.sequence_number)
-        event = RequestReceived(
-            client=client.number,
-            number=call.sequence_number,
-            client_request_id=request.request_id,
-            class_name=request.request_class,
-            object_key=request.object_key,
-            part=request.part,
-            part_number=request.part_number,
-            purge_group=request.purge_group,
-            size_kb=request.size_kb,
-            timeout_s=request.timeout_s,
-            known_version=request.known_version,
-            body=request.body,
-            received_at=received_at,
-            idempotency_key=request.idempotency_key,
-        )
         self.post(event)
 
     def _take_cancels(self, client: ClientConnection) -> None:
--- a/brookhinge/net/request_validation.py
+++ b/brookhinge/net/request_validation.py
@@ -9,7 +9,9 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
+from brookhinge.engine.events import RequestReceived
 from brookhinge.net import thrift
+from brookhinge.net.client_protocol import BODY_ARGUMENT, FIELDS_ARGUMENT, Call
 
 MAX_BODY_BYTES = 240_000
 MAX_PURGE_GROUP = 255
@@ -53,38 +55,24 @@
 )
 
 
-class ServeRequest(NamedTuple):
-    """A client's request, checked.
+def read_request(
+    client: int, call: Call, received_at: float, max_timeout_s: Mapping[bytes, float]
+) -> RequestReceived:
+    """Check and parse a `serve` call.
 
     What the decisions need is parsed, the rest stays as the bytes that came.
-    """
-
-    request_id: bytes
-    request_class: bytes
-    object_key: bytes
-    part: bytes
-    part_number: int
-    purge_group: int  # 0: not told
-    size_kb: float  # 0: not told
-    timeout_s: float
-    known_version: bytes | None  # tag of the copy that the client has
-    body: bytes
-    idempotency_key: bytes | None
-
-
-def validate_request(
-    fields: Mapping[bytes, bytes], body: bytes, max_timeout_s: Mapping[bytes, float]
-) -> ServeRequest:
-    """Check and parse the arguments of a `serve` call.
 
     Args:
-        fields: The map of the call.
-        body: The body of the call.
+        client: The number of the client's connection.
+        call: The call.
+        received_at: When it was received.
         max_timeout_s: The longest time that clients may wait, by request class.
 
     Raises:
         thrift.InvalidCallError: A field is missing or unusable; the message names it.
     """
+    fields = call.arguments.get(FIELDS_ARGUMENT, {})
+    body = call.arguments.get(BODY_ARGUMENT, b"")
     for name, is_valid, is_required in FIELD_RULES:
         value = fields.get(name)
         if is_required if value is None else not is_valid(value):
@@ -104,9 +92,11 @@
         raise invalid("room: out of range")
     if len(body) > MAX_BODY_BYTES:
         raise invalid("body: out of range")
-    return ServeRequest(
-        request_id=fields[REQUEST_ID],
-        request_class=request_class,
+    return RequestReceived(
+        client=client,
+        number=call.sequence_number,
+        client_request_id=fields[REQUEST_ID],
+        class_name=request_class,
         object_key=fields[OBJECT_KEY],
         part=fields[PART],
         part_number=int(fields[PART]),
@@ -115,6 +105,7 @@
         timeout_s=timeout_s,
         known_version=fields.get(KNOWN_VERSION),
         body=body,
+        received_at=received_at,
         idempotency_key=fields.get(IDEMPOTENCY_KEY),
     )
 
--- a/brookhinge/net/thrift.py
+++ b/brookhinge/net/thrift.py
@@ -6,6 +6,7 @@
 
 MAX_FRAME_BYTES = 256 * 1024
 MAX_DEPTH = 8  # of nested values in an argument that is skipped
+CUT_OFF = "a frame that is cut off"
 VERSION_1 = 0x8001  # upper half of the first word of a strict message
 
 # Kinds of messages.
@@ -119,12 +120,16 @@
         begin = self.position
         self.position = begin + count
         if count < 0 or self.position > len(self.frame):
-            raise UnreadableError("a frame that is cut off")
+            raise UnreadableError(CUT_OFF)
         return self.frame[begin : self.position]
 
     def read_int32(self) -> int:
         """Read a signed integer of four bytes."""
-        return INT32.unpack(self.take(INT32.size))[0]
+        begin = self.position
+        self.position = begin + INT32.size
+        if self.position > len(self.frame):
+            raise UnreadableError(CUT_OFF)
+        return INT32.unpack_from(self.frame, begin)[0]
 
     def read_string(self) -> bytes:
         """Read a string, as bytes."""
