--- a/benchmarks/soak/server.py
+++ b/benchmarks/soak/server.py
@@ -59,7 +59,7 @@
     # connections
 
     async def session(self, reader, writer):
-        commands, tasks = protocol.Commands(), {}
+        commands, tasks = protocol.CommandSplitter(), {}
         try:
             while data := await reader.read(READ):
                 for command, name, *rest in commands.feed(data):
@@ -68,7 +68,7 @@
                     elif command == "kill" and name in tasks:
                         tasks.pop(name).cancel()
                     elif command == "echo":
-                        writer.write(protocol.answer(name, b"well"))
+                        writer.write(protocol.encode_answer(name, b"well"))
         except (ConnectionError, cachewire.UnreadableError):
             pass
         finally:
@@ -79,16 +79,16 @@
     async def answer(self, writer, name, raw, body):
         try:
             word, fields, data = await self.serve(name, raw)
-        except protocol.Unusable:
+        except protocol.UnusableRequestError:
             word, fields, data = b"failed", [], b""
         if not writer.is_closing():
-            writer.write(protocol.answer(name, word, fields, data))
+            writer.write(protocol.encode_answer(name, word, fields, data))
 
     # requests
 
     async def serve(self, name, raw):
-        pull = protocol.read_pull(raw)
-        kind = world.KINDS.get(pull.sort.decode(), world.KINDS["page"])
+        pull = protocol.decode_request(raw)
+        kind = world.KINDS.get(pull.request_class.decode(), world.KINDS["page"])
         if self.chance.random() < self.refuse_rate:
             return b"full", [], b""
         await asyncio.sleep(self.chance.uniform(0.004, 0.016) * self.slow)
@@ -116,12 +116,12 @@
         return self.made(pull, b"hit")
 
     def made(self, pull, note):
-        name, now = pull.object.decode(), time.monotonic()
+        name, now = pull.object_key.decode(), time.monotonic()
         copy = Copy(self.versions.get(name, 0), now, round(time.time() * 1000))
         return self.good(pull, copy, note)
 
     def good(self, pull, copy, note):
-        name, tag = pull.object.decode(), b"v%d.%d" % (copy.version, copy.made * 1000)
+        name, tag = pull.object_key.decode(), b"v%d.%d" % (copy.version, copy.made * 1000)
         fields = [(b"n", note), (b"digest", tag), (b"dated", b"%d" % copy.dated_ms)]
         fields.append((b"lot", b"%d" % world.group_of(name)))
         return b"data", fields, world.body_of(name, pull.part, copy.version, copy.made)
@@ -129,8 +129,8 @@
     async def read(self, name, pull, kind):
         if self.role == world.ORIGIN:
             return self.made(pull, b"hit")
-        key, now = (pull.object.decode(), pull.part), time.monotonic()
-        copy, oldest_s = self.copies.get(key), pull.accept_s or kind.fresh_s or float("inf")
+        key, now = (pull.object_key.decode(), pull.part), time.monotonic()
+        copy, oldest_s = self.copies.get(key), pull.max_age_s or kind.fresh_s or float("inf")
         if copy is not None and copy.made <= self.purged.get(key[0], 0.0):
             copy = None
             del self.copies[key]
@@ -142,7 +142,7 @@
         return await self.fill(key, name, pull, kind, oldest_s)
 
     async def fill(self, key, name, pull, kind, oldest_s):
-        beyond = "" if pull.local or pull.source == self.origin_id else self.origin_id
+        beyond = "" if pull.cached_only or pull.source == self.origin_id else self.origin_id
         accept_s = 0.0 if oldest_s == float("inf") else oldest_s
         word, fields, body = await self.ask(pull.source, name, pull, kind, beyond, accept_s)
         if word == b"absent":
@@ -200,18 +200,18 @@
                 future.set_exception(ConnectionResetError())
 
     async def ask(self, name, pull, kind, beyond, accept_s):
-        patience_s = min(pull.patience_s, world.LONGEST_S)
+        patience_s = min(pull.timeout_s, world.LONGEST_S)
         tag = b"%b.%d" % (name, len(self.waiting)) if name in self.waiting else name
         self.waiting[tag] = future = asyncio.get_running_loop().create_future()
         fetch = cachewire.Fetch(
-            request_class=pull.sort,
-            object_key=pull.object,
+            request_class=pull.request_class,
+            object_key=pull.object_key,
             part=b"%d" % pull.part,
             source=beyond,
             rank=0,
             max_age_s=accept_s,
             joins_fill=True,
-            cached_only=pull.local,
+            cached_only=pull.cached_only,
             revalidate=False,
             known_version=None,
             body=b"",
--- a/benchmarks/soak/witness.py
+++ b/benchmarks/soak/witness.py
@@ -56,7 +56,7 @@
         self.record, self.chance = front.witness.record, front.witness.chance
         front.witness.serial += 1
         self.number, self.up = front.witness.serial, None
-        self.commands, self.answers, self.open = protocol.Commands(), cachewire.AnswerSplitter(), {}
+        self.commands, self.answers, self.open = protocol.CommandSplitter(), cachewire.AnswerSplitter(), {}
         self.used_at, self.held, self.unread_from = time.monotonic(), b"", None
 
     async def run(self):
@@ -150,7 +150,7 @@
                 self.pass_on(name, word, fields, body)
 
     def pass_on(self, name, word, fields, body):
-        data = protocol.answer(name, word, list(fields.items()), body)
+        data = protocol.encode_answer(name, word, list(fields.items()), body)
         told = dict(server=self.front.server, connection=self.number, ref=name.decode("latin-1"))
         if word == b"well":
             return self.writer.write(data)
@@ -174,7 +174,7 @@
         elif kind == "twice":
             self.writer.write(data + data)
         elif kind == "unknown":
-            self.writer.write(protocol.answer(b"ffffffffffffffff", b"data", [], b"x") + data)
+            self.writer.write(protocol.encode_answer(b"ffffffffffffffff", b"data", [], b"x") + data)
         else:
             self.writer.write(b"%b data - 200000\r\n" % name + ENDLESS)
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -436,10 +436,10 @@
         await asyncio.sleep(0.6)
         await town.kill("s-2")
         await town.restart("s-2")
-        before, sent = dict(town.origin.counts), town.parent.counts["sent_bytes"]
+        before, sent = dict(town.origin.counts), town.parent.counters["sent_bytes"]
         await load(seconds, True)
         figures["bytes_from_origin"] = town.origin.counts["bytes"] - before["bytes"]
-        figures["bytes_from_parent"] = town.parent.counts["sent_bytes"] - sent
+        figures["bytes_from_parent"] = town.parent.counters["sent_bytes"] - sent
         figures["asked_of_origin"] = town.origin.counts["queries"] - before["queries"]
         figures["took_s_p95"] = round(percentile(took_s, 0.95), 4)
         figures["share_in_time"] = round(figures["in_time"] / max(1, figures["asked"]), 4)
--- a/brookhinge/cache_server/__init__.py
+++ b/brookhinge/cache_server/__init__.py
@@ -1,10 +1,12 @@
-"""A cache box: a cache server of the platform's protocol on the two-tier store.
+"""A cache server of the platform's protocol on the two-tier store.
 
-    box = Box(stand, say=log); address = await box.start(); ...; await box.stop()
+    server = CacheServer(settings, log); address = await server.start(); ...; await server.stop()
 
-It answers PULL, KILL and ECHO, fills from parent, sibling or origin, joins, renews ageing copies behind, and takes list
-and purges from the command channel. What it decides of a query stands in judge.py, without I/O or clock."""
+It answers PULL, KILL and ECHO, fills from parent, sibling or origin, joins fills, revalidates ageing copies
+behind the answer, and takes the server list and purges from the command channel. What it decides on a request
+stands in cache_policy.py, without I/O or clock.
+"""
 
-from brookhinge.cache_server.service import Box
+from brookhinge.cache_server.service import CacheServer
 
-__all__ = ["Box"]
+__all__ = ["CacheServer"]
--- a/brookhinge/cache_server/cache_policy.py
+++ b/brookhinge/cache_server/cache_policy.py
@@ -1,64 +1,140 @@
-"""What a box decides of a query: serve, serve and renew behind, fill, join, or turn away. No I/O, no clock.
+"""What a cache server does with a request: serve, revalidate, fill, join a fill, or reject. No I/O, no clock.
 
-Kept here because the rules hold at a box as well: a fill source that drains or has gone is asked for nothing new (rule
-3), a copy from before a known purge is not served (rule 5; the store sees to it), and what was set aside after a restart
-goes out only when its source has said that it is unchanged."""
+The platform's rules hold at a cache server as well: a fill source that drains or has gone is asked for
+nothing new, a copy from before a known purge is not served (the store sees to it), and a copy that needs
+revalidation is served only when its source has called it unchanged.
+"""
 
+from enum import Enum
 from typing import NamedTuple
 
-SERVE, RENEW, FILL, JOIN, ABSENT, FULL = "serve", "renew", "fill", "join", "absent", "full"
-UP = "ready"
-
-
-class Track(NamedTuple):
-    """Seconds; fresh_s 0: good until purged."""
-
-    fresh_s: float = 0.0
-    stale_s: float = 0.0
-
-
-def judge(pull, track, age_s, aside, source_state, joinable, fills, most_fills):
-    """(what to do, note). age_s: of the copy held, None without one; source_state: of the server named, as last told,
-    None if it is not listed; joinable: a fill of this part that would do is under way."""
-    if age_s is not None and not aside:
-        bound = pull.accept_s or track.fresh_s or float("inf")
-        if age_s <= bound:
-            old = track.fresh_s and age_s > track.fresh_s
-            # a renewal is never worth turning somebody away for: it takes a place only while half are free
-            if old and pull.renew and source_state == UP and 2 * fills < most_fills:
-                return RENEW, "stale"
-            return SERVE, "stale" if old else "hit"
-    if not pull.source:
-        return ABSENT, ""
-    if pull.merge and joinable:
-        return JOIN, "joined"
-    if source_state != UP:
-        return FULL, "src_refused"
-    if fills >= most_fills:
-        return FULL, "no_slot"
-    return FILL, ""
-
-
-def bound_of(pull, track, since_purge_s, since_told_s, aside):
-    """The oldest copy, in seconds, that a fill may bring: what the query accepts; younger than the last purge known of
-    the object; and for a copy set aside, younger than the time since which nothing told can have been missed."""
-    bounds = [pull.accept_s or track.fresh_s]
+from brookhinge.cache_server import protocol
+from brookhinge.cache_server.protocol import Request
+from brookhinge.decisions.rules import AttemptResult
+from brookhinge.net.cachewire import NOTES
+
+SERVER_READY = "ready"  # health of a server that may be asked
+_NOTES_OF_FILLS = frozenset({NOTES[b"filled"], NOTES[b"via_origin"]})  # of a source that filled in its turn
+
+
+class Action(Enum):
+    """What is done with a request."""
+
+    SERVE = "serve"
+    SERVE_AND_REVALIDATE = "serve, revalidate behind the answer"
+    FILL = "fill"
+    JOIN_FILL = "join a fill"
+    ABSENT = "answer absent"
+    FULL = "answer full"
+
+
+class Decision(NamedTuple):
+    """An action, and the note that its answer bears."""
+
+    action: Action
+    note: str
+
+
+class Freshness(NamedTuple):
+    """How long copies of a request class are fresh, in seconds."""
+
+    fresh_s: float = 0.0  # 0: until they are purged
+    stale_s: float = 0.0  # how much older they may be
+
+
+class CachedCopy(NamedTuple):
+    """What matters of a stored copy."""
+
+    age_s: float
+    needs_revalidation: bool
+
+
+class FillState(NamedTuple):
+    """The source that a request names, and the fills under way."""
+
+    source_is_ready: bool
+    can_join: bool  # a fill of this part that would do is under way
+    running: int
+    limit: int
+
+
+class FillAnswer(NamedTuple):
+    """Word and note of the answer to a request that a fill served."""
+
+    word: bytes
+    note: str
+
+
+def decide(request: Request, freshness: Freshness, copy: CachedCopy | None, fills: FillState) -> Decision:
+    """Decide on a request."""
+    if copy is not None and not copy.needs_revalidation:
+        max_age_s = request.max_age_s or freshness.fresh_s or float("inf")
+        if copy.age_s <= max_age_s:
+            return _serve(request, freshness, copy, fills)
+    if not request.source:
+        return Decision(Action.ABSENT, "")
+    if request.joins_fill and fills.can_join:
+        return Decision(Action.JOIN_FILL, "joined")
+    if not fills.source_is_ready:
+        return Decision(Action.FULL, "src_refused")
+    if fills.running >= fills.limit:
+        return Decision(Action.FULL, "no_slot")
+    return Decision(Action.FILL, "")
+
+
+def _serve(request: Request, freshness: Freshness, copy: CachedCopy, fills: FillState) -> Decision:
+    if not freshness.fresh_s or copy.age_s <= freshness.fresh_s:
+        return Decision(Action.SERVE, "hit")
+    # a revalidation must not cost anybody a fill: it takes a place only while half of them are free
+    has_spare_fills = 2 * fills.running < fills.limit
+    if request.revalidate and fills.source_is_ready and has_spare_fills:
+        return Decision(Action.SERVE_AND_REVALIDATE, "stale")
+    return Decision(Action.SERVE, "stale")
+
+
+def max_fill_age_s(
+    request: Request,
+    freshness: Freshness,
+    since_purge_s: float | None,
+    since_current_s: float | None,
+    needs_revalidation: bool,
+) -> float:
+    """The oldest copy that a fill may bring, in seconds; 0 is any.
+
+    Args:
+        request: The request.
+        freshness: Of its class.
+        since_purge_s: Since the last purge known of the object; the copy must be younger.
+        since_current_s: Since when no purge can have been missed; bounds what replaces a copy that needs
+            revalidation.
+        needs_revalidation: Whether the stored copy does.
+    """
+    bounds = [request.max_age_s or freshness.fresh_s]
     if since_purge_s is not None:
         bounds.append(since_purge_s)
-    if aside and since_told_s is not None:
-        bounds.append(since_told_s)
-    return min((b for b in bounds if b), default=0.0)
-
-
-def after_fill(result, note, source_is_origin, unchanged):
-    """(word, note) of the answer to a query whose fill ended with `result`, in the router's words for a push, and with
-    that note (numbers of cachewire.NOTES). unchanged: the source said that the copy held is the one, so no bytes came."""
-    if result == "satisfied" and unchanged:
-        return "data", "hit"
-    if result == "satisfied":
-        return "data", "via_origin" if source_is_origin or note in (2, 3) else "filled"
-    if result == "miss":
-        return "absent", "src_lacks"
-    if result in ("full", "unreachable"):
-        return "full", "src_refused"
-    return "failed", "origin_failed" if source_is_origin else "src_broke"
+    if needs_revalidation and since_current_s is not None:
+        bounds.append(since_current_s)
+    return min((bound for bound in bounds if bound), default=0.0)
+
+
+def answer_to_fill(
+    result: AttemptResult, source_note: int, source_is_origin: bool, unchanged: bool
+) -> FillAnswer:
+    """Answer a request whose fill has ended.
+
+    Args:
+        result: Of the fill.
+        source_note: The note of the source's answer, by number.
+        source_is_origin: Whether the source is the origin.
+        unchanged: The source called the stored copy unchanged, so no bytes came.
+    """
+    if result == AttemptResult.SATISFIED and unchanged:
+        return FillAnswer(protocol.DATA, "hit")
+    if result == AttemptResult.SATISFIED:
+        via_origin = source_is_origin or source_note in _NOTES_OF_FILLS
+        return FillAnswer(protocol.DATA, "via_origin" if via_origin else "filled")
+    if result == AttemptResult.MISS:
+        return FillAnswer(protocol.ABSENT, "src_lacks")
+    if result in (AttemptResult.FULL, AttemptResult.UNREACHABLE):
+        return FillAnswer(protocol.FULL, "src_refused")
+    return FillAnswer(protocol.FAILED, "origin_failed" if source_is_origin else "src_broke")
--- a/brookhinge/cache_server/command_channel.py
+++ b/brookhinge/cache_server/command_channel.py
@@ -1,43 +1,89 @@
-"""The command channel as a box hears it. The number in a poll says what was taken for good: it stays below the first
-purge that is not durable yet, and what is told again meanwhile is passed over, so that a disk that stalls holds up no
-drain and no purge. A channel that tells less than it told before has lost something."""
+"""The command channel as a cache server follows it.
+
+The number in a poll acknowledges what was taken for good: it stays below the first purge that is not durable
+yet, and what is told again meanwhile is passed over, so that a disk that stalls holds up no drain and no
+purge. A channel that tells less than it told before has lost something.
+"""
 
 import asyncio
+from collections.abc import Callable, Sequence
 
-from brookhinge.engine.events import CommandSkipped, ObjectsPurged
+from brookhinge.engine.events import CommandSkipped, EndpointsListed, ObjectsPurged
 from brookhinge.net.channel import Channel
 
-AGAIN_S = 0.05  # between polls while the number in them can't rise: the channel answers those at once
+# between polls while their number can't rise: the channel answers such a poll at once
+_UNACKNOWLEDGED_POLL_INTERVAL_S = 0.05
+
+Command = EndpointsListed | ObjectsPurged | CommandSkipped
+
 
+class AcknowledgingChannel(Channel):
+    """A command channel that acknowledges only what is durable.
 
-class Orders(Channel):
-    """safe(number): the highest number up to that one of which every purge is durable; gap(why): purges may have been
-    missed; heard(): the channel has told all that it knows."""
+    Attributes:
+        is_synchronized: Whether all that the channel knew at the start has been told.
+        taken: The number of the last command that was taken.
+    """
 
-    def __init__(self, post, say, address, start, safe, gap, heard):
-        super().__init__(post, say, address, 0, start)
-        self.safe, self.gap, self.heard, self.met, self.taken = safe, gap, heard, False, 0
+    def __init__(
+        self,
+        post: Callable[[Command], None],
+        log_event: Callable[..., None],
+        address: tuple[str, int],
+        started_at: float,
+        *,
+        durable_up_to: Callable[[int], int],
+        on_gap: Callable[[str], None],
+        on_current: Callable[[], None],
+    ) -> None:
+        """Make a channel that does not poll yet.
 
-    async def ask(self):
-        if self.safe(self.taken) < self.taken:
-            await asyncio.sleep(AGAIN_S)
-        self.cursor = self.safe(self.taken)
+        Args:
+            post: Takes each command that is new.
+            log_event: Called with the event's name and its values as keywords.
+            address: Of the command channel.
+            started_at: Unix time from which the times of commands count.
+            durable_up_to: The highest number, up to the given one, of which every purge is durable.
+            on_gap: Purges may have been missed, and why.
+            on_current: The channel has told all that it knows.
+        """
+        super().__init__(post, log_event, address, 0, started_at)
+        self.is_synchronized = False
+        self.taken = 0
+        self._durable_up_to = durable_up_to
+        self._on_gap = on_gap
+        self._on_current = on_current
+
+    async def ask(self) -> tuple:
+        """Poll with the number of the last command that is durable."""
+        if self._durable_up_to(self.taken) < self.taken:
+            await asyncio.sleep(_UNACKNOWLEDGED_POLL_INTERVAL_S)
+        self.cursor = self._durable_up_to(self.taken)
         return await super().ask()
 
-    def take(self, cursor, commands):
-        first = commands[0].number if commands else cursor + 1
-        why = None
-        if self.met and cursor < self.taken:
-            why = f"the channel tells up to {cursor} after {self.taken}: it has started anew"
-        elif self.met and commands and first > self.cursor + 1:
-            why = f"the channel goes on at {first} after {self.cursor}"
+    def take(self, cursor: int, commands: Sequence[Command]) -> None:
+        """Post the commands of one answer, as far as they are new."""
+        gap = self._gap(cursor, commands)
         for command in commands:
-            is_new = command.number > self.taken if why is None else isinstance(command, ObjectsPurged)
+            # after a gap the list is told from its start once more, and purges bind at once
+            is_new = command.number > self.taken if gap is None else isinstance(command, ObjectsPurged)
             if is_new or isinstance(command, CommandSkipped):
                 self.post(command)
-        if why is None:
-            self.met, self.taken = True, max(self.taken, cursor)
-            self.heard()
-        else:  # all of it from the start, as at our own
-            self.met, self.taken = False, 0
-            self.gap(why)
+        if gap is None:
+            self.is_synchronized = True
+            self.taken = max(self.taken, cursor)
+            self._on_current()
+        else:
+            self.is_synchronized = False
+            self.taken = 0
+            self._on_gap(gap)
+
+    def _gap(self, cursor: int, commands: Sequence[Command]) -> str | None:
+        """Why commands may have been missed, or None."""
+        if not self.is_synchronized:
+            return None
+        if cursor < self.taken:
+            return f"the channel tells up to {cursor} after {self.taken}: it has started anew"
+        if commands and commands[0].number > self.cursor + 1:
+            return f"the channel goes on at {commands[0].number} after {self.cursor}"
+        return None
--- a/brookhinge/cache_server/line_server.py
+++ b/brookhinge/cache_server/line_server.py
@@ -1,137 +1,202 @@
-"""Connections of routers and boxes to a server of lines: bytes to commands, answers to bytes. Decides nothing."""
+"""Connections of routers and other cache servers: bytes to commands, answers to bytes. Decides nothing."""
 
 import asyncio
+import socket
+import time
+from collections.abc import Awaitable, Callable, Coroutine
 
 from tornado.iostream import StreamClosedError
 
 from brookhinge.cache_server import protocol
+from brookhinge.cache_server.protocol import CommandKind, CommandSplitter, UnusableRequestError
 from brookhinge.net.cachewire import UnreadableError
 from brookhinge.net.listener import Listener
 from brookhinge.net.stream import Stream
 
-PIECE = 64 * 1024
-MOST_UNREAD = 8 * 1024 * 1024  # past it a peer that does not read is not read from
-MOST_OPEN = 512  # queries on one connection
-SWEEP_S = 0.2
+_READ_BYTES = 64 * 1024
+_MAX_UNREAD_BYTES = 8 * 1024 * 1024  # a client with more answers unread is not read from
+_MAX_OPEN_REQUESTS = 512  # on one connection
+_SWEEP_INTERVAL_S = 0.2
+_DRAIN_POLL_S = 0.01
 
+LogEvent = Callable[..., None]
+RequestHandler = Callable[[bytes, bytes, bytes], Awaitable[bytes]]  # (request id, fields, body) -> answer
 
-class Peer:
-    """One connection and what is open on it."""
 
-    def __init__(self, stream, now):
-        self.stream, self.used_at, self.open = stream, now, {}
+class ClientConnection:
+    """One connection and the requests that are open on it."""
+
+    def __init__(self, stream: Stream, now: float) -> None:
+        self.stream = stream
+        self.used_at = now
+        self.open_requests: dict[bytes, asyncio.Task] = {}
         self.may_read = asyncio.Event()
         self.may_read.set()
-        self.unread = 0
+        self.unread_bytes = 0
 
-    def write(self, data):
+    def write(self, data: bytes) -> None:
+        """Send bytes; stop reading from a client that does not read its answers."""
         try:
             flushed = self.stream.write(data)
         except StreamClosedError:
             return
-        self.unread += len(data)
-        if self.unread > MOST_UNREAD:
+        self.unread_bytes += len(data)
+        if self.unread_bytes > _MAX_UNREAD_BYTES:
             self.may_read.clear()
-        flushed.add_done_callback(lambda done: self.wrote(len(data), done))
+        flushed.add_done_callback(lambda done: self._on_flushed(len(data), done))
 
-    def wrote(self, size, done):
-        done.cancelled() or done.exception()
-        self.unread -= size
-        if self.unread <= MOST_UNREAD // 2:
+    def _on_flushed(self, size: int, done: asyncio.Future) -> None:
+        if not done.cancelled():
+            done.exception()  # the reader notices the end of the connection
+        self.unread_bytes -= size
+        if self.unread_bytes <= _MAX_UNREAD_BYTES // 2:
             self.may_read.set()
 
 
 class LineServer:
-    """serve(peer, name, raw fields, body): a coroutine that returns the answer's bytes; it is cancelled at a KILL and
-    when its connection ends."""
-
-    def __init__(self, serve, say, now, idle_s):
-        self.serve, self.say, self.now, self.idle_s = serve, say, now, idle_s
-        self.peers, self.sweeping = set(), None
-        self.listener = Listener(self.accept, say)
-
-    def listen(self, host, port):
-        address = self.listener.listen(host, port)
-        self.sweeping = asyncio.ensure_future(self.sweep())
+    """Listens for routers and runs a handler for each of their requests.
+
+    The handler returns the bytes of the answer; it is cancelled at a KILL and when its connection ends.
+    """
+
+    def __init__(
+        self, handle: RequestHandler, log_event: LogEvent, now: Callable[[], float], idle_s: float
+    ) -> None:
+        """Make a server that does not listen yet.
+
+        Args:
+            handle: Answers one request.
+            log_event: Called with the event's name and its values as keywords.
+            now: A clock that nobody sets, in seconds.
+            idle_s: A connection without requests is closed after so long.
+        """
+        self._handle = handle
+        self._log_event = log_event
+        self._now = now
+        self._idle_s = idle_s
+        self._connections: set[ClientConnection] = set()
+        self._tasks: set[asyncio.Task] = set()
+        self._sweeping: asyncio.Task | None = None
+        self._listener = Listener(self._accept, log_event)
+
+    def listen(self, host: str, port: int) -> tuple[str, int]:
+        """Begin to accept connections and return the address.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
+        address = self._listener.listen(host, port)
+        self._sweeping = asyncio.ensure_future(self._sweep())
         return address
 
-    def accept(self, made, _):
-        peer = Peer(Stream(made, read_chunk_size=PIECE), self.now())
-        self.peers.add(peer)
-        asyncio.ensure_future(self.read(peer))
-
-    async def read(self, peer):
-        commands = protocol.Commands()
+    def open_requests(self) -> int:
+        """Requests that wait for their answer."""
+        return sum(len(connection.open_requests) for connection in self._connections)
+
+    def stop(self) -> None:
+        """Accept no new connections, but for those that came before."""
+        self._listener.stop()
+
+    async def drain(self, within_s: float) -> None:
+        """Wait until no request is open, but no longer than `within_s`."""
+        end = time.monotonic() + within_s
+        while self.open_requests() and time.monotonic() < end:
+            tasks = [task for connection in self._connections for task in connection.open_requests.values()]
+            await asyncio.wait(tasks, timeout=_DRAIN_POLL_S)
+            await asyncio.sleep(_DRAIN_POLL_S)  # the last answers are still being sent
+
+    def close(self) -> None:
+        """Close all connections."""
+        self._listener.close()
+        if self._sweeping:
+            self._sweeping.cancel()
+        for connection in list(self._connections):
+            self._close_connection(connection)
+
+    def _start(self, work: Coroutine[None, None, None]) -> asyncio.Task:
+        """Run a coroutine; the server keeps its task until it ends."""
+        task = asyncio.ensure_future(work)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+        return task
+
+    def _accept(self, accepted: socket.socket, _host: str) -> None:
+        connection = ClientConnection(Stream(accepted, read_chunk_size=_READ_BYTES), self._now())
+        self._connections.add(connection)
+        self._start(self._read(connection))
+
+    async def _read(self, connection: ClientConnection) -> None:
+        commands = CommandSplitter()
         try:
             while True:
-                await peer.may_read.wait()
-                for command, name, *rest in commands.feed(await peer.stream.read_bytes(PIECE, partial=True)):
-                    self.take(peer, command, name, rest)
+                await connection.may_read.wait()
+                data = await connection.stream.read_bytes(_READ_BYTES, partial=True)
+                for kind, request_id, *rest in commands.feed(data):
+                    self._take_command(connection, kind, request_id, *rest)
         except (StreamClosedError, OSError):
             pass
-        except UnreadableError as fault:
-            self.say("peer", why=f"unreadable: {fault}")
-        except Exception as fault:
-            self.say("fault", where="peer", why=f"{type(fault).__name__}: {fault}")
+        except UnreadableError as error:
+            self._log_event("peer", why=f"unreadable: {error}")
+        except Exception as error:  # a fault of the program ends one connection alone
+            self._log_event("fault", where="peer", why=f"{type(error).__name__}: {error}")
         finally:
-            self.close(peer)
-
-    def take(self, peer, command, name, rest):
-        peer.used_at = self.now()
-        if command == "echo":
-            peer.write(protocol.answer(name, b"well"))
-        elif command == "kill":
-            if name in peer.open:
-                peer.open.pop(name).cancel()
-        elif name in peer.open:
-            raise UnreadableError(f"the id {name[:40]!r} that is open")
-        elif len(peer.open) >= MOST_OPEN:
-            peer.write(protocol.answer(name, b"full"))
+            self._close_connection(connection)
+
+    def _take_command(
+        self,
+        connection: ClientConnection,
+        kind: CommandKind,
+        request_id: bytes,
+        fields: bytes = b"",
+        body: bytes = b"",
+    ) -> None:
+        connection.used_at = self._now()
+        open_requests = connection.open_requests
+        if kind is CommandKind.ECHO:
+            connection.write(protocol.encode_answer(request_id, protocol.ALIVE))
+        elif kind is CommandKind.KILL:
+            if request_id in open_requests:
+                open_requests.pop(request_id).cancel()
+        elif request_id in open_requests:
+            raise UnreadableError(f"the id {request_id[:40]!r} that is open")
+        elif len(open_requests) >= _MAX_OPEN_REQUESTS:
+            connection.write(protocol.encode_answer(request_id, protocol.FULL))
         else:
-            peer.open[name] = asyncio.ensure_future(self.run(peer, name, *rest))
+            open_requests[request_id] = self._start(self._answer(connection, request_id, fields, body))
 
-    async def run(self, peer, name, raw, body):
-        me = asyncio.current_task()
+    async def _answer(
+        self, connection: ClientConnection, request_id: bytes, fields: bytes, body: bytes
+    ) -> None:
+        task = asyncio.current_task()
         try:
-            data = await self.serve(peer, name, raw, body)
-        except protocol.Unusable as fault:
-            self.say("query", why=f"unusable: {fault}")
-            data = protocol.answer(name, b"failed")
+            answer = await self._handle(request_id, fields, body)
+        except UnusableRequestError as error:
+            self._log_event("query", why=f"unusable: {error}")
+            answer = protocol.encode_answer(request_id, protocol.FAILED)
         except asyncio.CancelledError:
             return
-        except Exception as fault:  # one query, not the box
-            self.say("fault", where="query", why=f"{type(fault).__name__}: {fault}")
-            data = protocol.answer(name, b"failed")
-        if peer.open.get(name) is me:
-            del peer.open[name]
-            peer.used_at = self.now()
-            peer.write(data)
-
-    def close(self, peer):
-        peer.stream.close()
-        peer.may_read.set()
-        self.peers.discard(peer)
-        for task in peer.open.values():
+        except Exception as error:  # a fault of the program ends one request alone
+            self._log_event("fault", where="query", why=f"{type(error).__name__}: {error}")
+            answer = protocol.encode_answer(request_id, protocol.FAILED)
+        if connection.open_requests.get(request_id) is task:  # else it was withdrawn
+            del connection.open_requests[request_id]
+            connection.used_at = self._now()
+            connection.write(answer)
+
+    def _close_connection(self, connection: ClientConnection) -> None:
+        connection.stream.close()
+        connection.may_read.set()
+        self._connections.discard(connection)
+        for task in connection.open_requests.values():
             task.cancel()
-        peer.open.clear()
+        connection.open_requests.clear()
 
-    async def sweep(self):
+    async def _sweep(self) -> None:
+        """Close connections that have been idle for too long, and those whose time lies in the future."""
         while True:
-            await asyncio.sleep(SWEEP_S)
-            for peer in [p for p in self.peers if not p.open and not p.unread]:
-                if not 0 <= self.now() - peer.used_at <= self.idle_s:
-                    self.close(peer)
-
-    def open(self):
-        return sum(len(peer.open) for peer in self.peers)
-
-    def stop(self):
-        """No new connections; what came before is still accepted."""
-        self.listener.stop()
-
-    def end(self):
-        self.listener.close()
-        if self.sweeping:
-            self.sweeping.cancel()
-        for peer in list(self.peers):
-            self.close(peer)
+            await asyncio.sleep(_SWEEP_INTERVAL_S)
+            now = self._now()
+            for connection in list(self._connections):
+                is_unused = not connection.open_requests and not connection.unread_bytes
+                if is_unused and not 0 <= now - connection.used_at <= self._idle_s:
+                    self._close_connection(connection)
--- a/brookhinge/cache_server/metrics.py
+++ b/brookhinge/cache_server/metrics.py
@@ -1,29 +1,39 @@
-"""A box's figures for Prometheus."""
+"""The figures of a cache server for Prometheus."""
+
+from collections.abc import Iterator
 
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
-GAUGES = {
-    "memory_bytes",
-    "disk_parts",
-    "disk_entries",
-    "disk_live_bytes",
-    "disk_disk_bytes",
-    "disk_segments",
-    "disk_suspects",
-}
+from brookhinge.cache_server.service import CacheServer
+
+_GAUGES = frozenset(
+    {
+        "memory_bytes",
+        "disk_parts",
+        "disk_entries",
+        "disk_live_bytes",
+        "disk_disk_bytes",
+        "disk_segments",
+        "disk_suspects",
+    }
+)
+
 
+class CacheServerCollector:
+    """Collects the metrics `brookhinge_box_*` of one cache server."""
 
-class Figures:
-    def __init__(self, box):
-        self.box = box
+    def __init__(self, server: CacheServer) -> None:
+        self._server = server
 
-    def collect(self):
-        told = {**self.box.counts, **self.box.store.stats()}
+    def collect(self) -> Iterator[GaugeMetricFamily | CounterMetricFamily]:
+        """The metrics as they stand."""
+        stats = self._server.stats()
+        is_on = stats.pop("disk") == "on"
+        yield GaugeMetricFamily("brookhinge_box_disk_on", "1 while the disk tier is used", is_on)
         yield GaugeMetricFamily(
-            "brookhinge_box_disk_on", "1 while the disk tier is used", told.pop("disk") == "on"
+            "brookhinge_box_open", "queries open", self._server.line_server.open_requests()
         )
-        yield GaugeMetricFamily("brookhinge_box_open", "queries open", self.box.lines.open())
-        yield GaugeMetricFamily("brookhinge_box_fills", "fills under way", len(self.box.fills))
-        for name, value in told.items():
-            kind = GaugeMetricFamily if name in GAUGES else CounterMetricFamily
-            yield kind(f"brookhinge_box_{name}", f"see docs/operators/store.md: {name}", value)
+        yield GaugeMetricFamily("brookhinge_box_fills", "fills under way", self._server.fills.running())
+        for name, value in stats.items():
+            family = GaugeMetricFamily if name in _GAUGES else CounterMetricFamily
+            yield family(f"brookhinge_box_{name}", f"see docs/operators/store.md: {name}", value)
--- a/brookhinge/cli/cache_server.py
+++ b/brookhinge/cli/cache_server.py
@@ -1,41 +1,60 @@
-"""brookhinge box"""
+"""The command `brookhinge cache-server`."""
 
 import asyncio
 import signal
 import time
+from typing import TYPE_CHECKING
 
 import click
 
 from brookhinge.cli import refuse
 from brookhinge.operator import OperatorError, read_file, read_text
 
+if TYPE_CHECKING:
+    from structlog.typing import FilteringBoundLogger
 
-def from_options(name, options):
-    """The same as a file would say it, read by the same schema."""
-    store = "".join(f"    {key} = {value}\n" for key, value in options["store"].items() if value is not None)
-    rest = "".join(f"  {key} = {value}\n" for key, value in options["box"].items() if value is not None)
-    return read_text(f'box "{name}" {{\n{rest}  store {{\n{store}  }}\n}}\n')
+    from brookhinge.operator.schema import Stand, Told
 
 
-def quoted(text):
+def read_options(name: str, server: dict[str, object], store: dict[str, object]) -> "Told":
+    """Read options as an operator's file would state them, by the same schema.
+
+    Args:
+        name: Of the server.
+        server: Keys and values of its block; None where an option was not given.
+        store: Keys and values of the `store` block in it, likewise.
+
+    Raises:
+        OperatorError: A value is out of range.
+    """
+    store_lines = "".join(f"    {key} = {value}\n" for key, value in store.items() if value is not None)
+    server_lines = "".join(f"  {key} = {value}\n" for key, value in server.items() if value is not None)
+    return read_text(f'box "{name}" {{\n{server_lines}  store {{\n{store_lines}  }}\n}}\n')
+
+
+def quote(text: str | None) -> str | None:
+    """The text as a string of an operator's file."""
     return None if text is None else '"' + text.replace("\\", "\\\\").replace('"', '\\"') + '"'
 
 
-async def serve(stand, log, metrics):
-    from brookhinge.cache_server import Box
+async def serve(
+    settings: "Stand", log: "FilteringBoundLogger", metrics_address: tuple[str, int] | None
+) -> None:
+    """Run a cache server until SIGTERM or SIGINT, then drain it."""
+    from brookhinge.cache_server import CacheServer
 
     ended = asyncio.Event()
-    for word in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(word, ended.set)
-    box = Box(stand, lambda event, **values: log.info(event, **values))
-    await box.start()
-    if metrics:
-        from brookhinge.cache_server.metrics import Figures
+    for number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(number, ended.set)
+    server = CacheServer(settings, lambda event, **values: log.info(event, **values))
+    await server.start()
+    if metrics_address:
+        from brookhinge.cache_server.metrics import CacheServerCollector
         from brookhinge.metrics import publish
 
-        publish(Figures(box), metrics)
+        publish(CacheServerCollector(server), metrics_address)
     await ended.wait()
-    await box.stop()
+    await server.stop()
 
 
 @click.command("cache-server")
@@ -51,46 +70,47 @@
 @click.option("--memory-mb", type=float, help="Memory for copies (64).")
 @click.option("--disk-mb", type=float, help="Disk for copies (1024).")
 @click.option("--segment-mb", type=float, help="Size of a segment file (16).")
-def command(file, name, listen, channel, folder, memory_mb, disk_mb, segment_mb):
+def command(
+    file: str | None,
+    name: str,
+    listen: str | None,
+    channel: str | None,
+    folder: str | None,
+    memory_mb: float | None,
+    disk_mb: float | None,
+    segment_mb: float | None,
+) -> None:
     """A cache server on the two-tier store, until SIGTERM."""
-    given = dict(
-        listen=listen,
-        channel=channel,
-        store=folder,
-        memory_mb=memory_mb,
-        disk_mb=disk_mb,
-        segment_mb=segment_mb,
-    )
+    sizes = {"memory_mb": memory_mb, "disk_mb": disk_mb, "segment_mb": segment_mb}
     try:
         if file:
-            wrong = [key for key, value in given.items() if value is not None]
-            if wrong:
-                refuse(f"--{wrong[0].replace('_', '-')}: does not go with --file")
-            told = read_file(file)
+            given = {"listen": listen, "channel": channel, "store": folder, **sizes}
+            refuse_options([key for key, value in given.items() if value is not None])
+            operator = read_file(file)
         else:
-            told = from_options(
-                name,
-                {
-                    "box": {"listen": quoted(listen), "channel": quoted(channel)},
-                    "store": {
-                        "dir": quoted(folder),
-                        "memory_mb": memory_mb,
-                        "disk_mb": disk_mb,
-                        "segment_mb": segment_mb,
-                    },
-                },
-            )
-    except OperatorError as fault:
-        refuse(f"{file}: {fault}" if file else str(fault).partition(": ")[2])
-    if name not in told.box:
+            server = {"listen": quote(listen), "channel": quote(channel)}
+            operator = read_options(name, server, {"dir": quote(folder), **sizes})
+    except OperatorError as error:
+        refuse(f"{file}: {error}" if file else str(error).partition(": ")[2])
+    if name not in operator.box:
         refuse(f'{file}: no block box "{name}"')
+    run(operator, name)
+
+
+def refuse_options(given: list[str]) -> None:
+    """End the command if options were given that do not go with a file."""
+    if given:
+        refuse(f"--{given[0].replace('_', '-')}: does not go with --file")
+
+
+def run(operator: "Told", name: str) -> None:
+    """Run the cache server of that name; end the command if its address can't be bound."""
     from brookhinge.logs import make
 
-    stand = told.box[name]
+    settings = operator.box[name]
     began = time.monotonic()
     try:
-        asyncio.run(serve(stand, make(name, told.log), told.metrics))
-    except OSError as fault:
-        refuse(
-            f"listen: {'%s:%d' % stand.listen}: {fault.strerror} (after {time.monotonic() - began:.1f} s)", 1
-        )
+        asyncio.run(serve(settings, make(name, operator.log), operator.metrics))
+    except OSError as error:
+        host, port = settings.listen
+        refuse(f"listen: {host}:{port}: {error.strerror} (after {time.monotonic() - began:.1f} s)", 1)
--- a/brookhinge/cli/store.py
+++ b/brookhinge/cli/store.py
@@ -24,7 +24,7 @@
 
 
 def open_store(folder: str) -> OpenedStore:
-    """Opens and so locks the store in a folder; exits if it is no store or in use, and creates none."""
+    """Open and so lock the store in a folder; exit if it is no store or in use, and create none."""
     from brookhinge.store import DiskTier, StoreUnusableError
     from brookhinge.store.files import Files
     from brookhinge.store.folder_layout import STORE_FILE
--- a/brookhinge/standin/origin.py
+++ b/brookhinge/standin/origin.py
@@ -39,26 +39,26 @@
         known[name] = known.get(name, 0) + 1
         return self.now()
 
-    async def serve(self, peer, name, raw, body):
-        pull = protocol.read_pull(raw)
-        object_ = pull.object.decode()
+    async def serve(self, name, raw, body):
+        pull = protocol.decode_request(raw)
+        object_ = pull.object_key.decode()
         self.counts["queries"] += 1
         version, when = self.version(object_), self.now()  # given out now, on its way for a while
         await asyncio.sleep(self.delay_s)
         if self.broken:
-            return protocol.answer(name, b"failed")
+            return protocol.encode_answer(name, b"failed")
         fields = [
             (b"n", b"hit"),
             (b"digest", b"v%d" % version),
             (b"dated", b"%d" % (when * 1000)),
             (b"lot", b"%d" % group_of(object_)),
         ]
-        if pull.got == b"v%d" % version:
+        if pull.known_tag == b"v%d" % version:
             self.counts["unchanged"] += 1
-            return protocol.answer(name, b"unchanged", fields)
+            return protocol.encode_answer(name, b"unchanged", fields)
         body = body_of(object_, pull.part, version, self.sizes)
         self.counts["bytes"] += len(body)
-        return protocol.answer(name, b"data", fields, body)
+        return protocol.encode_answer(name, b"data", fields, body)
 
     def end(self):
-        self.lines.end()
+        self.lines.close()
--- a/brookhinge/standin/rig.py
+++ b/brookhinge/standin/rig.py
@@ -18,7 +18,7 @@
 import zlib
 from pathlib import Path
 
-from brookhinge.cache_server import Box, protocol
+from brookhinge.cache_server import CacheServer, protocol
 from brookhinge.membership.look import LIMITS, VERDICTS, look
 from brookhinge.standin.caller import ThriftCaller
 from brookhinge.standin.channel import CommandChannel
@@ -127,18 +127,18 @@
             way.transport.close()
 
 
-class Watched(Box):
+class Watched(CacheServer):
     """A box that notes when each query came, and fails some: all kinds alike, by a seed."""
 
     def __init__(self, stand, seed):
         super().__init__(stand)
         self.came, self.fails, self.chance = [], 0.0, random.Random(f"{seed} {stand.name}")
 
-    async def serve(self, peer, name, raw, body):
+    async def answer(self, name, raw, body):
         self.came.append(time.monotonic())
         if self.chance.random() < self.fails:
-            return protocol.answer(name, b"failed")
-        return await super().serve(peer, name, raw, body)
+            return protocol.encode_answer(name, protocol.FAILED)
+        return await super().answer(name, raw, body)
 
     def most_in(self, seconds, since=0.0):
         """The most queries that came within any stretch of so many seconds."""
--- a/brookhinge/standin/town.py
+++ b/brookhinge/standin/town.py
@@ -9,7 +9,7 @@
 import time
 from pathlib import Path
 
-from brookhinge.cache_server import Box
+from brookhinge.cache_server import CacheServer
 from brookhinge.operator.schema import Stand, Tier
 from brookhinge.standin.caller import ThriftCaller
 from brookhinge.standin.channel import CommandChannel
@@ -141,7 +141,9 @@
             )
         for name in self.own:
             if name == "p-1" and self.parent_here:
-                self.parent = Box(memory_stand(name, self.ports[name], self.channel_port, self.parent_mb))
+                self.parent = CacheServer(
+                    memory_stand(name, self.ports[name], self.channel_port, self.parent_mb)
+                )
                 await self.parent.start()
             else:
                 await self.start(name)
--- a/tests/cache_server/test_cache_server.py
+++ b/tests/cache_server/test_cache_server.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brookhinge.cache_server import Box, protocol
+from brookhinge.cache_server import CacheServer, protocol
 from brookhinge.net.cachewire import UnreadableError
 from brookhinge.operator.schema import Stand, Tier
 from brookhinge.standin.caller import LineCaller
@@ -60,24 +60,24 @@
             Tier(str(self.folder / "s") if self.disk else "", 8, 64, 2, 0.05, 0.2, 0.25),
         )
         self.step_s = 0.0
-        self.box = Box(
-            stand, lambda event, **v: self.lines.append((event, v)), now=lambda: time.time() + self.step_s
+        self.server = CacheServer(
+            stand, lambda event, **v: self.lines.append((event, v)), wall=lambda: time.time() + self.step_s
         )
-        self.address = await self.box.start()
+        self.address = await self.server.start()
         if self.disk:
-            await self.box.store.opened
-        while self.box.told_at is None:
+            await self.server.store.opened
+        while self.server.commands.current_since is None:
             await asyncio.sleep(0.005)
         self.caller = await LineCaller(self.address).connect()
 
     async def restart(self):
         self.caller.close()
-        await self.box.stop()
+        await self.server.stop()
         await self.start()
 
     async def __aexit__(self, *_):
         self.caller.close()
-        await self.box.stop()
+        await self.server.stop()
         self.origin.end()
         self.channel.end()
 
@@ -91,8 +91,8 @@
 
     async def change(self, **what):
         self.channel.drop(what.get("object_"), what.get("group"), self.origin.change(**what))
-        told = self.box.counts["purges"]
-        while self.box.counts["purges"] == told:
+        told = self.server.counters["purges"]
+        while self.server.counters["purges"] == told:
             await asyncio.sleep(0.002)
 
 
@@ -211,7 +211,7 @@
         lines = [await p.ask(), await p.ask(parent="s-0"), await p.ask()]
         same = p.origin.counts["bytes"] == bytes_
         p.caller.close()
-        await p.box.stop()
+        await p.server.stop()
         p.origin.change(X)  # the purge is told while nobody listens, and never again
         p.channel.drop(X)
         await p.start()
@@ -238,8 +238,8 @@
                 for writer in p.channel.writers:
                     writer.transport.abort()
                 p.channel.list("s-9", dial="127.0.0.1:9", site="", **{"class": "box", "health": "up"})
-                p.box.orders.taken = 40
-            while p.box.counts["gaps"] <= turn or p.box.told_at is None:
+                p.server.channel.taken = 40
+            while p.server.counters["gaps"] <= turn or p.server.commands.current_since is None:
                 await asyncio.sleep(0.005)
             lines += [await p.ask(), await p.ask(parent="s-0")]
         return lines
@@ -253,9 +253,9 @@
     async def scene(p):
         await p.ask(X, parent="s-0")
         await p.ask(Y, parent="s-0")
-        hold, sync = threading.Event(), p.box.store.disk.files.sync
-        p.box.store.disk.files.sync = lambda handle: (hold.wait(5), sync(handle))
-        p.box.store.supervisor.health.record_fault = lambda *_: (
+        hold, sync = threading.Event(), p.server.store.disk.files.sync
+        p.server.store.disk.files.sync = lambda handle: (hold.wait(5), sync(handle))
+        p.server.store.supervisor.health.record_fault = lambda *_: (
             False
         )  # as long as nobody has noticed that it stalls
         p.origin.change(X)
@@ -267,7 +267,7 @@
         p.channel.list("s-0", health="draining")
         await asyncio.sleep(0.3)
         p.caller = await LineCaller(p.address).connect()  # the other one has been idle
-        heard = p.box.state("s-0"), await p.ask(X), await p.ask(Y), max(p.channel.polls)
+        heard = p.server.servers.health_of("s-0"), await p.ask(X), await p.ask(Y), max(p.channel.polls)
         hold.set()
         await asyncio.sleep(0.3)
         return heard, number - 1, max(p.channel.polls) == p.channel.last
@@ -293,10 +293,10 @@
 
 def test_a_folder_of_another_process_or_one_that_cannot_be_written_leaves_memory(tmp_path):
     async def scene(p):
-        first, lines = p.box, p.lines
+        first, lines = p.server, p.lines
         await p.start()  # a second box on the same folder
         asked = [await p.ask(parent="s-0"), await p.ask()]
-        second, p.box = p.box, first
+        second, p.server = p.server, first
         await second.stop()
         return asked, [v["why"].split(" process")[0] for event, v in lines if event == "disk off"]
 
@@ -310,11 +310,11 @@
     async def scene(p):
         from urllib.request import urlopen
 
-        from brookhinge.cache_server.metrics import Figures
+        from brookhinge.cache_server.metrics import CacheServerCollector
         from brookhinge.metrics import publish
 
         await p.ask(parent="s-0")
-        server, thread = publish(Figures(p.box), ("127.0.0.1", 0))
+        server, thread = publish(CacheServerCollector(p.server), ("127.0.0.1", 0))
         text = await asyncio.to_thread(
             lambda: urlopen("http://127.0.0.1:%d/metrics" % server.server_port).read().decode()
         )
@@ -328,11 +328,11 @@
     async def scene(p):
         lines = [await p.ask(parent="s-77")]
         p.channel.list("s-0", health="draining")
-        while p.box.state("s-0") != "draining":
+        while p.server.servers.health_of("s-0") != "draining":
             await asyncio.sleep(0.002)
         lines.append(await p.ask(parent="s-0"))
         p.channel.list("s-0", health="removed")
-        while p.box.state("s-0"):
+        while p.server.servers.health_of("s-0"):
             await asyncio.sleep(0.002)
         return lines + [await p.ask(parent="s-0")], p.origin.counts["queries"]
 
@@ -344,13 +344,13 @@
         p.origin.broken = True
         p.host("s-8", "parent", 9)
         p.channel.list("s-8")
-        while not p.box.state("s-8"):
+        while not p.server.servers.health_of("s-8"):
             await asyncio.sleep(0.002)
         lines = [await p.ask(parent="s-0"), await p.ask(parent="s-8")]
         p.origin.broken, p.origin.delay_s = False, 3.0
         began = time.monotonic()
         lines.append(await p.ask(parent="s-0"))
-        return lines, time.monotonic() - began < 2.5, len(p.box.fills)
+        return lines, time.monotonic() - began < 2.5, p.server.fills.running()
 
     assert played(scene, tmp_path) == (
         [("failed", "origin_failed", None), ("full", "src_refused", None), ("failed", "origin_failed", None)],
@@ -424,11 +424,11 @@
     async def scene(p):
         asking = asyncio.ensure_future(p.ask(parent="s-0"))
         await asyncio.sleep(0.03)
-        ending = asyncio.ensure_future(p.box.stop())
+        ending = asyncio.ensure_future(p.server.stop())
         answered = await asking
         await ending
         await p.start()
-        return answered, p.box.store.disk.index.parts
+        return answered, p.server.store.disk.index.parts
 
     assert played(scene, tmp_path, delay_s=0.1) == (("data", "via_origin", True), 1)
 
@@ -436,7 +436,7 @@
 @pytest.mark.parametrize("size", [1, 7, 4096])
 def test_commands_in_any_pieces(size):
     text = b"PULL a x=1 3\r\nabc\r\nKILL a\r\nECHO t\r\nPULL b - 0\r\n\r\n"
-    commands = protocol.Commands()
+    commands = protocol.CommandSplitter()
     got = [c for at in range(0, len(text), size) for c in commands.feed(text[at : at + size])]
     assert got == [("pull", b"a", b"x=1", b"abc"), ("kill", b"a"), ("echo", b"t"), ("pull", b"b", b"-", b"")]
     for bad in (
@@ -448,4 +448,4 @@
         b"PULL a - 1\r\nabc\r\n",
     ):
         with pytest.raises(UnreadableError):
-            protocol.Commands().feed(bad)
+            protocol.CommandSplitter().feed(bad)
--- a/tests/cache_server/test_clock.py
+++ b/tests/cache_server/test_clock.py
@@ -20,7 +20,7 @@
     """A parent at the origin's address: what it gives out may be of any age."""
     p.host("p-1", "parent", int(p.channel.hosts["s-0"]["dial"].split(":")[1]))
     p.channel.list("p-1")
-    while "p-1" not in p.box.servers:
+    while "p-1" not in p.server.servers.servers:
         await asyncio.sleep(0.01)
 
 
@@ -94,8 +94,8 @@
 
 def test_pauses_of_the_disk_are_spans_of_real_time(tmp_path):
     async def scene(p):
-        before = p.box.store.now()
+        before = p.server.store.now()
         await step_back(p, False)
-        return 0.0 <= p.box.store.now() - before < 5.0 and 0.0 <= p.box.now() < 5.0
+        return 0.0 <= p.server.store.now() - before < 5.0 and 0.0 <= p.server.clocks.now() < 5.0
 
     assert played(scene, tmp_path)
