--- a/brookhinge/cache_server/fills.py
+++ b/brookhinge/cache_server/fills.py
@@ -17,8 +17,9 @@
 from brookhinge.engine.effects import CancelAttempt, RetireServer, SendAttempt
 from brookhinge.engine.endpoints import ListedEndpoint, ServerInstance
 from brookhinge.engine.events import AttemptEnded
-from brookhinge.net.caches import Caches
-from brookhinge.operator.schema import Stand
+from brookhinge.net.upstream_connections import UpstreamConnections
+from brookhinge.operator.settings import CacheServerSettings
+from brookhinge.startup import UpstreamSettings
 from brookhinge.store import Copy, ReadResult, Store
 from brookhinge.store.copies import MAX_GROUP, UNKNOWN_GROUP
 from brookhinge.store.purge_ledger import NEVER, Purge, PurgeKind
@@ -64,7 +65,7 @@
         servers: ServerList,
         clocks: Clocks,
         counters: dict[str, int],
-        settings: Stand,
+        settings: CacheServerSettings,
         log_event: Callable[..., None],
     ) -> None:
         """Make a manager without connections.
@@ -86,16 +87,13 @@
         self._last_number = 0
         self._fills: dict[int, Fill] = {}
         self._joinable: dict[tuple[bytes, int], Fill] = {}
-        self._upstream = Caches(
-            self._on_attempt_ended,
-            log_event,
-            clocks.now,
-            clocks.started_at,
-            [],
-            settings.connect_s,
-            settings.idle_s,
-            _REQUESTS_PER_CONNECTION,
-            _CONNECTIONS,
+        self._upstream = UpstreamConnections(
+            post=self._on_attempt_ended,
+            log=log_event,
+            now=clocks.now,
+            started_at=clocks.started_at,
+            settings=UpstreamSettings(settings.connect_s, settings.idle_s, _REQUESTS_PER_CONNECTION),
+            max_connections=_CONNECTIONS,
         )
 
     # Starting and finding
@@ -139,7 +137,7 @@
         origin = self._servers.origin
         may_fill = not (fill.source_is_origin or request.cached_only or request.source == origin)
         held_tag = fill.held_copy.tag if fill.held_copy is not None else b""
-        self._upstream.pull(
+        self._upstream.send_attempt(
             SendAttempt(
                 request_id=number,
                 attempt=_ONLY_ATTEMPT,
@@ -173,7 +171,7 @@
     def retire(self, instances: list[ServerInstance]) -> None:
         """Use the connections to these starts of servers for nothing new."""
         for instance in instances:
-            self._upstream.retire(RetireServer(instance))
+            self._upstream.retire_server(RetireServer(instance))
 
     def sweep(self) -> None:
         """Close connections that are idle or silent, and give up fills that take too long."""
@@ -181,14 +179,14 @@
         now = self._clocks.now()
         for number, fill in list(self._fills.items()):
             if now - fill.started_at > self._timeout_s:
-                self._upstream.kill(CancelAttempt(number, _ONLY_ATTEMPT))
+                self._upstream.cancel_attempt(CancelAttempt(number, _ONLY_ATTEMPT))
                 self._finish(
                     AttemptEnded(number, _ONLY_ATTEMPT, AttemptResult.TIMEOUT, 0, 0.0, None, b"", False, now)
                 )
 
     def close(self) -> None:
         """Close all connections; what is open on them is broken."""
-        self._upstream.end_all()
+        self._upstream.close_all()
 
     # Endings
 
--- a/brookhinge/cache_server/service.py
+++ b/brookhinge/cache_server/service.py
@@ -23,7 +23,7 @@
 from brookhinge.cache_server.server_list import ServerList
 from brookhinge.decisions import rules
 from brookhinge.decisions.rules import AttemptResult
-from brookhinge.operator.schema import Stand, Tier
+from brookhinge.operator.settings import CacheServerSettings, StoreSettings
 from brookhinge.store import DiskTier, DiskTimings, ReadResult, Store
 from brookhinge.store.files import Files
 from brookhinge.store.purge_ledger import NEVER
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        settings: Stand,
+        settings: CacheServerSettings,
         log_event: Callable[..., None] = _ignore_event,
         *,
         files: Files | None = None,
@@ -269,7 +269,7 @@
 
 
 def _make_store(
-    settings: Tier, files: Files | None, log_event: Callable[..., None], now: Callable[[], float]
+    settings: StoreSettings, files: Files | None, log_event: Callable[..., None], now: Callable[[], float]
 ) -> Store:
     disk = None
     if settings.dir or files:
--- a/brookhinge/cli/cache_server.py
+++ b/brookhinge/cli/cache_server.py
@@ -13,10 +13,10 @@
 if TYPE_CHECKING:
     from structlog.typing import FilteringBoundLogger
 
-    from brookhinge.operator.schema import Stand, Told
+    from brookhinge.operator.settings import CacheServerSettings, OperatorSettings
 
 
-def read_options(name: str, server: dict[str, object], store: dict[str, object]) -> "Told":
+def read_options(name: str, server: dict[str, object], store: dict[str, object]) -> "OperatorSettings":
     """Read options as an operator's file would state them, by the same schema.
 
     Args:
@@ -38,7 +38,7 @@
 
 
 async def serve(
-    settings: "Stand", log: "FilteringBoundLogger", metrics_address: tuple[str, int] | None
+    settings: "CacheServerSettings", log: "FilteringBoundLogger", metrics_address: tuple[str, int] | None
 ) -> None:
     """Run a cache server until SIGTERM or SIGINT, then drain it."""
     from brookhinge.cache_server import CacheServer
@@ -103,7 +103,7 @@
         refuse(f"--{given[0].replace('_', '-')}: does not go with --file")
 
 
-def run(operator: "Told", name: str) -> None:
+def run(operator: "OperatorSettings", name: str) -> None:
     """Run the cache server of that name; end the command if its address can't be bound."""
     from brookhinge.logs import make
 
--- a/brookhinge/purgelog/codec.py
+++ b/brookhinge/purgelog/codec.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from brookhinge.membership.codec import Guard
+from brookhinge.membership.codec import ReplayGuard
 from brookhinge.purgelog import messages
 
 MOST_BYTES = 1400
@@ -43,7 +43,7 @@
         self.key = key
         self.sender = sender
         self.sequence = 0
-        self.guard = Guard()
+        self.guard = ReplayGuard()
         self.person = hashlib.blake2b(site.encode(), digest_size=16).digest()
         self.encoder = msgspec.msgpack.Encoder()
         self.decoder = msgspec.msgpack.Decoder(Envelope)
@@ -80,7 +80,7 @@
             return "unreadable", None
         if envelope.sender <= 0 or envelope.sequence <= 0 or not bounded(envelope.message):
             return "unreadable", None
-        if not self.guard.fresh(envelope.sender, envelope.sequence):
+        if not self.guard.accept(envelope.sender, envelope.sequence):
             return "repeated", None
         return "received", envelope
 
--- a/tests/crossings/test_rare.py
+++ b/tests/crossings/test_rare.py
@@ -15,8 +15,7 @@
 from brookhinge.engine.endpoints import ListedEndpoint
 from brookhinge.engine.events import EndpointsListed, ObjectsPurged, RequestReceived
 from brookhinge.engine.reducer import Reducer
-from brookhinge.net import caches as net_caches
-from brookhinge.net import front, listener, thrift
+from brookhinge.net import client_connection, client_connections, listener, thrift, upstream_pool
 from brookhinge.net.request_validation import MAX_BODY_BYTES
 from brookhinge.storm.lineage import Lineage
 from tests.crossings.test_sockets import Raw, warm
@@ -112,7 +111,7 @@
     """Every place is taken by clients with a query open; one more is in the backlog as the router is told to end."""
 
     async def scene(t):
-        t.service.client_connections.sockets = 1
+        t.service.client_connections.max_connections = 1
         t.caller.ask(1)
         await until(t.pulled)
         caller = await Raw(t.address).asks(1).send().caller()
@@ -134,7 +133,10 @@
         caller = await raw.send().caller()
         return await caller.hear(), await caller.hear()
 
-    assert played(scene, tmp_path, machines=caches(delay=front.FRAME_S + 0.4)) == ((1, "satisfied 19"), None)
+    assert played(scene, tmp_path, machines=caches(delay=client_connections.CALL_TIMEOUT_S + 0.4)) == (
+        (1, "satisfied 19"),
+        None,
+    )
 
 
 async def reads_nothing(t):
@@ -150,7 +152,7 @@
     for number in range(2, 32):
         raw.asks(number, lookup=f"{number:016x}").send()
         await asyncio.sleep(0.01)
-    await until(lambda: client.unread > thrift.MAX_FRAME_BYTES)
+    await until(lambda: client.unsent_bytes > thrift.MAX_FRAME_BYTES)
     return raw, client
 
 
@@ -201,7 +203,7 @@
             return SmallSocket if name == "socket" else getattr(socket, name)
 
     async def scene(t):
-        monkeypatch.setattr(net_caches, "socket", SmallSockets())
+        monkeypatch.setattr(upstream_pool, "socket", SmallSockets())
         body = b"x" * MAX_BODY_BYTES
         fields = {
             "service": "page", "allow": "2900", "lookup": "ab" * 8, "piece": "0", "lot": "3", "room": "100.0",
@@ -216,8 +218,12 @@
                 thrift.INT32.pack(len(body)) + body,
             )
             await asyncio.sleep(0.02)
-        stalled = [line for line in t.service.upstream_connections.all if line.up and line.stream.writing()]
-        return len(stalled) > 0, max(len(line.out) for line in stalled)
+        stalled = [
+            line
+            for line in t.service.upstream_connections.pool.connections
+            if line.is_connected and line.stream.writing()
+        ]
+        return len(stalled) > 0, max(len(line.in_flight) for line in stalled)
 
     machines = {server: DeafMachine() for server in ("s-21", "s-22", "s-23")}
     patient = settings(ConnectTimeoutNs=2e9)  # a server that is silent is given up only after half of it
@@ -240,7 +246,11 @@
 def test_a_connection_is_silent_only_if_the_system_says_so():
     """A look for unread bytes that fails for want of memory says nothing: a call behind it would be lost."""
     errors = errno.EAGAIN, errno.ECONNRESET, errno.ENOMEM, errno.ENOBUFS
-    silent = [front.Client(1, FailingStream(error), 0.0).silent() for error in errors]
+    memory = client_connection.MemoryUse(0)
+    silent = [
+        client_connection.ClientConnection(1, FailingStream(error), 0.0, memory).is_silent()
+        for error in errors
+    ]
     assert silent == [True, True, False, False]
 
 
@@ -257,7 +267,7 @@
         await warm(t)
         patch.setattr(socket.socket, method, fake, raising=False)
         streams = [client.stream for client in t.service.client_connections.clients.values()]
-        streams += [line.stream for line in t.service.upstream_connections.all]
+        streams += [line.stream for line in t.service.upstream_connections.pool.connections]
         failing.update(stream.socket.fileno() for stream in streams)
         t.caller.ask(1)
         return await t.caller.hear()
@@ -376,14 +386,14 @@
     async def scene(t):
         await warm(t)
         note_patience(t)
-        real = t.service.upstream_connections.put
+        real = t.service.upstream_connections.place
 
         def stopped_once(*values):
-            t.service.upstream_connections.put = real
+            t.service.upstream_connections.place = real
             real(*values)
             time.sleep(0.5)
 
-        t.service.upstream_connections.put = stopped_once
+        t.service.upstream_connections.place = stopped_once
         t.caller.ask(1)
         t.caller.ask(2)
         answers = await t.caller.hear(), await t.caller.hear()
@@ -410,7 +420,7 @@
                 body,
             )
         raw.send()
-        await until(lambda: client.queued > thrift.MAX_FRAME_BYTES)
+        await until(lambda: client.queued_bytes > thrift.MAX_FRAME_BYTES)
         raw.socket.shutdown(socket.SHUT_WR)
         await asyncio.sleep(0.2)
         return await pulls_of_the_first_once_its_server_fails(t, raw)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,7 +14,7 @@
 import pytest
 from helpers import Caller, Commands, Machine, Town, host, listed
 
-from brookhinge.net import front, graceful_shutdown, thrift
+from brookhinge.net import client_connections, graceful_shutdown, thrift
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -224,7 +224,7 @@
 
     async def scene(t):
         t.service.reducer.router.retries = 10.0
-        t.service.upstream_connections.say = lambda event, **values: said.append(event)
+        t.service.upstream_connections.log = lambda event, **values: said.append(event)
         first, said = [], []
         for machine in t.machines.values():
             machine.act = lambda line: first.append(line) or spoilt if not first else DATA
@@ -290,7 +290,7 @@
         t.caller.ask(1)
         heard = [await t.caller.hear()]
         t.caller.ask(2)
-        return heard + [await t.caller.hear()], len(lines), t.service.upstream_connections.where
+        return heard + [await t.caller.hear()], len(lines), t.service.upstream_connections.placements
 
     assert played(scene, tmp_path) == ([(1, "satisfied 3"), (2, "satisfied 3")], 3, {})
 
@@ -334,7 +334,7 @@
             out = [q for q in t.service.reducer.queries.values() if q.out]
             if not t.service.scheduler.events:  # what has ended and is not reduced yet
                 agreed.append(
-                    sum(router.fleet.inflight) == len(out) == len(t.service.upstream_connections.where)
+                    sum(router.fleet.inflight) == len(out) == len(t.service.upstream_connections.placements)
                 )
         await until(lambda: not t.service.reducer.queries)
         return (
@@ -342,7 +342,7 @@
             sum(router.fleet.inflight),
             router.fills,
             router.queries,
-            t.service.upstream_connections.where,
+            t.service.upstream_connections.placements,
         )
 
     assert played(scene, tmp_path) == ({True}, 0, 0, {}, {})
@@ -350,11 +350,15 @@
 
 def test_a_server_without_a_connection_gets_one_at_the_share_of_descriptors(tmp_path):
     async def scene(t):
-        t.service.upstream_connections.sockets, heard = 3, set()
+        t.service.upstream_connections.pool.max_connections, heard = 3, set()
         for n in range(30):
             t.caller.ask(n, lookup=f"{n:016x}")
             heard.add((await t.caller.hear())[1])
-        return heard, len(t.service.upstream_connections.all) <= 3, {line[:4] for line in t.pulled()}
+        return (
+            heard,
+            len(t.service.upstream_connections.pool.connections) <= 3,
+            {line[:4] for line in t.pulled()},
+        )
 
     assert played(scene, tmp_path) == ({"satisfied 19"}, True, {"s-21", "s-22", "s-23"})
 
@@ -458,7 +462,7 @@
 
 def test_a_client_that_reads_nothing_is_given_up_and_delays_no_other(tmp_path):
     async def scene(t):
-        t.service.client_connections.most_held = 500_000
+        t.service.client_connections.memory.limit_bytes = 500_000
         made = socket.socket()
         made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         made.connect(t.address)
@@ -469,7 +473,7 @@
         t.caller.ask(1)
         return (
             await t.caller.hear(),
-            t.service.client_connections.unread,
+            t.service.client_connections.memory.unsent_bytes,
             any("bytes not read" in line for line in t.lines),
         )
 
@@ -565,7 +569,7 @@
 
 
 def test_who_says_nothing_or_half_a_query_is_closed_and_who_asked_stays(tmp_path, monkeypatch):
-    monkeypatch.setattr(front, "FRAME_S", 0.2)
+    monkeypatch.setattr(client_connections, "CALL_TIMEOUT_S", 0.2)
 
     async def scene(t):
         t.caller.ask(1)
@@ -575,7 +579,7 @@
         heard += [await silent.hear(), await half.hear()]
         t.caller.ask(2)
         heard.append(await t.caller.hear())
-        monkeypatch.setattr(front, "IDLE_S", 0.2)
+        monkeypatch.setattr(client_connections, "IDLE_TIMEOUT_S", 0.2)
         return heard + [await t.caller.hear()]
 
     assert played(scene, tmp_path) == [(1, "satisfied 19"), None, None, (2, "satisfied 19"), None]
@@ -585,7 +589,7 @@
     """Clients that ask once and hold their connection must not keep others out."""
 
     async def scene(t):
-        t.service.client_connections.sockets, held, heard = 20, [], []
+        t.service.client_connections.max_connections, held, heard = 20, [], []
         for n in range(60):
             held.append(await Caller.connect(t.address))
             if n % 2:
