--- a/brookhinge/cache_server/command_channel.py
+++ b/brookhinge/cache_server/command_channel.py
@@ -8,16 +8,16 @@
 import asyncio
 from collections.abc import Callable, Sequence
 
-from brookhinge.engine.events import CommandSkipped, EndpointsListed, ObjectsPurged
-from brookhinge.net.channel import Channel
+from brookhinge.engine.commands import Command
+from brookhinge.engine.events import CommandSkipped, ObjectsPurged
+from brookhinge.net.command_channel import CommandChannel
+from brookhinge.net.http import Response
 
 # between polls while their number can't rise: the channel answers such a poll at once
 _UNACKNOWLEDGED_POLL_INTERVAL_S = 0.05
 
-Command = EndpointsListed | ObjectsPurged | CommandSkipped
 
-
-class AcknowledgingChannel(Channel):
+class AcknowledgingChannel(CommandChannel):
     """A command channel that acknowledges only what is durable.
 
     Attributes:
@@ -54,12 +54,12 @@
         self._on_gap = on_gap
         self._on_current = on_current
 
-    async def ask(self) -> tuple:
+    async def poll(self) -> Response:
         """Poll with the number of the last command that is durable."""
         if self._durable_up_to(self.taken) < self.taken:
             await asyncio.sleep(_UNACKNOWLEDGED_POLL_INTERVAL_S)
         self.cursor = self._durable_up_to(self.taken)
-        return await super().ask()
+        return await super().poll()
 
     def take(self, cursor: int, commands: Sequence[Command]) -> None:
         """Post the commands of one answer, as far as they are new."""
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -32,8 +32,8 @@
 from brookhinge.engine.loop_watch import LoopWatch, Stall
 from brookhinge.engine.reducer import Reducer
 from brookhinge.engine.scheduler import EventScheduler
-from brookhinge.net.channel import Channel
 from brookhinge.net.client_connections import ClientConnections
+from brookhinge.net.command_channel import CommandChannel
 from brookhinge.net.fleet_wiring import FleetLink, router_class, safety_notices
 from brookhinge.net.graceful_shutdown import GracefulShutdown
 from brookhinge.net.listener import RETRY_ACCEPT_S, SHORTAGES
@@ -101,7 +101,7 @@
             self.gate = self._build_gate(client_sockets)
         self.client_connections = self._build_client_connections(client_sockets)
         cursor, known_commands = read_commands(site.known, self.start)
-        self.command_channel = Channel(
+        self.command_channel = CommandChannel(
             self.post, self.log, site.channel, cursor, self.start, watch=self.watch
         )
         self.write_guard = WriteGuard(
--- a/brookhinge/net/write_guard.py
+++ b/brookhinge/net/write_guard.py
@@ -7,8 +7,8 @@
 from brookhinge.engine.events import EndpointsListed, ObjectsPurged
 from brookhinge.engine.reducer import Reducer
 from brookhinge.engine.scheduler import EventScheduler
-from brookhinge.net.channel import Channel
 from brookhinge.net.client_connections import ClientConnections
+from brookhinge.net.command_channel import CommandChannel
 
 MIN_TIME_LEFT_S = 0.002  # an attempt with less time than this cannot be answered in time
 
@@ -27,7 +27,7 @@
         now: Callable[[], float],
         reducer: Reducer,
         scheduler: EventScheduler,
-        command_channel: Channel,
+        command_channel: CommandChannel,
         client_connections: ClientConnections,
     ) -> None:
         self._now = now
--- a/tests/standstill/test_held_back.py
+++ b/tests/standstill/test_held_back.py
@@ -51,7 +51,7 @@
         raw, decided = await one_out(t)
         await until(t.service.scheduler.is_caught_up)
         before = t.service.write_guard.hold_reason(decided)
-        t.service.client_connections.clients[2].emptied_at = t.service.command_channel.empty_at = float(
+        t.service.client_connections.clients[2].emptied_at = t.service.command_channel.checked_empty_at = float(
             "-inf"
         )
         return before, t.service.write_guard.hold_reason(change(t, raw, decided) or decided)
@@ -87,8 +87,8 @@
 
 def test_the_command_channel_has_sent_something(tmp_path):
     def answered(t, raw, decided):
-        t.service.command_channel.received = asyncio.get_running_loop().create_future()
-        t.service.command_channel.received.set_result(b"")
+        t.service.command_channel.pending_read = asyncio.get_running_loop().create_future()
+        t.service.command_channel.pending_read.set_result(b"")
 
     assert reason_after(tmp_path, answered) is HeldBack.LIST_UNREAD
 
