--- a/brookhinge/limits/lease_protocol.py
+++ b/brookhinge/limits/lease_protocol.py
@@ -17,10 +17,8 @@
 from brookhinge.limits.lessee import Lessee
 from brookhinge.limits.lessor import Lessor
 from brookhinge.limits.records import Demand, Limit, RequestRow
-from brookhinge.membership.claims import MemberState
-from brookhinge.membership.core import CoreWriter
+from brookhinge.membership.core import CoreContext, CoreWriter
 from brookhinge.membership.messages import CoreMessage, LeaseOffer, LeaseRequest, Row
-from brookhinge.membership.view import MembershipView
 
 FLEET_WIDE_KINDS = frozenset({"parent"})  # all other kinds are limits of one zone
 MAX_LIMITS_AT_ONCE = 64  # that a lessor leases in one report
@@ -32,20 +30,10 @@
 class LeaseProtocol:
     """One router as lessee and as lessor."""
 
-    def __init__(
-        self,
-        view: MembershipView,
-        name: str,
-        zone: str,
-        version: int,
-        fleet_size: Callable[[], tuple[int, int]],
-        now: float,
-    ) -> None:
+    def __init__(self, context: CoreContext, fleet_size: Callable[[], tuple[int, int]], now: float) -> None:
         """Start; the arguments are those of Limits."""
-        self.view = view
-        self.name = name
-        self.zone = zone
-        self.version = version
+        self.context = context
+        self.view = context.view
         self.fleet_size = fleet_size
         self.lessee = Lessee(now, alone=max(fleet_size()) <= 1)
         self.lessor = Lessor()
@@ -66,14 +54,7 @@
 
     def sharing(self, limit: Limit) -> list[int]:
         """Positions of the members that share a limit and read what this one writes."""
-        view = self.view
-        return [
-            i
-            for i in range(len(view.names))
-            if view.states[i] == MemberState.ALIVE
-            and view.versions[i] == self.version
-            and (limit[0] in FLEET_WIDE_KINDS or view.zones[i] == self.zone)
-        ]
+        return self.context.alive_members(None if limit[0] in FLEET_WIDE_KINDS else self.context.zone)
 
     def lessor_of(self, limit: Limit) -> int | None:
         """The position of a limit's lessor, by rendezvous hashing over those that share it."""
@@ -142,7 +123,7 @@
         self, now: float, i: int, message: LeaseRequest | LeaseOffer, rows: Sequence[Row], writer: CoreWriter
     ) -> None:
         """Send a message to the member at a position; one to this router itself takes no wire."""
-        if self.view.names[i] == self.name:
+        if self.context.is_self(i):
             self.receive(now, CoreMessage(self.view.incarnation_ids[i], message, tuple(rows)), writer)
         else:
             writer.post_to(i, message, rows)
@@ -182,5 +163,5 @@
         if lessor_id not in self.view.incarnation_ids:
             return
         lessor = self.view.incarnation_ids.index(lessor_id)
-        if self.view.names[lessor] != self.name:
+        if not self.context.is_self(lessor):
             self._send_requests(now, lessor, limits, writer)
--- a/brookhinge/limits/limits.py
+++ b/brookhinge/limits/limits.py
@@ -6,9 +6,8 @@
 from brookhinge.limits.lease_protocol import LeaseProtocol
 from brookhinge.limits.lease_terms import REPORT_INTERVAL_S
 from brookhinge.limits.records import DemandSample, Limit
-from brookhinge.membership.core import CoreWriter
+from brookhinge.membership.core import CoreContext, CoreWriter
 from brookhinge.membership.messages import CoreMessage, LeaseOffer, LeaseRequest, Row, StatusTopic
-from brookhinge.membership.view import MembershipView
 
 OWN_FRACTION_ROW = ("own", "", 0)  # stands in the place of a limit
 
@@ -26,10 +25,8 @@
 
     def __init__(
         self,
-        view: MembershipView,
-        name: str,
-        zone: str,
-        version: int,
+        context: CoreContext,
+        *,
         fleet_size: Callable[[], tuple[int, int]],
         demand: Callable[[], Iterable[DemandSample]],
         now: float,
@@ -37,15 +34,12 @@
         """Start.
 
         Args:
-            view: the fleet's.
-            name: this router's.
-            zone: where it stands.
-            version: of the protocol that it speaks.
+            context: this router and the fleet.
             fleet_size: by how many the limits of its zone, and those of the whole fleet, are divided.
             demand: what was asked for since it was last called.
             now: seconds.
         """
-        self.protocol = LeaseProtocol(view, name, zone, version, fleet_size, now)
+        self.protocol = LeaseProtocol(context, fleet_size, now)
         self.take_demand = demand
         self.shrinks_at = now
         self._next_report_at = now
--- a/brookhinge/membership/core.py
+++ b/brookhinge/membership/core.py
@@ -1,12 +1,45 @@
 """The interface of the other protocols on the membership socket: limits, verdicts, warm-start state."""
 
 from collections.abc import Sequence
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 import msgspec
 
 from brookhinge.engine.events import Event
+from brookhinge.membership.claims import MemberState
 from brookhinge.membership.messages import CoreMessage, Row, StatusTopic
+from brookhinge.membership.view import MembershipView
+
+
+class CoreContext(NamedTuple):
+    """What a core knows of its router and of the fleet.
+
+    Attributes:
+        view: the fleet's.
+        name: this router's.
+        zone: where it stands.
+        version: of the protocol that it speaks.
+    """
+
+    view: MembershipView
+    name: str
+    zone: str
+    version: int
+
+    def alive_members(self, zone: str | None = None) -> list[int]:
+        """Positions of the members alive that read what this router writes, itself included."""
+        view = self.view
+        return [
+            i
+            for i in range(len(view.names))
+            if view.states[i] == MemberState.ALIVE
+            and view.versions[i] == self.version
+            and zone in (None, view.zones[i])
+        ]
+
+    def is_self(self, i: int) -> bool:
+        """Whether the member at a position is this router."""
+        return self.view.names[i] == self.name
 
 
 class CoreWriter(Protocol):
--- a/brookhinge/membership/udp_transport.py
+++ b/brookhinge/membership/udp_transport.py
@@ -15,7 +15,7 @@
 from brookhinge.engine.events import Event, PeerNoticeReceived, RouterCountChanged
 from brookhinge.membership.claims import Claim
 from brookhinge.membership.codec import CORE_MESSAGES, VERSION, Codec
-from brookhinge.membership.core import Core
+from brookhinge.membership.core import Core, CoreContext
 from brookhinge.membership.fleet_size import FleetSize
 from brookhinge.membership.local_member import Identity
 from brookhinge.membership.messages import (
@@ -212,6 +212,10 @@
             self._metrics_server.shutdown()
         self.transport.close()
 
+    def core_context(self) -> CoreContext:
+        """What a core needs to know of this router; the peer is made by now."""
+        return CoreContext(self.peer.view, self.settings.name, self.settings.zone, self.peer.version)
+
     # status
 
     def _answer_observer(self, received: Received, address: tuple) -> None:
--- a/brookhinge/membership/warm_start.py
+++ b/brookhinge/membership/warm_start.py
@@ -11,10 +11,8 @@
 import xxhash
 
 from brookhinge.engine.events import WarmStartReceived
-from brookhinge.membership.claims import MemberState
-from brookhinge.membership.core import CoreWriter
+from brookhinge.membership.core import CoreContext, CoreWriter
 from brookhinge.membership.messages import CoreMessage, Row, WarmStartRequest, WarmStartState
-from brookhinge.membership.view import MembershipView
 
 RETRY_INTERVAL_S = 0.5
 MAX_ATTEMPTS = 6
@@ -29,29 +27,15 @@
     status_topic = None
     shrinks_at = math.inf
 
-    def __init__(
-        self,
-        view: MembershipView,
-        name: str,
-        zone: str,
-        version: int,
-        known_rows: Callable[[], list[Row]],
-        now: float,
-    ) -> None:
+    def __init__(self, context: CoreContext, *, known_rows: Callable[[], list[Row]], now: float) -> None:
         """Begin to ask at once.
 
         Args:
-            view: the fleet's.
-            name: this router's.
-            zone: only members that stand there are asked.
-            version: of the protocol; only members that speak it are asked.
+            context: this router; only members of its zone are asked.
             known_rows: what this router knows, (kind, text, number, text, number, number) each.
             now: seconds.
         """
-        self.view = view
-        self.name = name
-        self.zone = zone
-        self.version = version
+        self.context = context
         self.known_rows = known_rows
         self.is_done = False
         self._next_attempt_at = now
@@ -74,9 +58,10 @@
 
     def _answer(self, sender_id: int, writer: CoreWriter) -> None:
         """Send what is known, if this router has done asking itself."""
-        if not self.is_done or sender_id not in self.view.incarnation_ids:
+        incarnation_ids = self.context.view.incarnation_ids
+        if not self.is_done or sender_id not in incarnation_ids:
             return
-        sender = self.view.incarnation_ids.index(sender_id)
+        sender = incarnation_ids.index(sender_id)
         rows = self.known_rows()[:MAX_ROWS]
         for offset in range(0, len(rows), ROWS_PER_DATAGRAM):
             part = rows[offset : offset + ROWS_PER_DATAGRAM]
@@ -94,16 +79,10 @@
 
     def _candidates(self) -> list[int]:
         """Positions of the members that may be asked, in an order of this router's own."""
-        view = self.view
-        members = [
-            i
-            for i in range(len(view.names))
-            if view.states[i] == MemberState.ALIVE
-            and view.zones[i] == self.zone
-            and view.versions[i] == self.version
-            and view.names[i] != self.name
-        ]
-        return sorted(members, key=lambda i: xxhash.xxh64_intdigest(f"{self.name} {view.names[i]}".encode()))
+        context = self.context
+        names = context.view.names
+        members = [i for i in context.alive_members(context.zone) if not context.is_self(i)]
+        return sorted(members, key=lambda i: xxhash.xxh64_intdigest(f"{context.name} {names[i]}".encode()))
 
     def publish(self, now: float, writer: CoreWriter) -> None:
         """Post nothing: nothing here ends by itself."""
--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -100,13 +100,10 @@
 
         self._talk.add(
             lambda talk, now: Limits(
-                talk.peer.view,
-                self._fleet.name,
-                self._fleet.zone,
-                talk.peer.version,
-                lambda: talk.fleet_size,
-                self._reducer.demand,
-                now,
+                talk.core_context(),
+                fleet_size=lambda: talk.fleet_size,
+                demand=self._reducer.demand,
+                now=now,
             )
         )
 
@@ -115,12 +112,9 @@
 
         self._talk.add(
             lambda talk, now: WarmStart(
-                talk.peer.view,
-                self._fleet.name,
-                self._fleet.zone,
-                talk.peer.version,
-                self._reducer.router.memory,
-                now,
+                talk.core_context(),
+                known_rows=self._reducer.router.memory,
+                now=now,
             )
         )
 
@@ -130,14 +124,11 @@
         servers = self._reducer.router.fleet
         self._talk.add(
             lambda talk, now: OutlierDetection(
-                talk.peer.view,
-                self._fleet.name,
-                self._fleet.zone,
-                talk.peer.version,
-                lambda: talk.fleet_size.in_zone,
-                self._reducer.seen,
-                lambda: len(servers.own),
-                now,
+                talk.core_context(),
+                routers=lambda: talk.fleet_size.in_zone,
+                own_totals=self._reducer.seen,
+                servers=lambda: len(servers.own),
+                now=now,
             )
         )
 
--- a/brookhinge/standin/capacity/hollow.py
+++ b/brookhinge/standin/capacity/hollow.py
@@ -127,29 +127,21 @@
 
     def make_limits(self, talk, now):
         """Limits as in service; queries are drawn."""
-        view, version = talk.peer.view, talk.peer.version
         return Limits(
-            view,
-            self.name,
-            self.site.zone,
-            version,
-            lambda: talk.fleet_size,
-            lambda: self.demand(talk.fleet_size[0]),
-            now,
+            talk.core_context(),
+            fleet_size=lambda: talk.fleet_size,
+            demand=lambda: self.demand(talk.fleet_size.in_zone),
+            now=now,
         )
 
     def make_verdicts(self, talk, now):
         """Verdicts as in service; no server fails."""
-        view, version = talk.peer.view, talk.peer.version
         return OutlierDetection(
-            view,
-            self.name,
-            self.site.zone,
-            version,
-            lambda: talk.fleet_size[0],
-            dict,
-            lambda: len(self.servers),
-            now,
+            talk.core_context(),
+            routers=lambda: talk.fleet_size.in_zone,
+            own_totals=dict,
+            servers=lambda: len(self.servers),
+            now=now,
         )
 
     def demand(self, here):
--- a/brookhinge/standin/lending.py
+++ b/brookhinge/standin/lending.py
@@ -8,6 +8,7 @@
 from brookhinge.limits.lease_terms import MAX_CLOCK_DRIFT
 from brookhinge.limits.limits import Limits
 from brookhinge.membership.claims import Claim, MemberState
+from brookhinge.membership.core import CoreContext
 from brookhinge.membership.messages import CoreMessage
 from brookhinge.membership.view import MembershipView
 
@@ -35,13 +36,10 @@
         for other in self.world.members.values():
             self.notice(other.n, MemberState.ALIVE)
         self.limits = Limits(
-            self.view,
-            self.name,
-            "z",
-            1,
-            lambda: (self.world.count, self.world.count),
-            lambda: [(*limit, part, 1.0) for limit, part in self.demand.items()],
-            self.clock(),
+            CoreContext(self.view, self.name, "z", 1),
+            fleet_size=lambda: (self.world.count, self.world.count),
+            demand=lambda: [(*limit, part, 1.0) for limit, part in self.demand.items()],
+            now=self.clock(),
         )
         self.world.plan(self, self.world.now)
 
--- a/brookhinge/standin/sharing.py
+++ b/brookhinge/standin/sharing.py
@@ -18,6 +18,7 @@
 from brookhinge.limits.limits import Limits
 from brookhinge.limits.shared import Sharing
 from brookhinge.membership.claims import Claim, MemberState
+from brookhinge.membership.core import CoreContext
 from brookhinge.membership.messages import CoreMessage
 from brookhinge.membership.safety_notices import SafetyNotices
 from brookhinge.membership.view import MembershipView
@@ -102,19 +103,17 @@
                 view.apply(0.0, claim, "n0")
             reducer, own = self.routers[n], self.routers[n].router.fleet
             self.views.append(view)
+            context = CoreContext(view, f"n{n}", "z", 1)
             self.writers.append(Writer(self, n))
             self.cores.append(
                 [
-                    Limits(view, f"n{n}", "z", 1, lambda: (routers, routers), reducer.demand, -60.0),
+                    Limits(context, fleet_size=lambda: (routers, routers), demand=reducer.demand, now=-60.0),
                     OutlierDetection(
-                        view,
-                        f"n{n}",
-                        "z",
-                        1,
-                        lambda: routers,
-                        reducer.seen,
-                        lambda own=own: len(own.own),
-                        0.0,
+                        context,
+                        routers=lambda: routers,
+                        own_totals=reducer.seen,
+                        servers=lambda own=own: len(own.own),
+                        now=0.0,
                     ),
                 ]
             )
--- a/brookhinge/verdicts/collection.py
+++ b/brookhinge/verdicts/collection.py
@@ -11,10 +11,8 @@
 
 import xxhash
 
-from brookhinge.membership.claims import MemberState
-from brookhinge.membership.core import CoreWriter
+from brookhinge.membership.core import CoreContext, CoreWriter
 from brookhinge.membership.messages import CoreMessage, EvidenceReport, EvidenceTable, Row
-from brookhinge.membership.view import MembershipView
 from brookhinge.verdicts.evidence import EVIDENCE_S, Counts, Evidence, Server
 
 TURN_S = 0.6  # a turn to try an ejected server
@@ -46,12 +44,10 @@
 class EvidenceCollection:
     """One router as witness, as collector, and as receiver of tables."""
 
-    def __init__(self, view: MembershipView, name: str, zone: str, version: int) -> None:
-        self.view = view
-        self.name = name
-        self.zone = zone
-        self.version = version
-        self.incarnation_id = view.incarnation_ids[view.index[name]]
+    def __init__(self, context: CoreContext) -> None:
+        self.context = context
+        self.view = context.view
+        self.incarnation_id = context.view.incarnation_ids[context.view.index[context.name]]
         self.evidence = Evidence()
         self.in_question: dict[Server, float] = {}  # until when, unless failures are seen again
         self.turns: dict[Server, float] = {}  # until when this router may try an ejected server
@@ -61,14 +57,7 @@
 
     def members(self) -> list[int]:
         """Positions of the members that stand in this zone and read what this router writes."""
-        view = self.view
-        return [
-            i
-            for i in range(len(view.names))
-            if view.states[i] == MemberState.ALIVE
-            and view.versions[i] == self.version
-            and view.zones[i] == self.zone
-        ]
+        return self.context.alive_members(self.context.zone)
 
     def collector_of(self, server: Server) -> int | None:
         """The position of a server's collector, by rendezvous hashing."""
@@ -109,7 +98,7 @@
             collector = self.collector_of(server)
             if collector is None:
                 continue
-            if self.view.names[collector] == self.name:
+            if self.context.is_self(collector):
                 collected.append(server)
             elif server in own_totals:
                 rows_of.setdefault(collector, []).append((*server, *own_totals[server]))
@@ -145,13 +134,13 @@
         members = self.members()
         turns = self._draw_turns(now, server, members, sum(one.attempts for one in totals.values()))
         for i in members:
-            if self.view.names[i] == self.name:
+            if self.context.is_self(i):
                 continue
             for start in range(0, len(rows), ROWS_PER_DATAGRAM):
                 self._number += 1
                 table = EvidenceTable(int(i in turns), 0)
                 writer.post_to(i, table, rows[start : start + ROWS_PER_DATAGRAM])
-        return any(self.view.names[i] == self.name for i in turns)
+        return any(map(self.context.is_self, turns))
 
     def _draw_turns(self, now: float, server: Server, members: list[int], attempts: int) -> set[int]:
         """Positions of the members whose turn it is; twice as many if no attempt came of the last turn."""
--- a/brookhinge/verdicts/outlier_detection.py
+++ b/brookhinge/verdicts/outlier_detection.py
@@ -5,9 +5,8 @@
 from collections.abc import Callable, Mapping, Sequence
 
 from brookhinge.engine.events import OutlierVerdictsChanged
-from brookhinge.membership.core import CoreWriter
+from brookhinge.membership.core import CoreContext, CoreWriter
 from brookhinge.membership.messages import CoreMessage, EvidenceReport, EvidenceTable, Row, StatusTopic
-from brookhinge.membership.view import MembershipView
 from brookhinge.verdicts import detector
 from brookhinge.verdicts.collection import EvidenceCollection
 from brookhinge.verdicts.evidence import EVIDENCE_S, Counts, Server
@@ -56,10 +55,8 @@
 
     def __init__(
         self,
-        view: MembershipView,
-        name: str,
-        zone: str,
-        version: int,
+        context: CoreContext,
+        *,
         routers: Callable[[], int],
         own_totals: Callable[[], Mapping[Server, tuple[int, int]]],
         servers: Callable[[], int],
@@ -68,16 +65,13 @@
         """Start.
 
         Args:
-            view: the fleet's.
-            name: this router's.
-            zone: where it stands.
-            version: of the protocol that it speaks.
+            context: this router and the fleet.
             routers: how many stand in the zone.
             own_totals: (attempts, failures) of this process by server and start.
             servers: how many there are to choose from.
             now: seconds.
         """
-        self.collection = EvidenceCollection(view, name, zone, version)
+        self.collection = EvidenceCollection(context)
         self.routers = routers
         self.own_totals = own_totals
         self.servers = servers
--- a/tests/membership/test_warm_start.py
+++ b/tests/membership/test_warm_start.py
@@ -8,6 +8,7 @@
 from brookhinge.decisions.messages import ObjectsPurged, WarmStartReceived
 from brookhinge.engine import events
 from brookhinge.membership.claims import Claim, MemberState
+from brookhinge.membership.core import CoreContext
 from brookhinge.membership.memory import Remembering
 from brookhinge.membership.messages import CoreMessage, WarmStartRequest, WarmStartState
 from brookhinge.membership.view import MembershipView
@@ -89,7 +90,8 @@
     view = MembershipView(600.0)
     for n, state in enumerate(states):
         view.apply(0.0, Claim(f"n{n}", n + 1, 1, 1, state, "h", n + 1, "z", 1, 0.0), "n0")
-    return WarmStart(view, "n0", "z", 1, lambda: [("takes", "page", 0, "", 0.1, 9.0)] * 23, 0.0), Writer()
+    context = CoreContext(view, "n0", "z", 1)
+    return WarmStart(context, known_rows=lambda: [("takes", "page", 0, "", 0.1, 9.0)] * 23, now=0.0), Writer()
 
 
 def test_one_peer_after_another_is_asked_until_one_answers():
