--- a/brookhinge/limits/lease_protocol.py
+++ b/brookhinge/limits/lease_protocol.py
@@ -60,11 +60,7 @@
         """The position of a limit's lessor, by rendezvous hashing over those that share it."""
         kind, server, started_at_ms = limit
         slot = xxhash.xxh64_intdigest(f"{server} {started_at_ms}".encode()) % LESSORS_PER_KIND
-        return max(
-            self.sharing(limit),
-            key=lambda i: xxhash.xxh64_intdigest(f"{kind} {slot} {self.view.names[i]}".encode()),
-            default=None,
-        )
+        return self.context.choose(f"{kind} {slot}", self.sharing(limit))
 
     # sending
 
--- a/brookhinge/membership/core.py
+++ b/brookhinge/membership/core.py
@@ -4,6 +4,7 @@
 from typing import NamedTuple, Protocol
 
 import msgspec
+import xxhash
 
 from brookhinge.engine.events import Event
 from brookhinge.membership.claims import MemberState
@@ -37,6 +38,11 @@
             and zone in (None, view.zones[i])
         ]
 
+    def choose(self, key: str, members: Sequence[int]) -> int | None:
+        """Choose a member for a key by rendezvous hashing: all routers with one view choose the same."""
+        names = self.view.names
+        return max(members, key=lambda i: xxhash.xxh64_intdigest(f"{key} {names[i]}".encode()), default=None)
+
     def is_self(self, i: int) -> bool:
         """Whether the member at a position is this router."""
         return self.view.names[i] == self.name
--- a/brookhinge/verdicts/collection.py
+++ b/brookhinge/verdicts/collection.py
@@ -9,8 +9,6 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-import xxhash
-
 from brookhinge.membership.core import CoreContext, CoreWriter
 from brookhinge.membership.messages import CoreMessage, EvidenceReport, EvidenceTable, Row
 from brookhinge.verdicts.evidence import EVIDENCE_S, Counts, Evidence, Server
@@ -62,11 +60,7 @@
     def collector_of(self, server: Server) -> int | None:
         """The position of a server's collector, by rendezvous hashing."""
         name, started_at_ms = server
-        return max(
-            self.members(),
-            default=None,
-            key=lambda i: xxhash.xxh64_intdigest(f"{name} {started_at_ms} {self.view.names[i]}".encode()),
-        )
+        return self.context.choose(f"{name} {started_at_ms}", self.members())
 
     # sending
 
