--- a/tests/limits/test_rig.py
+++ b/tests/limits/test_rig.py
@@ -44,14 +44,14 @@
     return uneven(rig, 150.0, 150.0 / 7)
 
 
-async def lent(rig, name):
+async def largest_quota(rig, name):
     """The largest part of a cold box that a router may use now."""
     rows = await rig.parts(name)
     return max((row[5] for row in rows or () if row[0] == "cache"), default=0.0)
 
 
-async def keeper(rig, but=None):
-    """A keeper of a cold limit that is not the busy router, as that one sees it."""
+async def find_lessor(rig, but=None):
+    """A lessor of a cold limit that is not the busy router, as that one sees it."""
     names = [row[7] for row in await rig.parts("n1") or () if row[0] == "cache"]
     return next((name for name in names if name not in ("n1", but, "")), "n2" if but != "n2" else "n3")
 
@@ -62,7 +62,7 @@
         async with Load(rig, uneven(rig)) as load:
 
             async def busy():
-                return await lent(rig, "n1") > 2.0 / 8
+                return await largest_quota(rig, "n1") > 2.0 / 8
 
             assert await rig.until(busy, LONG)
             before = sum(len(box.came) for box in rig.boxes.values())
@@ -79,22 +79,22 @@
         async with Load(rig, flood(rig)):
             await rig.cold(*rig.box_names)
             await asyncio.sleep(2.0)
-            first = await keeper(rig)  # who lends most of it, and has parts of its own away
+            first = await find_lessor(rig)  # who leases out most of it, and has granted quotas of its own
             await rig.kill(first)
             await asyncio.sleep(0.5)
-            second = await keeper(rig, but=first)  # frozen for longer than a lease
+            second = await find_lessor(rig, but=first)  # frozen for longer than a lease
             rig.freeze(second)
             await asyncio.sleep(LEASE_TERM_S + 0.5)
             rig.thaw(second)
-            rig.freeze("n1")  # who was lent the most
+            rig.freeze("n1")  # who was leased the most
             await asyncio.sleep(LEASE_TERM_S + 0.5)
             rig.thaw("n1")
-            await rig.start(first)  # under its name, with what it gave away still out
+            await rig.start(first)  # under its name, with what it granted still out
             half = set(rig.names[:4])
             rig.wires.cut = lambda a, b: (a in half) != (b in half)
             await asyncio.sleep(2.0)
             rig.wires.cut = lambda a, b: False
-            await rig.cold("s-1")  # another process at the address, while parts of it are out
+            await rig.cold("s-1")  # another process at the address, while quotas of it are out
             await asyncio.sleep(2.0)
 
     play(script, tmp_path)
@@ -116,7 +116,7 @@
     play(script, tmp_path)
 
 
-def test_the_rig_finds_keepers_that_lend_what_they_have_not(tmp_path):
+def test_the_rig_finds_lessors_that_lease_what_was_not_granted(tmp_path):
     async def script(rig):
         async with Load(rig, flood(rig)):
             await rig.cold(*rig.box_names)
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_loss_and_delay_condemn_nobody_for_long(seed):
+def test_loss_and_delay_make_nobody_lost_for_long(seed):
     net = fleet(12, seed)
     net.loss, net.delay = 0.3, 0.2
     quiet(net, 60.0)
@@ -148,7 +148,7 @@
     assert net.one_view()
 
 
-def test_leaving_is_by_word_and_for_good():
+def test_leaving_is_by_a_claim_and_for_good():
     net = fleet(8)
     net.hosts[4].peer.leave(net.now, net.hosts[4])
     net.run(2.0)
@@ -204,7 +204,7 @@
     assert changes(net, "lost", "taken") == []
 
 
-def test_words_reach_all_at_once_and_late_comers_too():
+def test_notices_reach_all_at_once_and_late_comers_too():
     net = fleet(32, loss=0.1)
     net.hosts[7].peer.spread(net.now, "drain", ("s-1", 5), net.hosts[7])
     at = net.now
@@ -216,7 +216,7 @@
     assert ("drain", "s-1", 5) in net.hosts[40].notices and at < net.hosts[40].notices[("drain", "s-1", 5)]
 
 
-def test_a_word_reaches_the_last_one_too():
+def test_a_notice_reaches_the_last_member_too():
     """Told by each a bounded number of times it may miss somebody for good: then probes of the next seconds carry it."""
     net = Net(9, loss=0.1)
     for n in range(1, 65):
@@ -264,7 +264,7 @@
     assert net.run(3 * SETTLE, net.one_view)
 
 
-def test_a_router_starved_of_time_condemns_nobody():
+def test_a_router_starved_of_time_declares_nobody_lost():
     """One in four is held up for a second again and again, as by a busy machine."""
     net = fleet(16)
     quiet(net, 0.0)
--- a/tests/membership/test_rig.py
+++ b/tests/membership/test_rig.py
@@ -64,7 +64,7 @@
     play(script, tmp_path, routers=8)
 
 
-def test_bad_wires_condemn_nobody_for_long(tmp_path):
+def test_bad_links_make_nobody_lost_for_long(tmp_path):
     async def script(rig):
         rig.wires.cut = lambda a, b: {a, b} == {"n2", "n5"}  # all but one can reach it
         rig.wires.loss, rig.wires.double, rig.wires.corrupt, rig.wires.delay_s = 0.2, 0.1, 0.02, 0.05
--- a/tests/membership/test_safety_notices.py
+++ b/tests/membership/test_safety_notices.py
@@ -30,7 +30,7 @@
     assert t.receive_notice(("gone", "s", 0)) == row(health="gone")
 
 
-def test_of_another_start_nothing_is_believed():
+def test_a_notice_of_another_start_changes_nothing():
     t = SafetyNotices(1000.0)
     t.receive_row(row(born=5.0))
     assert t.receive_notice(("gone", "s", 0)) is None and t.receive_row(row(born=5.0))[0] == row(born=5.0)
@@ -67,7 +67,7 @@
         max_size=12,
     )
 )
-def test_hearing_never_loosens(steps):
+def test_notices_never_loosen(steps):
     t, now = SafetyNotices(0.0), {}
     for how, health, born in steps:
         if how == "row":
--- a/tests/membership/test_warm_start.py
+++ b/tests/membership/test_warm_start.py
@@ -24,7 +24,7 @@
         self.router.__class__ = type("Router", (Remembering, Router), {})
 
 
-def told(old, new):
+def hand_over(old, new):
     new.router.process(new.now, [WarmStartReceived(old.router.memory())], new.trace)
 
 
@@ -33,7 +33,7 @@
     for i in range(30):
         old.serve("abc"[i % 3])
     old.router.rings.rings[0][1][0] = 300
-    told(old, new)
+    hand_over(old, new)
     assert (
         new.router.rings.rings[0][1] == old.router.rings.rings[0][1]
         and new.router.sending == old.router.sending
@@ -45,7 +45,7 @@
     assert target in [str(old.router.fleet.ids[c]) for c in old.router.docs["a", 0].holders]
 
 
-def test_own_experience_and_purges_go_before_what_is_told():
+def test_own_experience_and_purges_go_before_warm_start_state():
     old, new = Taught(), Taught()
     for _ in range(3):
         old.serve("a")
@@ -55,7 +55,7 @@
     mean = new.router.sending[0]
     new.call(ObjectsPurged(5, 0.0, ""))
     new.call(ObjectsPurged(-1, 0.0, "a"))
-    told(old, new)
+    hand_over(old, new)
     assert (
         new.router.sending[0] == mean and ("a", 0) not in new.router.docs and ("b", 0) not in new.router.docs
     )
--- a/tests/verdicts/test_detector.py
+++ b/tests/verdicts/test_detector.py
@@ -22,7 +22,7 @@
     assert find_outliers(seen(s1=dict.fromkeys(range(1, 9), (3, 1))), 8, 5) == {A: 1 / 3}
 
 
-def test_one_witness_condemns_nobody_whatever_it_says():
+def test_one_witness_ejects_nothing_whatever_it_says():
     for tries in (10, 1000, 10**9):
         assert find_outliers(seen(s1={**fine(8), 1: (tries, tries)}), 8, 5) == {}
         assert find_outliers(seen(s1={1: (tries, tries), 2: (3, 0)}), 8, 5) == {}
@@ -69,7 +69,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(witness, min_size=5, max_size=5), st.integers(1, 8))
-def test_a_liar_among_peers_who_see_well_condemns_nobody(lies, liar):
+def test_a_liar_among_members_who_see_well_ejects_nothing(lies, liar):
     told = {server: {**fine(8), liar: lie} for server, lie in zip((A, B, C, D, E), lies)}
     assert find_outliers(told, 8, 5) == {}
 
@@ -81,7 +81,7 @@
     assert 0.0 <= part <= 1.0 and tries == sum(t for t, _ in witnesses.values()) and saw <= len(witnesses)
 
 
-def told(rows, router=7):
+def evidence_of(rows, router=7):
     """An Evidence that heard (now, number, tries, failed) in that order, sent a moment before."""
     evidence = Evidence()
     for now, number, tries, failed in rows:
@@ -93,29 +93,29 @@
 
 
 def test_what_acts_is_what_grew_in_the_last_seconds():
-    assert told(ROWS).witnesses(A, 3.5) == {7: (70, 21)}
-    assert told(ROWS).witnesses(A, 5.2) == {7: (40, 12)}
-    assert told(ROWS).witnesses(A, 3.5 + EVIDENCE_S + 0.01) == {}
+    assert evidence_of(ROWS).witnesses(A, 3.5) == {7: (70, 21)}
+    assert evidence_of(ROWS).witnesses(A, 5.2) == {7: (40, 12)}
+    assert evidence_of(ROWS).witnesses(A, 3.5 + EVIDENCE_S + 0.01) == {}
 
 
-def test_the_first_total_heard_is_nobodys_evidence():
-    assert told([(0.0, 1, 900, 900)]).witnesses(A, 0.1) == {}
-    assert told([(0.0, 1, 900, 900), (0.5, 2, 903, 901)]).witnesses(A, 0.6) == {7: (3, 1)}
+def test_the_first_total_received_is_nobodys_evidence():
+    assert evidence_of([(0.0, 1, 900, 900)]).witnesses(A, 0.1) == {}
+    assert evidence_of([(0.0, 1, 900, 900), (0.5, 2, 903, 901)]).witnesses(A, 0.6) == {7: (3, 1)}
 
 
 def test_what_grew_in_a_gap_has_no_age():
-    assert told([(0.0, 1, 0, 0), (60.0, 2, 500, 500)]).witnesses(A, 60.1) == {}
+    assert evidence_of([(0.0, 1, 0, 0), (60.0, 2, 500, 500)]).witnesses(A, 60.1) == {}
 
 
-def test_a_late_word_is_not_believed():
-    evidence = told(ROWS)
+def test_a_late_report_is_ignored():
+    evidence = evidence_of(ROWS)
     evidence.receive(20.0, 7, 99, 20.0 - MAX_EXTRA_DELAY_S - 0.1 + 1000.0, [(A, 10**6, 10**6)])
     assert evidence.witnesses(A, 20.0) == {}
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.randoms(use_true_random=False), st.lists(st.sampled_from(range(8)), max_size=12))
-def test_doubled_and_overtaken_words_change_nothing(chance, again):
+def test_doubled_and_overtaken_reports_change_nothing(chance, again):
     """Whatever comes twice, or after a younger one, leaves the last total as it is."""
     evidence = Evidence()
     order = list(ROWS)
--- a/tests/verdicts/test_fleet.py
+++ b/tests/verdicts/test_fleet.py
@@ -13,7 +13,7 @@
     return made
 
 
-def resting(made):
+def ejected(made):
     """{box: how many routers let it rest}."""
     out = {}
     for cores in made.cores:
@@ -23,22 +23,22 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.2])
-def test_a_failing_box_is_left_by_all_and_comes_back_without_a_herd(loss):
+def test_a_failing_server_is_ejected_by_all_and_comes_back_without_a_herd(loss):
     made = fleet(loss=loss)
     made.boxes["s-1"].fails = 0.4
     made.play(16.0)
-    assert resting(made)["s-1"] == 8 and set(resting(made)) == {"s-1"}
+    assert ejected(made)["s-1"] == 8 and set(ejected(made)) == {"s-1"}
     made.boxes["s-1"].fails = 0.0
     came, start = [], made.boxes["s-1"].take
     made.boxes["s-1"].take = lambda now, key, work: came.append(now) or start(now, key, work)
     made.play(40.0)
-    assert resting(made) == {}
+    assert ejected(made) == {}
     slots = [sum(at <= t < at + 1.0 for t in came) for at in range(16, 40)]
     first = next(k for k, count in enumerate(slots) if count)
     assert slots[first] <= 5 and max(slots[: first + 3]) <= 2 * max(slots[-6:])  # trials, then more by and by
 
 
-def test_a_cut_in_halves_each_half_judges_for_itself():
+def test_in_a_partition_each_half_decides_for_itself():
     made = fleet()
     made.cut = lambda a, b: (a < 4) != (b < 4)
     made.broken = {4: 0.8, 5: 0.8, 6: 0.8, 7: 0.8}  # the place of one half is cut off from all boxes
@@ -46,7 +46,7 @@
     assert all(not core[1].ejections for core in made.cores[:4])
 
 
-def test_half_of_all_boxes_never_rest_at_once():
+def test_half_of_all_servers_are_never_ejected_at_once():
     made = fleet()
     for name in ("s-0", "s-1", "s-2"):
         made.boxes[name].fails = 0.5
--- a/tests/verdicts/test_rig.py
+++ b/tests/verdicts/test_rig.py
@@ -31,7 +31,7 @@
     return holds
 
 
-def test_all_leave_a_box_that_fails_one_in_three_and_come_back(tmp_path):
+def test_all_eject_a_server_that_fails_one_in_three_and_come_back(tmp_path):
     """Each router sees a query or two a second of it: alone it could not tell for long."""
 
     async def script(rig):
@@ -53,7 +53,7 @@
     play(script, tmp_path)
 
 
-def test_one_routers_own_link_condemns_no_box(tmp_path):
+def test_one_routers_own_link_ejects_no_server(tmp_path):
     async def script(rig):
         async with Load(rig, dict.fromkeys(rig.names, 6.0)):
             await asyncio.sleep(1.0)
