--- a/brookhinge/limits/lease_protocol.py
+++ b/brookhinge/limits/lease_protocol.py
@@ -10,7 +10,7 @@
 from brookhinge.limits.demand import DemandEstimate
 from brookhinge.limits.lease_terms import (
     DEMAND_HEADROOM,
-    EXPECTED_REPORTS_LOST,
+    MAX_MISSED_REPORTS,
     REPORT_INTERVAL_S,
     ROWS_PER_DATAGRAM,
 )
@@ -24,7 +24,7 @@
 MAX_LIMITS_AT_ONCE = 64  # that a lessor leases in one report
 LESSORS_PER_KIND = 4  # few, so that rows of many limits go in common datagrams
 MAX_LESSORS_REMEMBERED = 1024
-CONTENDED_S = EXPECTED_REPORTS_LOST * REPORT_INTERVAL_S
+CONTENDED_S = MAX_MISSED_REPORTS * REPORT_INTERVAL_S
 
 
 class LeaseProtocol:
--- a/brookhinge/limits/lease_terms.py
+++ b/brookhinge/limits/lease_terms.py
@@ -16,5 +16,5 @@
 DEMAND_HEADROOM = 1.25  # a lessee keeps, or asks for, so many times its recent demand
 DEMAND_AVERAGING_S = 5.0  # a router with few requests is asked in lumps
 ROWS_PER_DATAGRAM = 16
-EXPECTED_REPORTS_LOST = 4.0  # after so many report intervals without a repetition a demand is over
+MAX_MISSED_REPORTS = 4.0  # after so many report intervals without a repetition a demand is over
 MESSAGES_REMEMBERED = 16  # of one member: a message that answers an older one is ignored
--- a/brookhinge/limits/lessor.py
+++ b/brookhinge/limits/lessor.py
@@ -8,16 +8,16 @@
 from typing import NamedTuple
 
 from brookhinge.limits.lease_terms import (
-    EXPECTED_REPORTS_LOST,
     GRANT_TERM_S,
     LEASE_TERM_S,
     MAX_CLOCK_DRIFT,
+    MAX_MISSED_REPORTS,
     MESSAGES_REMEMBERED,
     REPORT_INTERVAL_S,
 )
 from brookhinge.limits.records import Grant, Limit, RequestRow
 
-NEED_TERM_S = EXPECTED_REPORTS_LOST * REPORT_INTERVAL_S
+NEED_TERM_S = MAX_MISSED_REPORTS * REPORT_INTERVAL_S
 LONG_AGO = -1e9
 ACCOUNT_KEPT_S = 2 * GRANT_TERM_S
 
