--- a/brookhinge/membership/codec.py
+++ b/brookhinge/membership/codec.py
@@ -4,7 +4,7 @@
     array      = [form, site, sequence, claim, version, call, updates, rest]
     call       = [0], or a ping: [1, nonce, incarnation id, incarnation, state], or its answer: [2, nonce]
     updates    = claims about others
-    rest       = [digest, notices, word, values], MessagePack in turn: readers of other versions stop before it
+    rest       = [digest, notices, word, values], MessagePack in turn: other versions stop before it
     values     = the message's fields; of `gossip` and `rows` one: claims as MessagePack, compressed by zlib
 
 `form` stays 1 for good: any version reads who sent a datagram, at which version it speaks, what it claims
