--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -29,7 +29,11 @@
 from brookhinge.standin.load import Load
 from brookhinge.standin.rollout_cluster import RolloutCluster
 
-ROUTERS, QUERIES, BEFORE, WINDOWS, STAGES = 10, 40, 60, 150, 3
+ROUTERS = 10
+QUERIES = 40
+BEFORE = 60
+WINDOWS = 150
+STAGES = 3
 GROUPS = ((0,), (1, 2, 3, 4), (5, 6, 7, 8, 9))
 METRICS = (Metric("worth", 1.0, 0.02), Metric("failed", -1.0, 0.03))
 EARLIER = "447355d"  # the first build that takes its listening socket from a keeper
@@ -49,7 +53,8 @@
     for t in range(BEFORE + WINDOWS):
         rows = []
         for n in range(ROUTERS):
-            place, changed = f"k{n % 2}", n in group
+            place = f"k{n % 2}"
+            changed = n in group
             bad = TROUBLES[trouble](t, place)
             good = min(1.0, max(0.0, 0.93 + skew[n] - bad - (worse if changed and t >= BEFORE else 0.0)))
             worth = sum(chance.random() < good for _ in range(QUERIES))
@@ -64,12 +69,10 @@
 
 def judged(seed, worse, trouble, group):
     """What each method says of one stage: windows till 'worse', or None."""
-    analysis, said, before, after = (
-        CanaryAnalysis(METRICS, 0.01 / STAGES),
-        dict.fromkeys(("judge", "fixed", "threshold")),
-        [],
-        [],
-    )
+    analysis = CanaryAnalysis(METRICS, 0.01 / STAGES)
+    said = dict.fromkeys(("judge", "fixed", "threshold"))
+    before = []
+    after = []
     for early, rows in windows(seed, worse, trouble, group):
         analysis.add_window(early, rows)
         value = difference("worth", rows)
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -18,7 +18,9 @@
 from benchmarks.soak.faults import FAULTS
 from benchmarks.soak.records import read_records
 
-BRIEF_S, SHORT_S, LONG_S = 26.0, 60.0, 200.0
+BRIEF_S = 26.0
+SHORT_S = 60.0
+LONG_S = 200.0
 TRACED = 60  # violations of which the way of the request is put together: each is a pass over all that was written down
 SHOWN = 12  # violations printed; all of them stand in the folder
 
--- a/benchmarks/soak/channel.py
+++ b/benchmarks/soak/channel.py
@@ -11,8 +11,12 @@
     """spec: ports: {reader: port}; events: those of before, with their numbers."""
 
     def __init__(self, spec, record, chance):
-        self.record, self.ports, self.events = record, spec["ports"], spec["events"]
-        self.news, self.listeners, self.writers = asyncio.Event(), [], set()
+        self.record = record
+        self.ports = spec["ports"]
+        self.events = spec["events"]
+        self.news = asyncio.Event()
+        self.listeners = []
+        self.writers = set()
         self.silent_until = self.down_until = self.slow_until = 0.0
 
     async def begin(self):
--- a/benchmarks/soak/client.py
+++ b/benchmarks/soak/client.py
@@ -48,8 +48,13 @@
 
 class Request:
     def __init__(self, ref, kind, name, part, allow_s, resent=False):
-        self.ref, self.kind, self.name, self.part, self.allow_s = ref, kind, name, part, allow_s
-        self.sent_at, self.resent = None, resent
+        self.ref = ref
+        self.kind = kind
+        self.name = name
+        self.part = part
+        self.allow_s = allow_s
+        self.sent_at = None
+        self.resent = resent
 
     def fields(self):
         return {
@@ -67,10 +72,18 @@
     """One connection to a router: requests out on it, by number."""
 
     def __init__(self, client, router, number):
-        self.client, self.router, self.number = client, router, number
-        self.record, self.chance = client.record, client.chance
-        self.out, self.serial, self.used_at, self.ended = {}, 0, time.monotonic(), False
-        self.writing, self.for_one = asyncio.Lock(), False  # whether it is closed after its one request
+        self.client = client
+        self.router = router
+        self.number = number
+        self.record = client.record
+        self.chance = client.chance
+        self.out = {}
+        self.serial = 0
+        self.used_at = time.monotonic()
+        self.ended = False
+        # whether it is closed after its one request
+        self.writing = asyncio.Lock()
+        self.for_one = False
 
     async def open(self, port):
         self.reader, self.writer = await asyncio.open_connection(world.HOST, port)
@@ -133,7 +146,8 @@
         self.out.clear()
 
     async def read(self):
-        frames, paused_s = thrift.FrameSplitter(), 0.0
+        frames = thrift.FrameSplitter()
+        paused_s = 0.0
         try:
             while data := await self.reader.read(READ):
                 paused_s = 0.0
@@ -204,11 +218,17 @@
     """spec: routers: {name: port}, rate: requests a second to all routers together."""
 
     def __init__(self, spec, record, chance):
-        self.record, self.chance = record, chance
-        self.ports, self.rate, self.in_use = spec["routers"], spec["rate"], set(spec["routers"])
+        self.record = record
+        self.chance = chance
+        self.ports = spec["routers"]
+        self.rate = spec["rate"]
+        self.in_use = set(spec["routers"])
         self.without_new = set()  # routers to which no new connection is made
         self.connections = {router: [] for router in self.ports}
-        self.serial, self.burst_until, self.slow_until, self.retry_rate = 0, 0.0, 0.0, 0.2
+        self.serial = 0
+        self.burst_until = 0.0
+        self.slow_until = 0.0
+        self.retry_rate = 0.2
         self.names = [world.object_name(n) for n in range(world.OBJECTS)]
         self.weights = [1.0 / (n + 3) for n in range(world.OBJECTS)]
         self.kinds = list(world.KINDS.values())
@@ -356,7 +376,9 @@
     def retry(self, request):
         """The same wish under a new id."""
         fresh = self.draw()
-        fresh.kind, fresh.name, fresh.part = request.kind, request.name, request.part
+        fresh.kind = request.kind
+        fresh.name = request.name
+        fresh.part = request.part
         fresh.allow_s = request.allow_s
         if self.in_use:
             asyncio.ensure_future(self.request(self.chance.choice(sorted(self.in_use)), fresh))
--- a/benchmarks/soak/driver.py
+++ b/benchmarks/soak/driver.py
@@ -17,7 +17,12 @@
 from brookhinge.client.client import Connection
 from brookhinge.standin.ports import free_port
 
-ROUTERS, CACHES, PARENTS, BOXES, WITNESSES, CLIENTS = 6, 8, 2, 2, 3, 6
+ROUTERS = 6
+CACHES = 8
+PARENTS = 2
+BOXES = 2
+WITNESSES = 3
+CLIENTS = 6
 RATE = 55.0  # requests a second of each client process
 DESCRIPTORS = 220  # of each router
 PURGES_A_S = 1.5
@@ -67,7 +72,9 @@
     """A process of this package, with orders on its standard input."""
 
     def __init__(self, driver, module, name, **spec):
-        self.driver, self.module, self.name = driver, module, name
+        self.driver = driver
+        self.module = module
+        self.name = name
         self.spec = {"name": name, "folder": str(driver.folder), "seed": driver.seed, **spec}
         self.spec["deadlines"] = schedule.deadline_scale(driver.seed)
         self.process = None
@@ -93,10 +100,15 @@
     """One router: its process, configuration and control block."""
 
     def __init__(self, driver, number):
-        self.driver, self.number, self.name = driver, number, f"r{number}"
+        self.driver = driver
+        self.number = number
+        self.name = f"r{number}"
         self.port = free_port(world.HOST)
         self.control = shim.Control(driver.shim, driver.folder / f"{self.name}.control")
-        self.channel, self.process, self.lock, self.starts = 0, None, asyncio.Lock(), 0
+        self.channel = 0
+        self.process = None
+        self.lock = asyncio.Lock()
+        self.starts = 0
         self.ready = False  # since its last start: no new configuration comes before
 
     def config_path(self):
@@ -164,7 +176,8 @@
 
     async def stop(self, ending=schedule.Ending.TERM):
         """SIGTERM; no new connections come a little later; SIGKILL at the earliest if it has not ended."""
-        process, loop = self.process, asyncio.get_running_loop()
+        process = self.process
+        loop = asyncio.get_running_loop()
         if ending is schedule.Ending.HUP_FIRST and self.ready:
             self.signal(signal.SIGHUP)
         self.driver.record("router_term", router=self.name, process=process.pid)
@@ -195,10 +208,13 @@
     """A `brookhinge box` with a folder that lasts."""
 
     def __init__(self, driver, number):
-        self.driver, self.name = driver, f"b{number}"
-        self.port, self.folder = free_port(world.HOST), driver.folder / f"b{number}.store"
+        self.driver = driver
+        self.name = f"b{number}"
+        self.port = free_port(world.HOST)
+        self.folder = driver.folder / f"b{number}.store"
         self.control = shim.Control(driver.shim, driver.folder / f"{self.name}.control")
-        self.process, self.lock = None, asyncio.Lock()
+        self.process = None
+        self.lock = asyncio.Lock()
 
     async def start(self):
         path = self.driver.folder / f"{self.name}.hcl"
@@ -221,13 +237,22 @@
     def __init__(self, seed, run_s, folder, fault=None, tree=None, say=lambda text: None):
         """fault: one of faults.py, planted in the routers; tree: a checkout whose routers and boxes run in place of this
         one's."""
-        self.seed, self.run_s, self.folder, self.fault, self.say = seed, run_s, Path(folder), fault, say
+        self.seed = seed
+        self.run_s = run_s
+        self.folder = Path(folder)
+        self.fault = fault
+        self.say = say
         self.tree = Path(tree) if tree else Path(__file__).parents[2]
         self.record = Recorder(folder, "driver")
         self.shim = shim.build(folder)
         self.others = shim.Control(self.shim, self.folder / "others.control")
-        self.processes, self.started, self.tasks = [], 0, []
-        self.hosts, self.events, self.purged, self.cursor = {}, [], [], 0
+        self.processes = []
+        self.started = 0
+        self.tasks = []
+        self.hosts = {}
+        self.events = []
+        self.purged = []
+        self.cursor = 0
         self.steps = schedule.steps_of(seed, run_s)
         world.use_deadlines(schedule.deadline_scale(seed))
 
@@ -391,7 +416,8 @@
         if by_group:
             every = map(world.object_name, range(world.OBJECTS))
             names = [other for other in every if world.group_of(other) == world.group_of(name)]
-        at, when = time.monotonic(), self.wall_ms()
+        at = time.monotonic()
+        when = self.wall_ms()
         for index, server in enumerate(self.servers.values()):
             late_s = 0.3 + (number * 7 + index * 13) % 40 / 10.0
             server.order("change", names=names, at=at, after_s=min(late_s, world.PURGED_EVERYWHERE_S - 0.5))
@@ -488,7 +514,8 @@
 
     async def router_series(self, router, step):
         """Stopped, going on and stopped again within hundredths of a second: one router, some, or all at once."""
-        first, count = self.routers.index(router), schedule.reach(step, len(self.routers))
+        first = self.routers.index(router)
+        count = schedule.reach(step, len(self.routers))
         chosen = [self.routers[(first + number) % len(self.routers)] for number in range(count)]
         for stopped_s, pause_s in schedule.stops(step):
             await asyncio.gather(*(self.freeze(router, stopped_s) for router in chosen))
--- a/benchmarks/soak/judge.py
+++ b/benchmarks/soak/judge.py
@@ -110,16 +110,23 @@
 
     def __init__(self, records):
         self.records = records
-        self.requests, self.attempts = {}, collections.defaultdict(list)
-        self.frozen, self.killed, self.terms = (
-            Spans(),
-            collections.defaultdict(list),
-            collections.defaultdict(list),
-        )
-        self.told, self.listed, self.purges = collections.defaultdict(list), collections.defaultdict(list), []
-        self.starts, self.ran, self.loose = collections.defaultdict(list), collections.defaultdict(list), []
-        self.of_connection, self.open_attempts, self.freezing = {}, {}, {}
-        self.doublings, self.resent, self.deaf = [], set(), collections.defaultdict(list)
+        self.requests = {}
+        self.attempts = collections.defaultdict(list)
+        self.frozen = Spans()
+        self.killed = collections.defaultdict(list)
+        self.terms = collections.defaultdict(list)
+        self.told = collections.defaultdict(list)
+        self.listed = collections.defaultdict(list)
+        self.purges = []
+        self.starts = collections.defaultdict(list)
+        self.ran = collections.defaultdict(list)
+        self.loose = []
+        self.of_connection = {}
+        self.open_attempts = {}
+        self.freezing = {}
+        self.doublings = []
+        self.resent = set()
+        self.deaf = collections.defaultdict(list)
         self.end_at = records[-1]["at"] if records else 0.0
         for record in records:
             take = getattr(self, "take_" + record["event"], None)
@@ -173,7 +180,8 @@
     def end_attempt(self, connection, ref, at, word=None):
         attempt = self.open_attempts.pop((connection, ref), None)
         if attempt is not None:
-            attempt.end_at, attempt.word = at, word
+            attempt.end_at = at
+            attempt.word = word
 
     def take_kill(self, r):
         self.end_attempt((r["by"], r["connection"]), r["ref"], r["at"])
@@ -392,7 +400,8 @@
 
 def repeats(request, attempts):
     """Attempts of an effect after one that may have run."""
-    kind, may_have_run = world.KINDS[request.kind], None
+    kind = world.KINDS[request.kind]
+    may_have_run = None
     out = []
     for attempt in sorted(attempts, key=lambda a: a.seen_at):
         if may_have_run is not None and kind.effect == "fragile":
@@ -508,7 +517,8 @@
 def purged_copies(history):
     """No answer to a request that a router sent on (or answered itself) beyond the grace after it was told of a purge is
     older than that purge."""
-    out, of_object = [], collections.defaultdict(list)
+    out = []
+    of_object = collections.defaultdict(list)
     for purge in history.purges:
         for name in purge["names"]:
             of_object[name].append(purge)
@@ -590,7 +600,8 @@
 
 def overlaps(records):
     """How often each pair and triple of kinds of trouble really stood at the same time."""
-    standing, counts = {}, collections.Counter()
+    standing = {}
+    counts = collections.Counter()
     for r in records:
         if r["event"] != "trouble":
             continue
--- a/benchmarks/soak/schedule.py
+++ b/benchmarks/soak/schedule.py
@@ -4,10 +4,9 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-FIRST_S, REST_S = (
-    4.0,
-    6.0,
-)  # of a run without troubles: while all is filled for the first time, and at its end
+# of a run without troubles: while all is filled for the first time, and at its end
+FIRST_S = 4.0
+REST_S = 6.0
 SLOT_S = 4.0  # between the beginnings of two groups of troubles
 SAME_TARGET = 0.75  # of the troubles of a group are for its common target
 SPREAD_S = 0.7  # within which the troubles of a group begin
@@ -93,7 +92,8 @@
     chance = random.Random(f"soak {seed}")
     kinds = list(Trouble)
     weights = [WEIGHTS.get(kind, 1) for kind in kinds]
-    steps, slot_at = [], FIRST_S
+    steps = []
+    slot_at = FIRST_S
     while slot_at < run_s - REST_S:
         common = chance.randrange(
             1 << 16
--- a/benchmarks/soak/world.py
+++ b/benchmarks/soak/world.py
@@ -9,18 +9,28 @@
 # A loopback address that no other soak uses: the driver chooses it, its processes find it in their environment.
 HOST = os.environ.setdefault("SOAK_HOST", own_host())
 NS = 1e9
-ZONE, HUB = "edge-1", "hub"
-CACHE, PARENT, ORIGIN = "box", "parent", "origin"
-OBJECTS, GROUPS = 300, 16
+ZONE = "edge-1"
+HUB = "hub"
+CACHE = "box"
+PARENT = "parent"
+ORIGIN = "origin"
+OBJECTS = 300
+GROUPS = 16
 SIZE_KB = 25.0  # of every part, as the settings count it; the bytes on the socket are fewer
 FLOW_KB_S = 1000.0
 WORK_S = SIZE_KB / FLOW_KB_S  # seconds of sending of one call
 POWER = 2  # transfers at once that a warm server does
-SLOW_START_SHARE, SLOW_START_S, SLOW_START_MULTIPLE, SLOW_START_WINDOW_S = 0.04, 20.0, 1.0, 1.0
+SLOW_START_SHARE = 0.04
+SLOW_START_S = 20.0
+SLOW_START_MULTIPLE = 1.0
+SLOW_START_WINDOW_S = 1.0
 PURGED_EVERYWHERE_S = 5.0  # after a purge no server holds an old copy any more
-CONNECT_S, IDLE_S, MULTIPLEX = 0.6, 8.0, 16
+CONNECT_S = 0.6
+IDLE_S = 8.0
+MULTIPLEX = 16
 LONGEST_S = 3.0  # the longest deadline of the usual deployment
-DRAIN_GRACE_S, PURGE_GRACE_S = 0.5, 0.5
+DRAIN_GRACE_S = 0.5
+PURGE_GRACE_S = 0.5
 
 
 @dataclass(frozen=True)
@@ -161,7 +171,10 @@
     if len(words) != 5:
         return None
     try:
-        name, part, version, made = words[0].decode(), int(words[1]), int(words[2]), float(words[3])
+        name = words[0].decode()
+        part = int(words[1])
+        version = int(words[2])
+        made = float(words[3])
     except ValueError:
         return None
     return (name, part, version, made) if body == body_of(name, part, version, made) else None
--- a/benchmarks/structures.py
+++ b/benchmarks/structures.py
@@ -20,7 +20,8 @@
     """Slots of 50 ms in a dict: an entry is put in and taken out without a comparison."""
 
     def __init__(self):
-        self.slots, self.at = {}, 0
+        self.slots = {}
+        self.at = 0
 
     def add(self, when, item):
         slot = int(when / SLOT_S)
@@ -34,7 +35,8 @@
         self.slots[slot].pop(item, None)
 
     def due(self, now):
-        last, items = int(now / SLOT_S), []
+        last = int(now / SLOT_S)
+        items = []
         while self.at < last:
             items += self.slots.pop(self.at, ())
             self.at += 1
@@ -43,7 +45,8 @@
 
 class Heap:
     def __init__(self):
-        self.heap, self.gone = [], set()
+        self.heap = []
+        self.gone = set()
 
     def add(self, when, item):
         heapq.heappush(self.heap, (when, item))
@@ -67,7 +70,9 @@
     """Nanoseconds an entry: put in over 60 s ahead, half taken back, the rest come due."""
     chance = random.Random(1)
     whens = [60.0 * chance.random() for _ in range(count)]
-    wheel, began, handles = kind(), time.perf_counter(), []
+    wheel = kind()
+    began = time.perf_counter()
+    handles = []
     for n, when in enumerate(whens):
         handles.append(wheel.add(when, n))
     for n in range(0, count, 2):
@@ -81,7 +86,9 @@
     """A dict of tries, swept each second."""
 
     def __init__(self, remember_s=15.0):
-        self.remember_s, self.tries, self.swept = remember_s, {}, 0.0
+        self.remember_s = remember_s
+        self.tries = {}
+        self.swept = 0.0
 
     def asked(self, now, query, address, connection, name):
         if now - self.swept > 1.0:
@@ -95,16 +102,20 @@
 
 def tries(table, count, rate=3000.0):
     """(microseconds a try, the longest one in ms, tries remembered at the end)"""
-    chance, longest, total = random.Random(2), 0.0, 0.0
+    chance = random.Random(2)
+    longest = 0.0
+    total = 0.0
     for n in range(count):
-        now, address = n / rate, f"a{chance.randrange(count)}"
+        now = n / rate
+        address = f"a{chance.randrange(count)}"
         name = 0, "object", chance.randrange(50)
         began = time.perf_counter()
         table.asked(now, n, address, n, name)
         if isinstance(table, Lineage):
             table.ended(now, n, "refused")
         took = time.perf_counter() - began
-        longest, total = max(longest, took), total + took
+        longest = max(longest, took)
+        total = total + took
     return round(total / count * 1e6, 2), round(longest * 1000, 2), len(table.tries)
 
 
--- a/brookhinge/standin/capacity/driver.py
+++ b/brookhinge/standin/capacity/driver.py
@@ -24,9 +24,14 @@
     write,
 )
 
-PEERS, LOG = "peers", "log"  # mechanisms by which routers hear of purges
-MOST_PROCESSES, MOST_MEMORY_MB = 300, 12 * 1024
-PROCESS_MB, ROUTER_MB = 45, 4  # what a process and each router in it are reckoned to hold
+# mechanisms by which routers hear of purges
+PEERS = "peers"
+LOG = "log"
+MOST_PROCESSES = 300
+MOST_MEMORY_MB = 12 * 1024
+# what a process and each router in it are reckoned to hold
+PROCESS_MB = 45
+ROUTER_MB = 4
 ANSWER_S = 60.0  # a process that has not answered by then has failed
 END_S = 2.0  # a process has so long to end once its input is closed
 LONGEST_ANSWER = 64 << 20
@@ -46,7 +51,8 @@
     """One process of the fleet; its answers come in the order of the commands that have one."""
 
     def __init__(self, title, process):
-        self.title, self.process = title, process
+        self.title = title
+        self.process = process
 
     def send(self, command):
         """Sends a command that has no answer."""
@@ -104,8 +110,14 @@
 
     def __init__(self, layout, seed, mechanism, tell=lambda line: None):
         check_size(layout)
-        self.layout, self.seed, self.mechanism, self.tell = layout, seed, mechanism, tell
-        self.sites, self.controls, self.addresses, self.cuts = {}, {}, {}, []
+        self.layout = layout
+        self.seed = seed
+        self.mechanism = mechanism
+        self.tell = tell
+        self.sites = {}
+        self.controls = {}
+        self.addresses = {}
+        self.cuts = []
         self.control_addresses = []
 
     async def __aenter__(self):
--- a/brookhinge/standin/capacity/fit.py
+++ b/brookhinge/standin/capacity/fit.py
@@ -29,9 +29,12 @@
 
 def fit_curve(name, points):
     """(base, slope, standard error of the slope, sum of squares) of one curve."""
-    function, count = CURVES[name], len(points)
-    xs, ys = [function(n) for n, _ in points], [y for _, y in points]
-    mean_x, mean_y = sum(xs) / count, sum(ys) / count
+    function = CURVES[name]
+    count = len(points)
+    xs = [function(n) for n, _ in points]
+    ys = [y for _, y in points]
+    mean_x = sum(xs) / count
+    mean_y = sum(ys) / count
     if name == "constant":
         return mean_y, 0.0, 0.0, sum((y - mean_y) ** 2 for y in ys)
     across = sum((x - mean_x) ** 2 for x in xs)
--- a/brookhinge/standin/capacity/hour.py
+++ b/brookhinge/standin/capacity/hour.py
@@ -8,8 +8,11 @@
 from brookhinge.standin.capacity.virtual_log import LogFleet
 from brookhinge.standin.capacity.work import Work
 
-SETTLE_S, HOUR_S = 5.0, 3600.0
-WINDOW_S, WINDOWS = 5.0, 36  # after the links healed: costs are looked at by window
+SETTLE_S = 5.0
+HOUR_S = 3600.0
+# after the links healed: costs are looked at by window
+WINDOW_S = 5.0
+WINDOWS = 36
 END_S = 2.0  # before the links heal no more purges are told, so that those under way have come
 
 
@@ -17,9 +20,11 @@
     """Plays the first cut of a layout for `seconds`."""
 
     def __init__(self, layout, seed, seconds=HOUR_S):
-        self.cut, self.seconds = layout.capacity.cuts[0], seconds
+        self.cut = layout.capacity.cuts[0]
+        self.seconds = seconds
         self.fleet = LogFleet(layout, seed, self.chosen, membership=False)
-        self.work, self.submitted = Work(layout, seed), {}
+        self.work = Work(layout, seed)
+        self.submitted = {}
         self.away = [name for name, r in self.fleet.routers.items() if inside(r.site.place, self.cut.source)]
 
     def chosen(self, site, number):
@@ -28,7 +33,8 @@
 
     def run(self):
         """Figures of the cut and of the return."""
-        fleet, away = self.fleet, set(self.away)
+        fleet = self.fleet
+        away = set(self.away)
         fleet.start_filled()
         fleet.run(SETTLE_S)
         fleet.set_cuts([self.cut])
--- a/brookhinge/standin/capacity/layout.py
+++ b/brookhinge/standin/capacity/layout.py
@@ -8,7 +8,8 @@
 from brookhinge.operator import OperatorError, read_file
 from brookhinge.operator.capacity import MOST_SITES, Capacity
 
-ROUTER_NET, CONTROL_NET = "127.1", "127.2"
+ROUTER_NET = "127.1"
+CONTROL_NET = "127.2"
 
 
 class Site(NamedTuple):
@@ -53,7 +54,8 @@
 
     def site_of(self, host):
         """The index of the site at which a loopback address stands."""
-        net, number = host.rsplit(".", 2)[0], int(host.rsplit(".", 2)[1])
+        net = host.rsplit(".", 2)[0]
+        number = int(host.rsplit(".", 2)[1])
         if net == CONTROL_NET:
             return self.site_of_place[self.capacity.controls[number - 1].site]
         return number - 1
@@ -65,7 +67,8 @@
 
     def delay_s(self, source, target):
         """Seconds one way between two sites, by index, on the mean."""
-        a, b = self.sites[source], self.sites[target]
+        a = self.sites[source]
+        b = self.sites[target]
         capacity = self.capacity
         if a.index == b.index:
             return capacity.site_ms / 1000.0
--- a/brookhinge/standin/capacity/links.py
+++ b/brookhinge/standin/capacity/links.py
@@ -14,7 +14,8 @@
     """Links from one site. `copies(host)` gives the delay of each copy of a datagram that arrives: none, one or two."""
 
     def __init__(self, layout, site, seed):
-        self.layout, self.site = layout, site
+        self.layout = layout
+        self.site = site
         self.chance = random.Random(f"links {seed} {site}")
         self.delays = [layout.delay_s(site, target.index) for target in layout.sites]
         self.closed = [False] * len(layout.sites)
@@ -30,7 +31,8 @@
         target = self.site_of_host.get(host)
         if target is None:
             target = self.site_of_host[host] = self.layout.site_of(host)
-        capacity, chance = self.layout.capacity, self.chance
+        capacity = self.layout.capacity
+        chance = self.chance
         if self.closed[target] or chance.random() < capacity.loss:
             return ()
         mean = self.delays[target]
@@ -72,9 +74,12 @@
     """A datagram transport whose datagrams take the links. Bytes are counted as sent also where the link loses them."""
 
     def __init__(self, transport, links, traffic):
-        self.transport, self.links, self.traffic = transport, links, traffic
+        self.transport = transport
+        self.links = links
+        self.traffic = traffic
         self.loop = asyncio.get_running_loop()
-        self.under_way, self.closing = 0, False
+        self.under_way = 0
+        self.closing = False
 
     def sendto(self, data, address):
         """Sends over the link to the site of that address."""
--- a/brookhinge/standin/capacity/logged.py
+++ b/brookhinge/standin/capacity/logged.py
@@ -31,7 +31,7 @@
     SetCuts,
     StartControl,
 )
-from brookhinge.standin.capacity.worker import LagWatch, resident_bytes
+from brookhinge.standin.capacity.process_gauges import LoopLag, resident_bytes
 
 PROOF_S = 3.0  # as the operator's file has it by default
 KNOWN_S = 1.2  # by then a source knows that a purge is in force everywhere, or names who is missing
@@ -151,7 +151,7 @@
     def __init__(self, setup):
         layout = Layout(setup.capacity, setup.routers)
         control = layout.capacity.controls[setup.control]
-        self.name, self.traffic, self.lag = control.name, Traffic(), LagWatch()
+        self.name, self.traffic, self.lag = control.name, Traffic(), LoopLag()
         site = layout.site_of_place[control.site]
         self.links = Links(layout, site, f"{setup.seed} {control.name}")
         blocks = control_blocks(layout, setup.controls)
--- a/brookhinge/standin/capacity/measure.py
+++ b/brookhinge/standin/capacity/measure.py
@@ -6,7 +6,9 @@
 
 SAME_MOMENT_S = 1e-9
 KNOWN_S = 1.2  # by then a source is to know that a purge is in force everywhere, or to name who is missing
-STALE, PROVEN = "STALE", "PROVEN"  # rules of the purge log (purgelog.subscriber.CopyRule)
+# rules of the purge log (purgelog.subscriber.CopyRule)
+STALE = "STALE"
+PROVEN = "PROVEN"
 SETS_ASIDE = (STALE, "ASIDE", "DROP")  # from these on no copy from before is used
 NO_RULES = MappingProxyType({})
 EXACT = (PROVEN, "READMIT", "DROP")  # these end the time after a cut in which copies are set aside
@@ -96,7 +98,10 @@
     since    router -> when it last started; None: not up
     until    a purge that bound later than so many seconds after it was told counts as missed
     rules    router -> (moment, CopyRule) of the purge log"""
-    last, known, missed, expected = [], [], 0, 0
+    last = []
+    known = []
+    missed = 0
+    expected = 0
     for record in records.values():
         routers = [name for name, at in since.items() if at is not None and at < record.submitted]
         expected += len(routers)
@@ -145,7 +150,8 @@
 
 def set_aside(rules):
     """Whether copies are set aside, or none is used, after these rules."""
-    stale, aside = True, False
+    stale = True
+    aside = False
     for _, rule in rules:
         stale = rule == STALE or stale and rule != PROVEN
         aside = rule == "ASIDE" or aside and rule not in ("READMIT", "DROP")
--- a/brookhinge/standin/capacity/page.py
+++ b/brookhinge/standin/capacity/page.py
@@ -11,7 +11,9 @@
 LAYOUT = results.ROOT / "deploy" / "capacity.hcl"
 NOT_MEASURED = "not measured"
 TITLES = {PEERS: "before (notices among peers)", LOG: "now (purge log)"}
-REQUESTS_S, BITS_S = 590_000, 3.2e12  # of the whole fleet at the peak
+# of the whole fleet at the peak
+REQUESTS_S = 590_000
+BITS_S = 3.2e12
 OBJECTS = 450_000_000
 LARGEST_SIZE = 100_000  # up to which the slopes are followed
 
@@ -166,7 +168,8 @@
         values = sorted(value for value in values if value is not None)
         if not values:
             return NOT_MEASURED
-        middle, worst = values[len(values) // 2], values[-1]
+        middle = values[len(values) // 2]
+        worst = values[-1]
         over = " **over**" if worst > wanted.most else ""
         return f"{number(middle)}, {number(worst)} ({len(values)} runs){over}"
 
@@ -301,8 +304,10 @@
         lines = ["## One real router (on the rig, loopback)", ""]
         if not rows:
             return [*lines, NOT_MEASURED]
-        phases, routers = rows[-1]["phases"], self.size
-        need_queries, need_gbit = REQUESTS_S / routers, BITS_S / routers / 1e9
+        phases = rows[-1]["phases"]
+        routers = self.size
+        need_queries = REQUESTS_S / routers
+        need_gbit = BITS_S / routers / 1e9
         for name in ("small", "large"):
             figures = phases[name]
             lines.append(
@@ -331,7 +336,8 @@
     def failures(self):
         """Shared fates by the layout, and what is left to carry the peak."""
         sites = self.layout.sites
-        zones, regions = {}, {}
+        zones = {}
+        regions = {}
         for site in sites:
             zones[site.zone] = zones.get(site.zone, 0) + site.routers
             regions[site.region] = regions.get(site.region, 0) + site.routers
@@ -461,10 +467,12 @@
 
 def breaking_size(found, most):
     """The sizes from 1 to 100,000 at which a fitted cost is over, as a text."""
-    least, largest = found.at(1) > most, found.at(LARGEST_SIZE) > most
+    least = found.at(1) > most
+    largest = found.at(LARGEST_SIZE) > most
     if least == largest:
         return "any" if least else "none up to 100,000"
-    low, high = 1, LARGEST_SIZE
+    low = 1
+    high = LARGEST_SIZE
     while high - low > 1:
         middle = (low + high) // 2
         low, high = (middle, high) if (found.at(middle) > most) == least else (low, middle)
--- a/brookhinge/standin/capacity/router.py
+++ b/brookhinge/standin/capacity/router.py
@@ -11,9 +11,14 @@
 from brookhinge.standin.origin import Origin
 from brookhinge.standin.rig import Rig
 
-CALLERS, ASKED_AT_ONCE = 4, 2  # connections, and queries open on each
-SMALL, LARGE = (5_000, 5_000), (200_000, 200_000)  # bytes of an object, least and most
-OBJECTS, MEASURED_S = 50, 6.0
+# connections, and queries open on each
+CALLERS = 4
+ASKED_AT_ONCE = 2
+# bytes of an object, least and most
+SMALL = (5_000, 5_000)
+LARGE = (200_000, 200_000)
+OBJECTS = 50
+MEASURED_S = 6.0
 FRESH_OBJECTS = 10_000
 PATIENCE_MS = 2_900
 
@@ -74,7 +79,8 @@
 
 async def load(rig, end, streams, size_kb):
     """Asks over several connections; a Tally."""
-    tally, callers = Tally(), [await rig.caller("n1") for _ in range(CALLERS)]
+    tally = Tally()
+    callers = [await rig.caller("n1") for _ in range(CALLERS)]
     asking = [
         ask_until(callers[k % CALLERS], stream, end, tally, size_kb) for k, stream in enumerate(streams)
     ]
@@ -94,9 +100,11 @@
             size_kb = size[1] / 1000.0
             streams = [again_and_again("a", 7 * k) for k in range(CALLERS * ASKED_AT_ONCE)]
             await load(rig, time.monotonic() + 2.0, streams, size_kb)  # the cache servers fill
-            before, began = process.processor_s(), time.monotonic()
+            before = process.processor_s()
+            began = time.monotonic()
             tally = await load(rig, began + MEASURED_S, streams, size_kb)
-            spent, elapsed = process.processor_s() - before, time.monotonic() - began
+            spent = process.processor_s() - before
+            elapsed = time.monotonic() - began
     gbit = tally.body_bytes * 8 / 1e9
     return {
         "object_bytes": size[1],
@@ -115,7 +123,8 @@
     with tempfile.TemporaryDirectory(prefix="capacity-") as folder:
         async with Rig(folder, routers=1, boxes=servers) as rig:
             process = RouterProcess(rig.processes["n1"].pid)
-            at_ready, descriptors = process.memory_bytes(), process.descriptors()
+            at_ready = process.memory_bytes()
+            descriptors = process.descriptors()
             end = time.monotonic() + 60.0
             fresh = [f"b{number:015x}" for number in range(FRESH_OBJECTS)]
             count = CALLERS * ASKED_AT_ONCE
--- a/brookhinge/standin/capacity/runs.py
+++ b/brookhinge/standin/capacity/runs.py
@@ -25,7 +25,8 @@
 SIZES = (66, 132, 265, 530, 1060)
 LARGEST_ON_SOCKETS = {PEERS: 132, LOG: 530}  # what half of a machine with 8 cores carries
 SEEDS = (7, 8, 9)
-SHORT_SOCKETS, SHORT_VIRTUAL = 66, (132, 530)
+SHORT_SOCKETS = 66
+SHORT_VIRTUAL = (132, 530)
 SHORT = Durations(settle=2.0, idle=2.0, ordinary=3.0, burst=0.0)
 STANDARD = Durations(settle=4.0, idle=4.0, ordinary=6.0, burst=3.0)
 VIRTUAL = Durations(settle=4.0, idle=3.0, ordinary=4.0, burst=2.0)
@@ -123,7 +124,8 @@
 
 async def play_jobs(plan, jobs, keep=lambda rows: None):
     """Virtual runs, a few at a time; rows in the order of the jobs."""
-    loop, rows = asyncio.get_running_loop(), []
+    loop = asyncio.get_running_loop()
+    rows = []
     with ProcessPoolExecutor(VIRTUAL_AT_ONCE, max_tasks_per_child=1, mp_context=SPAWN) as pool:
         for done in asyncio.as_completed([loop.run_in_executor(pool, play_virtually, job) for job in jobs]):
             row = await done
--- a/brookhinge/standin/capacity/scenario.py
+++ b/brookhinge/standin/capacity/scenario.py
@@ -40,7 +40,9 @@
 
     def __init__(self, stage, mechanism, seed, durations, tell=lambda line: None):
         self.mechanism = mechanism
-        self.stage, self.durations, self.tell = stage, durations, tell
+        self.stage = stage
+        self.durations = durations
+        self.tell = tell
         self.work = Work(stage.layout, seed)
         self.phases = {}
 
@@ -57,7 +59,8 @@
     async def measured(self, name, seconds, purges, more=None, quiet_s=ARRIVAL_S):
         """One phase of so many seconds with those purges, and figures of their arrival `quiet_s` later."""
         stage = self.stage
-        before, control_before = await stage.counters(), await stage.control_counters()
+        before = await stage.counters()
+        control_before = await stage.control_counters()
         for planned in purges:
             stage.plan(planned.at_s, stage.purge, planned)
         await stage.wait(seconds)
--- a/brookhinge/standin/capacity/stage.py
+++ b/brookhinge/standin/capacity/stage.py
@@ -27,7 +27,8 @@
     def __init__(self, layout, seed, mechanism, tell):
         self.layout = layout
         self.fleet = FleetProcesses(layout, seed, mechanism, tell)
-        self.tasks, self.samples = [], {}
+        self.tasks = []
+        self.samples = {}
         self.lag_s = self.phase_lag_s = 0.0
 
     async def __aenter__(self):
@@ -157,7 +158,8 @@
     kind = "virtual"
 
     def __init__(self, fleet):
-        self.fleet, self.layout = fleet, fleet.layout
+        self.fleet = fleet
+        self.layout = fleet.layout
 
     async def __aenter__(self):
         self.fleet.start_filled()
--- a/brookhinge/standin/capacity/virtual_log.py
+++ b/brookhinge/standin/capacity/virtual_log.py
@@ -12,7 +12,8 @@
 from brookhinge.standin.capacity.measure import Counters
 from brookhinge.standin.capacity.virtual import Address, Endpoint, PeerFleet
 
-LOG_PORT, CONTROL_PORT = 2, 3
+LOG_PORT = 2
+CONTROL_PORT = 3
 PROCESS_BITS = 31  # as in purgelog.client
 
 
@@ -153,7 +154,9 @@
             )
             for k, control in enumerate(layout.capacity.controls)
         ]
-        self.controls, self.control_starts, self.told = {}, 0, {}
+        self.controls = {}
+        self.control_starts = 0
+        self.told = {}
 
     def start_filled(self):
         """Starts the control machines, then all routers."""
--- a/brookhinge/standin/capacity/work.py
+++ b/brookhinge/standin/capacity/work.py
@@ -34,7 +34,9 @@
 
     def __init__(self, layout, seed):
         self.drains = 0
-        self.layout, self.chance, self.purges = layout, random.Random(f"work {seed}"), 0
+        self.layout = layout
+        self.chance = random.Random(f"work {seed}")
+        self.purges = 0
         self.sites = [site for site in layout.sites if site.routers]
         self.control_sites = [layout.site_of_place[control.site] for control in layout.capacity.controls]
 
@@ -58,7 +60,8 @@
 
     def steady(self, seconds, avoid=()):
         """Purges at the rate of the layout, at moments that do not know of each other."""
-        planned, at_s = [], 0.0
+        planned = []
+        at_s = 0.0
         while self.layout.capacity.purges_s > 0:
             at_s += self.chance.expovariate(self.layout.capacity.purges_s)
             if at_s >= seconds:
--- a/brookhinge/standin/capacity/worker.py
+++ b/brookhinge/standin/capacity/worker.py
@@ -37,8 +37,8 @@
     read_command,
     write,
 )
+from brookhinge.standin.capacity.process_gauges import LoopLag, resident_bytes
 
-LAG_STEP_S = 0.05  # the event loop's lateness is looked at so often
 LONGEST_COMMAND = 64 << 20
 PR_SET_PDEATHSIG = 1  # of Linux: a signal to this process when its parent dies, also while it is stopped
 
@@ -51,31 +51,6 @@
         pass
 
 
-def resident_bytes():
-    """Bytes of memory that this process holds now."""
-    with open("/proc/self/statm") as file:
-        return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
-
-
-class LagWatch:
-    """Notes by how much the event loop of this process was late at most."""
-
-    def __init__(self):
-        self.lag_s = 0.0
-
-    def take(self):
-        """The most since it was last asked for."""
-        lag_s, self.lag_s = self.lag_s, 0.0
-        return lag_s
-
-    async def run(self):
-        """Looks at it for good."""
-        while True:
-            due = time.monotonic() + LAG_STEP_S
-            await asyncio.sleep(LAG_STEP_S)
-            self.lag_s = max(self.lag_s, time.monotonic() - due)
-
-
 class SiteProcess:
     """All routers of one site, and the commands that they take."""
 
@@ -87,8 +62,10 @@
             HollowRouter(self.layout, self.site, number, setup.seed, make_client)
             for number in range(self.site.routers)
         ]
-        self.submitted, self.tasks = {}, set()
-        self.memory_at_start, self.lag = resident_bytes(), LagWatch()
+        self.submitted = {}
+        self.tasks = set()
+        self.memory_at_start = resident_bytes()
+        self.lag = LoopLag()
         self.handlers = {
             StartRouters: self.start_routers,
             Fill: self.fill,
@@ -226,6 +203,7 @@
     """Makes the purge log's client of a router, where there is a log."""
     if not setup.controls:
         return None
+
     from brookhinge.standin.capacity.logged import CountedClient, control_blocks
 
     return functools.partial(CountedClient, control_blocks(layout, setup.controls))
@@ -235,6 +213,7 @@
     """The process that the setup names."""
     if setup.control < 0:
         return SiteProcess(setup)
+
     from brookhinge.standin.capacity.logged import ControlProcess
 
     return ControlProcess(setup)
--- a/brookhinge/standin/channel.py
+++ b/brookhinge/standin/channel.py
@@ -10,8 +10,14 @@
     whole list as it stands and nothing of what came before."""
 
     def __init__(self, hosts=()):
-        self.hosts, self.events, self.last, self.news = {h["host"]: h for h in hosts}, [], 1, asyncio.Event()
-        self.polls, self.server, self.writers, self.deaf = [], None, set(), False
+        self.hosts = {h["host"]: h for h in hosts}
+        self.events = []
+        self.last = 1
+        self.news = asyncio.Event()
+        self.polls = []
+        self.server = None
+        self.writers = set()
+        self.deaf = False
 
     async def listen(self, host="127.0.0.1", port=0):
         self.server = await asyncio.start_server(self.serve, host, port)
@@ -50,7 +56,8 @@
         try:
             while words := (await reader.readuntil(b"\r\n\r\n")).decode().split():
                 asked = dict(pair.split("=") for pair in words[1].partition("?")[2].split("&"))
-                resume, until = int(asked["resume"]), time.monotonic() + int(asked["block"]) / 1000
+                resume = int(asked["resume"])
+                until = time.monotonic() + int(asked["block"]) / 1000
                 self.polls.append(resume)
                 del self.polls[:-100]
                 while self.deaf or 0 < resume == self.last and time.monotonic() < until:
--- a/brookhinge/standin/load.py
+++ b/brookhinge/standin/load.py
@@ -9,15 +9,21 @@
     every query is a fill. kinds: {router: {satisfied, nacked, errored, lost: how many}}."""
 
     def __init__(self, rig, rates, seed=5, objects=1 << 48, patience_ms=1900):
-        self.rig, self.rates, self.kinds, self.going, self.chance = rig, rates, {}, [], random.Random(seed)
-        self.objects, self.patience_ms = objects, patience_ms
+        self.rig = rig
+        self.rates = rates
+        self.kinds = {}
+        self.going = []
+        self.chance = random.Random(seed)
+        self.objects = objects
+        self.patience_ms = patience_ms
 
     async def __aenter__(self):
         self.going = [asyncio.ensure_future(self.call(name, rate)) for name, rate in self.rates.items()]
         return self
 
     async def call(self, name, rate):
-        caller, asking = None, set()
+        caller = None
+        asking = set()
         while True:
             await asyncio.sleep(1.0 / rate * (0.5 + self.chance.random()))
             try:
--- a/brookhinge/standin/lognet.py
+++ b/brookhinge/standin/lognet.py
@@ -18,7 +18,8 @@
 from brookhinge.purgelog.subscriber import CopyRule, Subscriber
 
 PROOF_S = 3.0
-KEY, SITE = b"k" * 16, "virtual"
+KEY = b"k" * 16
+SITE = "virtual"
 WATCH_S = 0.05  # between two looks of a source at the progress of its entries
 
 
@@ -26,9 +27,14 @@
     """One purge of a run: when it was appended, when each router applied it, when its source knew."""
 
     def __init__(self, machine, position, entry, at):
-        self.machine, self.position, self.entry, self.at = machine, position, entry, at
+        self.machine = machine
+        self.position = position
+        self.entry = entry
+        self.at = at
         self.applied = {}
-        self.known_at, self.outcome, self.missing = math.inf, Outcome.PENDING, []
+        self.known_at = math.inf
+        self.outcome = Outcome.PENDING
+        self.missing = []
 
     @property
     def known_s(self):
@@ -43,9 +49,16 @@
     """One process: a core, its codec, and its clock's offset."""
 
     def __init__(self, net, name, number):
-        self.net, self.name, self.number = net, name, number
+        self.net = net
+        self.name = name
+        self.number = number
         self.address = ("10.0.0.1", number)
-        self.up, self.frozen, self.offset, self.starts, self.due, self.inbox = True, False, 0.0, 0, None, []
+        self.up = True
+        self.frozen = False
+        self.offset = 0.0
+        self.starts = 0
+        self.due = None
+        self.inbox = []
         self.rules = []
 
     def clock(self):
@@ -90,12 +103,23 @@
     ):
         """delay(a, b): seconds one way between two hosts by name; encoded: datagrams are written and read as in service,
         and their bytes are counted."""
-        self.seed, self.loss, self.double, self.encoded, self.proof_s = seed, loss, double, encoded, proof_s
+        self.seed = seed
+        self.loss = loss
+        self.double = double
+        self.encoded = encoded
+        self.proof_s = proof_s
         self.delay = delay or (lambda a, b: 0.02)
-        self.region, serves = region or (lambda name: ""), serves or {}
-        self.chance, self.now, self.queue, self.serial = random.Random(seed), 0.0, [], 0
+        self.region = region or (lambda name: "")
+        serves = serves or {}
+        self.chance = random.Random(seed)
+        self.now = 0.0
+        self.queue = []
+        self.serial = 0
         self.cut = lambda a, b: False
-        self.hosts, self.purges, self.watched, self.watch_at = {}, {}, [], 0.0
+        self.hosts = {}
+        self.purges = {}
+        self.watched = []
+        self.watch_at = 0.0
         self.datagrams = 0
         self.machines = [
             Machine(f"c{k + 1}", ("10.0.0.1", k + 1), self.region(f"c{k + 1}"), serves.get(k, ()))
@@ -113,10 +137,15 @@
     def start(self, host):
         """Starts a host, or starts it anew with nothing in its memory."""
         host.starts += 1
-        host.up, host.frozen, host.inbox, host.due = True, False, [], None
+        host.up = True
+        host.frozen = False
+        host.inbox = []
+        host.due = None
         host.process = host.boot()
         host.codec = Codec(SITE, KEY, host.process) if self.encoded else None
-        host.rules, host.applied, host.started_at = [], set(), self.now
+        host.rules = []
+        host.applied = set()
+        host.started_at = self.now
         now = host.clock()
         if host.number <= len(self.machines):
             host.core = ControlNode(host.number - 1, self.machines, host.process, self.proof_s, now)
@@ -167,7 +196,8 @@
 
     def run(self, seconds, until=None):
         """Goes on for so long, or until until() holds; the seconds that it took, or None."""
-        began, end = self.now, self.now + seconds
+        began = self.now
+        end = self.now + seconds
         while self.queue and self.queue[0][0] <= end:
             at, _, host, starts, datagram = heapq.heappop(self.queue)
             self.now = at
@@ -205,7 +235,8 @@
                 continue
             outcome, purge.missing = host.core.progress(host.clock(), purge.position)
             if outcome != Outcome.PENDING:
-                purge.known_at, purge.outcome = self.now, outcome
+                purge.known_at = self.now
+                purge.outcome = outcome
                 self.watched.remove(purge)
 
     # what happens
@@ -230,7 +261,9 @@
         host.frozen = True
 
     def thaw(self, host):
-        host.frozen, inbox, host.inbox = False, host.inbox, []
+        host.frozen = False
+        inbox = host.inbox
+        host.inbox = []
         for address, datagram in inbox:
             self.deliver(host, address, datagram)
         self.wake(host)
--- a/brookhinge/standin/ports.py
+++ b/brookhinge/standin/ports.py
@@ -11,7 +11,8 @@
 from pathlib import Path
 
 LOCALHOST = "127.0.0.1"
-LOWEST_PORT, USUAL_FIRST_EPHEMERAL_PORT = 12000, 32768
+LOWEST_PORT = 12000
+USUAL_FIRST_EPHEMERAL_PORT = 32768
 RESERVED = set()  # handed out by this process, maybe not bound yet
 
 
