--- a/brookhinge/cli/store.py
+++ b/brookhinge/cli/store.py
@@ -24,7 +24,7 @@
 
 
 def open_store(folder: str) -> OpenedStore:
-    """Opens and so locks the store in a folder; exits if it is no store or in use, and creates none."""
+    """Open and so lock the store in a folder; exit if it is no store or in use, and create none."""
     from brookhinge.store import DiskTier, StoreUnusableError
     from brookhinge.store.files import Files
     from brookhinge.store.folder_layout import STORE_FILE
@@ -51,7 +51,11 @@
 def _inspect_segment_files(folder: str) -> tuple[list[int], list[tuple[str, str]]]:
     """Sizes of the segment files, and those whose header can't be read with the reason."""
     from brookhinge.store.errors import DamagedError, UnsupportedVersionError
-    from brookhinge.store.file_format import FILE_HEADER_BYTES, FileKind, decode_file_header
+    from brookhinge.store.file_format import (
+        FILE_HEADER_BYTES,
+        FileKind,
+        decode_file_header,
+    )
 
     sizes = []
     damaged_headers = []
--- a/brookhinge/engine/client_events.py
+++ b/brookhinge/engine/client_events.py
@@ -16,7 +16,7 @@
 from brookhinge.engine.responses import FinalResponses
 
 if TYPE_CHECKING:
-    from brookhinge.decide import Router
+    from brookhinge.decisions.router import Router
 
 
 class ClientEvents:
--- a/brookhinge/engine/decision_sink.py
+++ b/brookhinge/engine/decision_sink.py
@@ -22,7 +22,7 @@
 from brookhinge.engine.responses import FinalResponses
 
 if TYPE_CHECKING:
-    from brookhinge.decide import Router
+    from brookhinge.decisions.router import Router
 
 
 class EngineSink:
@@ -97,7 +97,7 @@
             left_s=request.deadline - now,
             timeout_s=attempt.deadline - now,
             max_age_s=attempt.max_age_s,
-            work_s=self.decisions.sending[request.request_class],
+            work_s=self.decisions.mean_transfer_s(request.request_class),
         )
         violation = self.invariants.check_attempt(now, request, self.class_of(request), planned)
         if violation is not None:
--- a/brookhinge/engine/fleet_events.py
+++ b/brookhinge/engine/fleet_events.py
@@ -11,7 +11,7 @@
 from brookhinge.engine.records import Records
 
 if TYPE_CHECKING:
-    from brookhinge.decide import Router
+    from brookhinge.decisions.router import Router
     from brookhinge.membership.safety_notices import SafetyNotices
 
 # Kinds of entries of the purge log: brookhinge/purgelog/messages.py.
--- a/brookhinge/standin/sharing.py
+++ b/brookhinge/standin/sharing.py
@@ -1,7 +1,7 @@
 """A fleet of routers that share limits and verdicts, or nothing, among modelled boxes in simulated time: the daemon's state,
 decisions and cores; wires and the news of the view are stood in for."""
 
-from brookhinge.decide import Router
+from brookhinge.decisions.router import Router
 from brookhinge.decisions.settings import (
     DeduplicationScope,
     FillPolicy,
@@ -18,6 +18,7 @@
 from brookhinge.limits.limits import Limits
 from brookhinge.limits.shared import Sharing
 from brookhinge.membership.claims import Claim, MemberState
+from brookhinge.membership.core import CoreContext
 from brookhinge.membership.messages import CoreMessage
 from brookhinge.membership.safety_notices import SafetyNotices
 from brookhinge.membership.view import MembershipView
@@ -85,7 +86,6 @@
                     parent_slow_start=SlowStart(1.0, 0.0, 0.0, 1.0),
                     purge_settled_s=6.0,
                     server_kinds=("parent", "origin"),
-                    reports=[],
                 ),
                 [b"pages"],
                 ["hub", "edge"],
@@ -99,21 +99,21 @@
             for k in range(routers):
                 claim = Claim(f"n{k}", k + 1, 1, 1, MemberState.ALIVE, "h", k + 1, "z", 1, 0.0)
                 view.apply(0.0, claim, "n0")
-            state, own = self.routers[n], self.routers[n].decisions.fleet
+            state, own = self.routers[n], self.routers[n].decisions.endpoints
             self.views.append(view)
+            context = CoreContext(view, f"n{n}", "z", 1)
             self.writers.append(Writer(self, n))
             self.cores.append(
                 [
-                    Limits(view, f"n{n}", "z", 1, lambda: (routers, routers), state.fleet.demand, -60.0),
+                    Limits(
+                        context, fleet_size=lambda: (routers, routers), demand=state.fleet.demand, now=-60.0
+                    ),
                     OutlierDetection(
-                        view,
-                        f"n{n}",
-                        "z",
-                        1,
-                        lambda: routers,
-                        state.fleet.seen,
-                        lambda own=own: len(own.own),
-                        0.0,
+                        context,
+                        routers=lambda: routers,
+                        own_totals=state.fleet.seen,
+                        servers=lambda own=own: len(own.local_caches),
+                        now=0.0,
                     ),
                 ]
             )
