--- a/brookhinge/engine/attempts.py
+++ b/brookhinge/engine/attempts.py
@@ -69,9 +69,10 @@
         if result not in rules.NEVER_RAN and request.first_ran is None:
             facts = self.invariants.facts(request.server)
             request.first_ran = Ran(facts.zone, facts.cell, request.sent_at)
-        self.context.trace(
-            "attempt ended", request, attempt=request.attempts, server=request.server, result=result
-        )
+        if self.context.is_traced:
+            self.context.trace(
+                "attempt ended", request, attempt=request.attempts, server=request.server, result=result
+            )
 
     def end_message(
         self, request: OpenRequest, result: AttemptResult, *, is_final: bool
--- a/brookhinge/engine/client_events.py
+++ b/brookhinge/engine/client_events.py
@@ -103,14 +103,15 @@
         self.clients.add_request(call.client, call.number, request.request_id)
         self.totals.counts["queries"] += 1
         left_s = request.deadline - self.context.now
-        self.context.trace(
-            "taken",
-            request,
-            client=call.client,
-            number=call.number,
-            kind=call.class_name.decode(),
-            left_s=left_s,
-        )
+        if self.context.is_traced:
+            self.context.trace(
+                "taken",
+                request,
+                client=call.client,
+                number=call.number,
+                kind=call.class_name.decode(),
+                left_s=left_s,
+            )
         arrival = RequestArrived(
             request_id=request.request_id,
             request_class=request_class,
--- a/brookhinge/engine/coalescing.py
+++ b/brookhinge/engine/coalescing.py
@@ -96,7 +96,9 @@
 
     def release_followers(self, leader: int) -> list[OpenRequest]:
         """The open followers of a request; they follow it no longer."""
-        followers = self.followers.pop(leader, ())
+        followers = self.followers.pop(leader, None)
+        if not followers:
+            return []
         return [
             self.requests.open[request_id] for request_id in followers if request_id in self.requests.open
         ]
--- a/brookhinge/engine/decision_sink.py
+++ b/brookhinge/engine/decision_sink.py
@@ -70,16 +70,17 @@
         request.server = attempt.server
         request.fill_from = attempt.fill_from
         request.sent_at = self.context.now
-        self.context.trace(
-            "attempt",
-            request,
-            attempt=request.attempts,
-            server=attempt.server,
-            source=attempt.fill_from,
-            patience_s=deadline - self.context.now,
-            oldest_s=attempt.max_age_s,
-            after=request.last_result,
-        )
+        if self.context.is_traced:
+            self.context.trace(
+                "attempt",
+                request,
+                attempt=request.attempts,
+                server=attempt.server,
+                source=attempt.fill_from,
+                patience_s=deadline - self.context.now,
+                oldest_s=attempt.max_age_s,
+                after=request.last_result,
+            )
         self.totals.counts["pushes"] += 1
         self.attempts.set_timer(request, deadline)
         self.context.emit(self.effect(request, attempt, deadline))
