--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -14,7 +14,7 @@
 from brookhinge.decisions.router import Router
 from brookhinge.engine.effects import NotifyPeers
 from brookhinge.engine.events import Event
-from brookhinge.engine.reducer import Reducer
+from brookhinge.engine.router_state import RouterState
 from brookhinge.startup import Site
 
 if TYPE_CHECKING:
@@ -72,7 +72,7 @@
         controls: dict[str, Control],
         *,
         site: Site,
-        reducer: Reducer,
+        state: RouterState,
         post: Callable[[Event], None],
         log: Callable[..., None],
     ) -> None:
@@ -81,7 +81,7 @@
         place = site.decisions.location
         configured_sizes = (place.routers_here, place.routers)
         self._fleet = fleet
-        self._reducer = reducer
+        self._state = state
         self._log = log
         self._talk: UdpTransport = UdpTransport(fleet, site.seed, configured_sizes, post, log)
         self._purge_log: LogClient | None = None
@@ -102,7 +102,7 @@
             lambda talk, now: Limits(
                 talk.core_context(),
                 fleet_size=lambda: talk.fleet_size,
-                demand=self._reducer.demand,
+                demand=self._state.fleet.demand,
                 now=now,
             )
         )
@@ -113,7 +113,7 @@
         self._talk.add(
             lambda talk, now: WarmStart(
                 talk.core_context(),
-                known_rows=self._reducer.router.memory,
+                known_rows=self._state.decisions.memory,
                 now=now,
             )
         )
@@ -121,12 +121,12 @@
     def _share_outlier_evidence(self) -> None:
         from brookhinge.verdicts.outlier_detection import OutlierDetection
 
-        servers = self._reducer.router.endpoints
+        servers = self._state.decisions.endpoints
         self._talk.add(
             lambda talk, now: OutlierDetection(
                 talk.core_context(),
                 routers=lambda: talk.fleet_size.in_zone,
-                own_totals=self._reducer.seen,
+                own_totals=self._state.fleet.seen,
                 servers=lambda: len(servers.local_caches),
                 now=now,
             )
