--- a/brookhinge/membership/codec.py
+++ b/brookhinge/membership/codec.py
@@ -83,6 +83,10 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
+class UnreadableDatagramError(ValueError):
+    """A datagram of a known sender that breaks the protocol."""
+
+
 class DatagramOutcome(enum.StrEnum):
     """What became of a datagram; the values are labels of a metric."""
 
@@ -231,7 +235,7 @@
         """Decode a datagram, or return None; of another version only claims and probes are read."""
         try:
             outcome, received = self._decode(data)
-        except (msgspec.DecodeError, msgspec.ValidationError, ValueError, zlib.error):
+        except (msgspec.DecodeError, ValueError, zlib.error):  # a text that is no UTF-8 is a ValueError
             outcome = DatagramOutcome.UNREADABLE
             received = None
         self.counts[outcome] += 1
@@ -241,7 +245,8 @@
         """Decode a datagram.
 
         Raises:
-            ValueError: something in it is of another type, length or size than the protocol has.
+            UnreadableDatagramError: something in it is of another type, length or size than the protocol has.
+            msgspec.DecodeError: it is no MessagePack, or of another shape.
             zlib.error: its compressed claims are none.
         """
         if not MIN_DATAGRAM_BYTES <= len(data) <= MAX_DATAGRAM_BYTES:
@@ -275,11 +280,11 @@
         updates = decompress_claims(values)
         message = message_type()
     elif message_type is None:
-        raise ValueError(f"expected a known message, got {name!r}")
+        raise UnreadableDatagramError(f"expected a known message, got {name!r}")
     else:
         message = _make_message(message_type, values)
     if not all(map(is_notice, notices)):
-        raise ValueError("expected notices of short texts and numbers")
+        raise UnreadableDatagramError("expected notices of short texts and numbers")
     return Received(claim, digest, tuple(updates), tuple(notices), message)
 
 
@@ -287,14 +292,18 @@
     """Make a message of its fields.
 
     Raises:
-        ValueError: their number, types or lengths are not the message's.
+        UnreadableDatagramError: their number, types or lengths are not the message's.
     """
     types = tuple(message_type.__annotations__.values())
     if len(values) != len(types) or not all(map(isinstance, values, types)):
-        raise ValueError(f"expected {types} for {message_type.__name__}, got {len(values)} values")
+        raise UnreadableDatagramError(
+            f"expected {types} for {message_type.__name__}, got {len(values)} values"
+        )
     message = message_type(*values)
     if message_type is SyncRequest and len(message.digests) != BUCKET_DIGESTS_BYTES:
-        raise ValueError(f"expected {BUCKET_DIGESTS_BYTES} bytes of digests, got {len(message.digests)}")
+        raise UnreadableDatagramError(
+            f"expected {BUCKET_DIGESTS_BYTES} bytes of digests, got {len(message.digests)}"
+        )
     return message
 
 
@@ -302,16 +311,16 @@
     """Decode the claims of a compressed message.
 
     Raises:
-        ValueError: they are torn, too many or not sound.
+        UnreadableDatagramError: they are torn, too many or not sound.
         zlib.error: they are not compressed.
     """
     if len(values) != 1 or not isinstance(values[0], bytes):
-        raise ValueError("expected one field of bytes with compressed claims")
+        raise UnreadableDatagramError("expected one field of bytes with compressed claims")
     stream = zlib.decompressobj()
     data = stream.decompress(values[0], MAX_DECOMPRESSED_BYTES)
     claims = _claims_decoder.decode(data)
     if not stream.eof or len(claims) > MAX_COMPRESSED_CLAIMS or not all(map(is_sound, claims)):
-        raise ValueError("expected compressed claims that are whole, few and sound")
+        raise UnreadableDatagramError("expected compressed claims that are whole, few and sound")
     return claims
 
 
