--- a/brookhinge/decisions/beacon_rings.py
+++ b/brookhinge/decisions/beacon_rings.py
@@ -1,6 +1,7 @@
 """Beacon rings: which cache is the home of an object, by load-following sub-ranges.
 
-Source: "Cache Clouds: Cooperative Caching of Dynamic Documents in Edge Networks", section 2.3. Each object has a ring and,
+Source: "Cache Clouds: Cooperative Caching of Dynamic Documents in Edge Networks", section 2.3. Each object
+    has a ring and,
 on it, an IrH value; the beacon point whose sub-range holds that value is its home.
 """
 
@@ -21,11 +22,14 @@
 class BeaconRings:
     """Beacon rings over the location's sorted caches."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.rings: list[BeaconRing] = []
 
     def assign(self, caches: list[int]) -> None:
-        """Pairs the caches, an odd one joins the last ring; a ring with the same points keeps its sub-ranges."""
+        """Pair the caches; a ring with the same points keeps its sub-ranges.
+
+        An odd cache joins the last ring.
+        """
         old = {tuple(ring.points): ring for ring in self.rings}
         count = max(1, len(caches) // 2)
         self.rings = []
@@ -35,7 +39,7 @@
             self.rings.append(old.get(tuple(points)) or BeaconRing(points, ends, [0.0] * IRH_VALUES))
 
     def beacon_order(self, code: int) -> list[int]:
-        """Returns the beacon point of an object, then the others in the order in which they stand in for it."""
+        """Return the beacon point of an object, then the others in the order in which they stand in."""
         if not self.rings:
             return []
         irh = code % IRH_VALUES
@@ -46,12 +50,12 @@
         return [points[i], *rest[start:], *rest[:start]]
 
     def record_load(self, code: int, load: float) -> None:
-        """Counts a request for an object."""
+        """Count a request for an object."""
         if self.rings:
             self.rings[code % len(self.rings)].loads[code % IRH_VALUES] += load
 
     def rebalance(self, capability: Callable[[int], float]) -> None:
-        """Moves the end of each sub-range until its load is near its point's part of the ring's, and begins anew to count.
+        """Move the end of each sub-range until its load is near its part of the ring's load.
 
         A point's part is AptLd = Cp / TotCp x BRingLd of the paper.
         """
@@ -68,7 +72,7 @@
 
 
 def _move_end(ring: BeaconRing, i: int, start: int, surplus: float) -> None:
-    """Moves the end of sub-range `i`, which begins at `start`, by as much load as it has in surplus, or lacks."""
+    """Move the end of sub-range `i`, which begins at `start`, by the load that it has in surplus."""
     _, ends, loads = ring
     moved = 0.0
     while surplus > 0 and ends[i] > start + 1 and moved + loads[ends[i] - 1] <= surplus:
--- a/brookhinge/decisions/concurrency.py
+++ b/brookhinge/decisions/concurrency.py
@@ -1,6 +1,7 @@
 """Concurrency limits: how much may be in flight to each server, and through the location's uplink.
 
-A limit follows the shortest response time of an object over its present one. What other routers have in flight is out of
+A limit follows the shortest response time of an object over its present one. What other routers have in
+flight is out of
 sight: it shows as congestion, the time that responses take beyond their shortest.
 """
 
@@ -38,7 +39,7 @@
 
     __slots__ = ("at", "excess_s", "transfer_s")
 
-    def __init__(self, at: float):
+    def __init__(self, at: float) -> None:
         self.at = at
         self.excess_s = 0.0
         self.transfer_s = 0.0
@@ -47,10 +48,11 @@
 class ConcurrencyLimiter:
     """Concurrency limits of servers and of the uplink. Times are seconds.
 
-    It guards against a full or slowing server; it could harm where response times of one object vary by themselves.
+    It guards against a full or slowing server; it could harm where response times of one object vary by
+    themselves.
     """
 
-    def __init__(self, routers: int):
+    def __init__(self, routers: int) -> None:
         """`routers` is how many share the servers."""
         self.routers = routers
         self.limit: dict[int, float] = {}
@@ -59,12 +61,12 @@
         self.congestion_samples: dict[int, CongestionSample] = {}
 
     def forget(self, c: int) -> None:
-        """Drops what is known of a server: its index belongs to another from here on."""
+        """Drop what is known of a server: its index belongs to another from here on."""
         for figures in (self.limit, self.pace, self.limited_at, self.congestion_samples):
             figures.pop(c, None)
 
     def record_time(self, c: int, now: float, transfer_s: float, excess_s: float) -> None:
-        """Counts what a response took beyond the time that it is held against."""
+        """Count what a response took beyond the time that it is held against."""
         sample = self.congestion_samples.get(c)
         if sample is None:
             sample = self.congestion_samples[c] = CongestionSample(now)
@@ -74,7 +76,10 @@
         sample.transfer_s = sample.transfer_s * decay + transfer_s
 
     def congestion(self, c: int, now: float, default: float = 0.0) -> float:
-        """Returns what responses take beyond their shortest times, as a multiple of those; few are drawn to `default`."""
+        """Return what responses take beyond their shortest times, as a multiple of those.
+
+        Where there are few, the figure is drawn to `default`.
+        """
         sample = self.congestion_samples.get(c)
         if sample is None:
             return default
@@ -84,7 +89,10 @@
     def is_slower_than_peers(
         self, c: int, now: float, peers: Sequence[int], margin: float = 0.5, evidence_s: float = 0.0
     ) -> bool:
-        """Whether a server is far slower than the quicker half of its peers, known by `evidence_s` of transfers at least."""
+        """Whether a server is far slower than the quicker half of its peers.
+
+        It must be known by `evidence_s` seconds of transfers at least.
+        """
         usual = median_of_peers({peer: self.congestion(peer, now) for peer in peers}, c, peers, 0.0)
         if usual is None or self.congestion(c, now) <= margin + 2.0 * usual:
             return False
@@ -105,7 +113,7 @@
         return shed_probability <= 0.0 or chance.random() >= shed_probability
 
     def update_limit(self, c: int, now: float, ratio: float, in_flight: int) -> None:
-        """Takes a response: `ratio` is the shortest over its response time, 0 for one that was shed."""
+        """Take a response: `ratio` is the shortest over its response time, 0 for one that was shed."""
         pace = (1.0 - PACE_SMOOTHING) * self.pace.get(c, 1.0) + PACE_SMOOTHING * ratio
         self.pace[c] = pace
         if now - self.limited_at.get(c, -1.0) < LIMIT_UPDATE_S:
@@ -118,17 +126,18 @@
             self.limit[c] = max(MIN_LIMIT, min(MAX_LIMIT, smoothed))
 
     def current_limit(self, c: int) -> float:
-        """Returns the limit found so far."""
+        """Return the limit found so far."""
         return self.limit.get(c, UNKNOWN_LIMIT)
 
     def share(self, c: int) -> float:
-        """Returns this router's part of what all may have in flight."""
+        """Return this router's part of what all may have in flight."""
         return 1.0 / self.routers
 
     def has_capacity(self, c: int, in_flight: int, share: float, weight: float = 0.0) -> bool:
         """Whether one more may be in flight for who has that share of the limit.
 
-        Where `weight`, the transfers at full pace, is told, congestion shows at once; else the limit is found from low.
+        Where `weight`, the transfers at full pace, is told, congestion shows at once; else the limit is
+        found from low.
         """
         limit = self.limit.setdefault(c, INITIAL_LIMIT if weight or c == UPLINK else UNKNOWN_LIMIT)
         most = weight * (MIN_WEIGHT_SHARE + WEIGHT_SHARE_RANGE * self.share(c)) or MAX_LIMIT
--- a/brookhinge/decisions/eligibility.py
+++ b/brookhinge/decisions/eligibility.py
@@ -31,7 +31,7 @@
         throughput: ThroughputEstimate,
         statistics: ClassStatistics,
         chance: Random,
-    ):
+    ) -> None:
         self._endpoints = endpoints
         self._slow_start = slow_start
         self._concurrency = concurrency
@@ -62,25 +62,33 @@
         return budget.is_warming_up(now, self._endpoints.warming_since[c])
 
     def admits_work(self, c: int, work: float, request: RequestState, now: float) -> bool:
-        """Whether a server is warm, or has budget for so many seconds of transfer; takes them from it if so.
+        """Whether a server is warm, or has budget for so many seconds of transfer; take them from it if so.
 
         Late retries leave half of it to others; who comes when told may borrow.
         """
         budget = self._slow_start[self._endpoints.role[c]]
-        reserve = LATE_RETRY_RESERVE * (1.0 - request.priority_weight)
-        return budget.admits(
-            c,
-            now=now,
-            started_at=self._endpoints.warming_since[c],
-            power=self._throughput.power(c, now),
-            work=work,
-            largest_s=self._statistics.largest_transfer_s(),
-            chance=self._chance,
-            reserve=-SCHEDULED_BORROWING if request.is_scheduled else reserve,
-        )
+        started_at = self._endpoints.warming_since[c]
+        is_admitted = True
+        if budget.is_limited(now, started_at):
+            reserve = LATE_RETRY_RESERVE * (1.0 - request.priority_weight)
+            is_admitted = budget.admits(
+                c,
+                now=now,
+                started_at=started_at,
+                power=self._throughput.power(c, now),
+                work=work,
+                largest_s=self._statistics.largest_transfer_s(),
+                chance=self._chance,
+                reserve=-SCHEDULED_BORROWING if request.is_scheduled else reserve,
+            )
+        budget.record_demand(c, now, work, is_admitted)
+        return is_admitted
 
     def has_capacity(self, c: int, share: float, now: float) -> bool:
-        """Whether a cache can take one more for who has that share of its limit. One always goes where none is out."""
+        """Whether a cache can take one more for who has that share of its limit.
+
+        One always goes where none is out, or nobody would see congestion end.
+        """
         in_flight = self._endpoints.in_flight[c]
         weight = self._throughput.known_weight(c)
         if not self._concurrency.has_capacity(c, in_flight, share, weight):
@@ -88,18 +96,21 @@
         return not in_flight or self._concurrency.admits(c, now, share, self._chance)
 
     def current_holders(self, state: ObjectState, now: float) -> list[int]:
-        """Returns the caches remembered serving a kept copy; forgotten on a restart, a drain, a miss or a purge."""
+        """Return the caches remembered serving a kept copy.
+
+        They are forgotten on a restart, a drain, a miss or a purge.
+        """
+        emptied_at = self._endpoints.emptied_at
+        health = self._endpoints.state
         state.holders = {
             c: at
             for c, at in state.holders.items()
-            if now - at <= HOLDER_TIMEOUT_S
-            and at > self._endpoints.emptied_at[c]
-            and rules.may_send_to(self._endpoints.state[c])
+            if now - at <= HOLDER_TIMEOUT_S and at > emptied_at[c] and rules.may_send_to(health[c])
         }
         return list(state.holders)
 
     def first_upstream(self, request: RequestState, work: float, now: float) -> int | None:
-        """Returns the first usable of the parents in the object's own order over all listed ones; then the origin."""
+        """Return the first usable parent in the object's own order, else the origin, else None."""
         failed = request.failed_servers | request.failed_sources
         for c in self._parent_order(request.object) + self._endpoints.origins:
             if not rules.may_send_to(self._endpoints.state[c]) or c in failed:
@@ -111,7 +122,7 @@
         return None
 
     def local_capacity(self, at: float, now: float) -> float:
-        """Returns the seconds of transfer a second that this router may send to its caches at a time ahead."""
+        """Return the seconds of transfer a second that this router may send its caches at a later time."""
         budget = self._slow_start[ServerRole.CACHE]
         largest_s = self._statistics.largest_transfer_s()
         total = 0.0
--- a/brookhinge/decisions/endpoints.py
+++ b/brookhinge/decisions/endpoints.py
@@ -6,7 +6,8 @@
 from brookhinge.decisions.messages import Endpoint
 from brookhinge.decisions.rules import NEVER, SEND_STATE, event_time, known_event_time
 
-# Seconds after which nothing sent to a server that is gone can still be in flight: its index may be given to another.
+# Seconds after which nothing sent to a server that is gone can still be in flight: its index may be given to
+# another.
 REUSE_AFTER_S = 30.0
 GONE = "gone"
 
@@ -29,7 +30,8 @@
         state: health as last listed; 'gone' for a server that left.
         weight: transfers at full pace, where told.
         started_at: start of the server's process as listed, or None for one that was there from the first.
-        warming_since: since when it counts as started: `started_at`, or when it was listed if that is another clock's time.
+        warming_since: since when it counts as started: `started_at`, or when it was listed if that is
+            another clock's time.
         zone: the zone it stands in.
         cell: the cell it stands in.
         in_flight: requests that this router has there now.
@@ -41,8 +43,11 @@
         newly_indexed: indices first used, or used anew, by the last update.
     """
 
-    def __init__(self, parent_kind: str, origin_kind: str, zone: int):
-        """`parent_kind` and `origin_kind` are what the list calls parents and origins, `zone` is this router's."""
+    def __init__(self, parent_kind: str, origin_kind: str, zone: int) -> None:
+        """Start with no servers.
+
+        `parent_kind` and `origin_kind` are what the list calls parents and origins, `zone` is this router's.
+        """
         self.parent_kind = parent_kind
         self.origin_kind = origin_kind
         self.own_zone = zone
@@ -65,7 +70,7 @@
         self._newest_start = float("-inf")  # the latest start that the first list tells of
 
     def update(self, now: float, is_complete: bool, endpoints: Iterable[Endpoint]) -> None:
-        """Takes a list; a server that a complete one leaves out is gone."""
+        """Take a list; a server that a complete one leaves out is gone."""
         self.newly_indexed = []
         if self.first_listed_at is None:
             self.first_listed_at = now
@@ -86,7 +91,7 @@
         return is_local and self.state[c] == SEND_STATE
 
     def _take(self, now: float, row: Endpoint) -> int:
-        """Takes one row; returns its index."""
+        """Take one row; return its index."""
         c = self._index_of(now, row.server)
         is_other_start = self.started_at[c] != row.started_at
         if row.state != SEND_STATE or is_other_start:  # left, drained or restarted: what it held is gone
@@ -107,7 +112,7 @@
         return ServerRole.ORIGIN if kind == self.origin_kind else ServerRole.CACHE
 
     def _index_of(self, now: float, server: int | str) -> int:
-        """Returns a server's index; a newcomer takes that of one long gone, or the arrays would grow."""
+        """Return a server's index; a newcomer takes that of one long gone, or the arrays would grow."""
         c = self.index.get(server)
         if c is None:
             c = next((c for c in range(len(self.ids)) if self._is_reusable(c, now)), len(self.ids))
@@ -123,7 +128,7 @@
         return is_unused and now - self.emptied_at[c] > REUSE_AFTER_S
 
     def _reset(self, c: int, server: int | str) -> None:
-        """Gives an index, maybe one past the last, to a server of which nothing is known."""
+        """Give an index, maybe one past the last, to a server of which nothing is known."""
         for array, first in (
             (self.ids, server),
             (self.role, None),
@@ -141,7 +146,8 @@
     def _effective_start(self, now: float, started_at: float | None) -> float | None:
         """Since when a server counts as started that was listed just now.
 
-        Of those in the first list nothing but their stamps is known, beside one another; a later one was not there before.
+        Of those in the first list nothing but their stamps is known, beside one another; a later one was not
+        there before.
         """
         if started_at is None:
             return None
--- a/brookhinge/decisions/fault_attribution.py
+++ b/brookhinge/decisions/fault_attribution.py
@@ -1,7 +1,7 @@
 """Whether the end of an attempt speaks against its cache, against the source of its fill, or against both.
 
-A failed fill speaks against both alike unless notes tell which: the one at fault soon stands out among its peers. A timeout
-counts only while nothing else is answered: else it is no fault but congestion.
+A failed fill speaks against both alike unless notes tell which: the one at fault soon stands out among its
+peers. A timeout counts only while nothing else is answered: else it is no fault but congestion.
 """
 
 from brookhinge.decisions.concurrency import ConcurrencyLimiter
@@ -22,6 +22,15 @@
 NOT_THE_CACHE = (*SOURCE_AT_FAULT, ResponseNote.ORIGIN_FAILED)
 NOT_THE_PARENT = (ResponseNote.HIT, ResponseNote.NO_SLOT, ResponseNote.ORIGIN_FAILED)
 
+# An attribute of an enum class costs more than one of a module, and each end of an attempt needs these.
+_SATISFIED = AttemptResult.SATISFIED
+_TIMEOUT = AttemptResult.TIMEOUT
+_FULL = AttemptResult.FULL
+_ERRORED = AttemptResult.ERRORED
+_MISS = AttemptResult.MISS
+_CACHE = ServerRole.CACHE
+_PARENT = ServerRole.PARENT
+
 
 class FaultAttribution:
     """Judges ends of attempts and hands them to the outlier ejectors. Times are seconds."""
@@ -34,7 +43,7 @@
         cache_outliers: OutlierEjector,
         parent_outliers: OutlierEjector,
         notes: NoteDetail,
-    ):
+    ) -> None:
         """`notes` is what caches tell of how they answered."""
         self._endpoints = endpoints
         self._concurrency = concurrency
@@ -44,26 +53,28 @@
         self._heard_at: dict[int, float] = {}  # of each server: its last good response
 
     def forget(self, c: int) -> None:
-        """Drops what is known of a server: its index belongs to another from here on."""
+        """Drop what is known of a server: its index belongs to another from here on."""
         self._heard_at.pop(c, None)
 
     def judge(self, outcome: AttemptOutcome, is_lagging: bool, sink: DecisionSink) -> None:
-        """Counts an outcome for or against the servers that took part; `is_lagging` speaks against the cache."""
-        request, c, result, _, _, _, now, _ = outcome
-        is_parent = self._endpoints.role[c] is ServerRole.PARENT
+        """Count an outcome for or against the servers that took part.
+
+        `is_lagging` speaks against the cache.
+        """
+        request, c, result, _, _, _, now, _, is_fill = outcome
+        is_parent = self._endpoints.role[c] is _PARENT
         source = c if is_parent else request.source
-        is_fill = outcome.was_filled
-        is_satisfied = result == AttemptResult.SATISFIED
+        is_satisfied = result == _SATISFIED
         if is_satisfied:
             self._heard_at[c] = now
             self._heard_at[source if is_fill else c] = now
-        is_timeout = result == AttemptResult.TIMEOUT
+        is_timeout = result == _TIMEOUT
         cache_is_silent = is_timeout and self._is_silent(c, now)
         source_is_silent = is_timeout and is_fill and self._is_silent(source, now)
-        is_shed_fill = is_fill and result == AttemptResult.FULL
+        is_shed_fill = is_fill and result == _FULL
         failed = is_lagging or cache_is_silent or source_is_silent or is_shed_fill or result in FAILURES
         is_good = is_satisfied and not is_lagging
-        is_shared = is_shed_fill or (is_fill and result == AttemptResult.ERRORED)
+        is_shared = is_shed_fill or (is_fill and result == _ERRORED)
         weight = SHARED_FAULT_WEIGHT if is_shared and not self._tells_fault else 1.0
 
         is_slow = self._is_slow_fill(outcome, source)
@@ -89,8 +100,8 @@
         """Whether a fill came from a parent that is far slower than its peers."""
         return (
             outcome.was_filled
-            and outcome.result != AttemptResult.MISS
-            and self._endpoints.role[source] is ServerRole.PARENT
+            and outcome.result != _MISS
+            and self._endpoints.role[source] is _PARENT
             and self._concurrency.is_slower_than_peers(
                 source, outcome.now, self._endpoints.parents, evidence_s=SLOW_PARENT_EVIDENCE_S
             )
@@ -100,11 +111,11 @@
         self, outcome: AttemptOutcome, failed: bool, cache_is_silent: bool, source_is_silent: bool
     ) -> bool:
         """Whether a good or failed outcome says something of the cache."""
-        if self._endpoints.role[outcome.server] is not ServerRole.CACHE:
+        if self._endpoints.role[outcome.server] is not _CACHE:
             return False
         if not failed or cache_is_silent:
             return True
-        if source_is_silent or outcome.result == AttemptResult.FULL:
+        if source_is_silent or outcome.result == _FULL:
             return False
         return not (self._tells_fault and outcome.note in NOT_THE_CACHE)
 
@@ -112,7 +123,7 @@
         self, outcome: AttemptOutcome, source: int, is_evident: bool, is_shared: bool
     ) -> bool:
         """Whether a good, failed or slow outcome says something of the parent that it was filled from."""
-        if self._endpoints.role[source] is not ServerRole.PARENT or outcome.note in NOT_THE_PARENT:
+        if self._endpoints.role[source] is not _PARENT or outcome.note in NOT_THE_PARENT:
             return False
         if is_evident or source == outcome.server:
             return True
--- a/brookhinge/decisions/fill_planning.py
+++ b/brookhinge/decisions/fill_planning.py
@@ -1,4 +1,7 @@
-"""Where the cache of a request may fill from: the parent hashed from the object, the next on failure, at last the origin."""
+"""Where the cache of a request may fill from.
+
+That is the parent hashed from the object, the next one on failure, at last the origin.
+"""
 
 from random import Random
 from typing import NamedTuple
@@ -15,6 +18,11 @@
 HOLDER_FILL_SHARE = 0.25  # of a transfer that a holder's source has to do on the mean
 
 
+# An attribute of an enum class costs more than one of a module, and each request needs these.
+_NO_FILL = FillKind.NONE
+_FROM_UPSTREAM = FillKind.UPSTREAM
+
+
 class FillPlan(NamedTuple):
     """Where a request's server takes the object from."""
 
@@ -35,7 +43,7 @@
         statistics: ClassStatistics,
         routers_here: int,
         chance: Random,
-    ):
+    ) -> None:
         """`routers_here` is how many routers share the location's caches."""
         self.routers_here = routers_here
         self._endpoints = endpoints
@@ -54,7 +62,7 @@
         fills_in_flight: int,
         now: float,
     ) -> FillPlan | Refusal:
-        """Returns where the chosen cache may fill from, or why the request is refused.
+        """Return where the chosen cache may fill from, or why the request is refused.
 
         A request that may not be filled now is looked for once: another router may have had it filled.
         """
@@ -70,7 +78,7 @@
         if choice.is_holder:
             return FillPlan(FillKind.HOLDER, choice.server if source is None else source)
         if source is None:
-            return FillPlan(FillKind.NONE, choice.server)
+            return FillPlan(_NO_FILL, choice.server)
         return self._through_breaker(request, choice, source, now)
 
     def _looks_first(self, request: RequestState, choice: CacheChoice, now: float) -> bool:
@@ -95,7 +103,8 @@
         source = self._eligibility.first_upstream(request, work, now)
         if source is None or choice.is_holder:
             return source
-        # Who has a small share of a cache's limit has a larger one of the uplink, but is shed sooner by its congestion.
+        # Who has a small share of a cache's limit has a larger one of the uplink, but is shed sooner by its
+        # congestion.
         uplink_share = min(1.0, fair_share) ** 0.5
         if not self._concurrency.has_capacity(UPLINK, fills_in_flight, uplink_share):
             return None
@@ -111,12 +120,12 @@
         """
         probability = self._origin_breaker.admit_probability(now)
         if probability >= 1.0 or request.is_uncacheable:
-            return FillPlan(FillKind.UPSTREAM, source)
+            return FillPlan(_FROM_UPSTREAM, source)
         if self._endpoints.role[source] is ServerRole.PARENT and not request.parent_missed:
             return FillPlan(FillKind.UPSTREAM_CACHED, source)
         if self._chance.random() < probability:
-            return FillPlan(FillKind.UPSTREAM, source)
+            return FillPlan(_FROM_UPSTREAM, source)
         if request.request_class.stale_s <= 0 or request.is_lookup_only:
             return Refusal.ORIGIN_FAILING
         request.is_lookup_only = True
-        return FillPlan(FillKind.NONE, choice.server)
+        return FillPlan(_NO_FILL, choice.server)
--- a/brookhinge/decisions/load_shedding.py
+++ b/brookhinge/decisions/load_shedding.py
@@ -1,16 +1,23 @@
-"""Who goes first when there is not enough for all: requests with the least utility for a second of transfer are shed first."""
+"""Who goes first when there is not enough for all.
+
+Requests with the least utility for a second of transfer are shed first.
+"""
 
 from brookhinge.decisions.class_statistics import ClassStatistics
 from brookhinge.decisions.request_state import RequestState
 
 MIN_SHARE = 0.2
 SHARE_FACTOR = 0.85
-# Size beyond the class's mean counts to this power: at 1 the largest objects would starve while small ones are served.
+# Size beyond the class's mean counts to this power: at 1 the largest objects would starve while small ones
+# are served.
 LARGE_SIZE_EXPONENT = 0.4
 
 
 def fair_share(request: RequestState, statistics: ClassStatistics) -> float:
-    """Returns the part of a limit that is open to a request; above 1 for one with much utility for its transfer time."""
+    """Return the part of a limit that is open to a request.
+
+    It is above 1 for one with much utility for its transfer time.
+    """
     if request.is_scheduled:
         return 1.0
     mean_s = statistics.transfer_s[request.class_index]
--- a/brookhinge/decisions/local_cache.py
+++ b/brookhinge/decisions/local_cache.py
@@ -1,6 +1,7 @@
 """Copies in the router's own memory, for requests that no cache can answer in time.
 
-They leave one by one on the router's link: none is promised that would come late. It could harm where others need that link.
+They leave one by one on the router's link: none is promised that would come late. It could harm where others
+need that link.
 """
 
 from collections.abc import Iterable
@@ -28,8 +29,11 @@
 class LocalCache:
     """The copies held, those used last at the end. Bodies are the sink's: here stand their names."""
 
-    def __init__(self, memory_mb: float = 0.0, flow_bytes_s: float = 0.0, link_bytes_s: float = 0.0):
-        """`flow_bytes_s` is the pace of one transfer, `link_bytes_s` that of the router's link; 0: nothing is held."""
+    def __init__(self, memory_mb: float = 0.0, flow_bytes_s: float = 0.0, link_bytes_s: float = 0.0) -> None:
+        """Start empty; without memory or a link nothing is held.
+
+        `flow_bytes_s` is the pace of one transfer, `link_bytes_s` that of the router's link.
+        """
         self.capacity_bytes = memory_mb * MEMORY_SHARE * BYTES_PER_MB
         self.flow_bytes_s = flow_bytes_s
         self.link_bytes_s = link_bytes_s
@@ -40,7 +44,7 @@
     def keep(
         self, name: CopyName, state: ObjectState, copy: StoredCopy, request_id: int, sink: DecisionSink
     ) -> None:
-        """Keeps the copy that a request has just been answered with; those not used for longest make room."""
+        """Keep the copy that a request has just been answered with; those not used for longest make room."""
         self.drop([name], sink)
         self.held[name] = LocalCopy(state, copy.made_at, copy.size_bytes)
         self.size_bytes += copy.size_bytes
@@ -49,18 +53,21 @@
             self.drop([next(iter(self.held))], sink)
 
     def drop(self, names: Iterable[CopyName], sink: DecisionSink) -> None:
-        """Drops the copies held under any of these names."""
+        """Drop the copies held under any of these names."""
         for name in self.held.keys() & names:
             self.size_bytes -= self.held.pop(name).size_bytes
             sink.drop_copy(name)
 
     def drop_purged(self, key: str, group: int, sink: DecisionSink) -> None:
-        """Drops the copies of a purged object, or else of a purged group."""
+        """Drop the copies of a purged object, or else of a purged group."""
         purged = [name for name, copy in self.held.items() if copy.object.is_covered_by_purge(key, group)]
         self.drop(purged, sink)
 
     def reserve(self, name: CopyName, now: float, max_age_s: float, time_left_s: float) -> bool:
-        """Whether a copy not older than that can be sent in the time left; if so its place on the link is taken."""
+        """Whether a copy not older than that can be sent in the time left.
+
+        If so, its place on the link is taken.
+        """
         copy = self.held.get(name)
         if copy is None or not copy.size_bytes * self.link_bytes_s:
             return False
--- a/brookhinge/decisions/messages.py
+++ b/brookhinge/decisions/messages.py
@@ -1,7 +1,7 @@
 """Typed messages that a router of the decisions takes, in order of arrival.
 
-Times are seconds of the caller's steady clock, durations seconds. Servers are named by the ids of the endpoint list, requests
-by small integers that the caller gives.
+Times are seconds of the caller's steady clock, durations seconds. Servers are named by the ids of the
+endpoint list, requests by small integers that the caller gives.
 """
 
 import enum
@@ -51,7 +51,10 @@
 
 
 class RequestWithdrawn(NamedTuple):
-    """No response is owed any more: the client cancelled or left. Its last attempt is still told of when it ends."""
+    """No response is owed any more: the client cancelled or left.
+
+    The end of its last attempt is still told.
+    """
 
     request_id: int
 
@@ -126,3 +129,17 @@
 
     rule: object  # a CopyRule of the purge log
     missed_purges: object = None  # with READMIT: the set of purges that were missed
+
+
+RouterMessage = (
+    RequestArrived
+    | RequestWithdrawn
+    | AttemptEnded
+    | EndpointsListed
+    | ObjectsPurged
+    | RouterCountChanged
+    | QuotasAssigned
+    | OutlierVerdictsChanged
+    | WarmStartReceived
+    | CopyRuleChanged
+)
--- a/brookhinge/decisions/object_state.py
+++ b/brookhinge/decisions/object_state.py
@@ -10,7 +10,7 @@
 
 
 def digest(text: str) -> int:
-    """Returns a number of 128 bits that is the same for a text in every process."""
+    """Return a number of 128 bits that is the same for a text in every process."""
     return int.from_bytes(md5(text.encode()).digest(), "big")
 
 
@@ -48,7 +48,7 @@
         "requests",
     )
 
-    def __init__(self, key: str, part: int, group: int):
+    def __init__(self, key: str, part: int, group: int) -> None:
         self.key = key
         self.part = part
         self.group = group
@@ -69,7 +69,7 @@
         return self.key == key or (not key and self.group == group)
 
     def record_purge(self, at: float) -> None:
-        """Forgets the holders: their copies are from before the purge."""
+        """Forget the holders: their copies are from before the purge."""
         self.purged_at = max(self.purged_at, at)
         self.purges += 1
         self.holders.clear()
@@ -78,7 +78,7 @@
 class ObjectTable:
     """The objects asked for lately. Those asked for least are dropped when it is full."""
 
-    def __init__(self, memory_mb: float | None):
+    def __init__(self, memory_mb: float | None) -> None:
         """`memory_mb` is the memory of the router, None where it is not told."""
         self.max_objects = MAX_OBJECTS
         if memory_mb is not None:
@@ -88,7 +88,7 @@
         self._mean_count_at = 0.0
 
     def get_or_add(self, key: str, part: int, group: int) -> ObjectState:
-        """Returns an object's state, a new one for an object not known."""
+        """Return an object's state, a new one for an object not known."""
         state = self.states.get((key, part))
         if state is None:
             if len(self.states) >= self.max_objects:
@@ -98,9 +98,10 @@
         return state
 
     def replication_utility(self, state: ObjectState, holders: int, now: float) -> float:
-        """Returns how much another replica beside so many holders is worth; above 1 it should be made.
+        """Return how much another replica beside so many holders is worth; above 1 it should be made.
 
-        It is the object's count over the mean count, over twice the holders, times requests over requests and purges.
+        It is the object's count over the mean count, over twice the holders, times requests over requests
+        and purges.
         """
         if now - self._mean_count_at > MEAN_COUNT_REFRESH_S or not self._mean_count:
             total = sum(other.count for other in self.states.values())
@@ -110,6 +111,6 @@
         return relative_count / (2.0 * holders) * state.requests / (state.requests + state.purges)
 
     def halve_counts(self) -> None:
-        """Lets what was asked for long ago count for less."""
+        """Let what was asked for long ago count for less."""
         for state in self.states.values():
             state.count /= 2.0
--- a/brookhinge/decisions/outliers.py
+++ b/brookhinge/decisions/outliers.py
@@ -1,4 +1,7 @@
-"""Outlier ejection: a server that fails far more often than its peers is left out for a while, then tried singly."""
+"""Outlier ejection.
+
+A server that fails far more often than its peers is left out for a while, then tried singly.
+"""
 
 from collections.abc import Mapping, Sequence
 
@@ -14,7 +17,7 @@
 def median_of_peers(
     figures: Mapping[int, float], c: int, peers: Sequence[int], default: float
 ) -> float | None:
-    """Returns the lower median of the figures of c's peers without itself; None if it has none."""
+    """Return the lower median of the figures of c's peers without itself; None if it has none."""
     others = sorted(figures.get(peer, default) for peer in peers if peer != c)
     return others[(len(others) - 1) // 2] if others else None
 
@@ -22,18 +25,18 @@
 class OutlierEjector:
     """The failure rate of each server, lately, against its peers of the same role. Times are seconds."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.failure_rate: dict[int, float] = {}
         self.ejected_until: dict[int, float] = {}  # kept after that time until the server has done well again
         self.probed_at: dict[int, float] = {}  # the last request that tried an ejected server
 
     def forget(self, c: int) -> None:
-        """Drops what is known of a server: its index belongs to another from here on."""
+        """Drop what is known of a server: its index belongs to another from here on."""
         for figures in (self.failure_rate, self.ejected_until, self.probed_at):
             figures.pop(c, None)
 
     def observe(self, c: int, now: float, failed: bool, weight: float, peers: Sequence[int]) -> bool:
-        """Counts a response, a failure by its weight; returns whether it ejects a server that was in use."""
+        """Count a response, a failure by its weight; return whether it ejects a server that was in use."""
         rate = self.failure_rate.get(c, 0.0)
         rate = rate + FAILURE_WEIGHT * weight * ((1.0 if failed else 0.0) - rate)
         self.failure_rate[c] = rate
@@ -54,7 +57,7 @@
         return now >= self.ejected_until.get(c, NEVER) and is_probe_due
 
     def note_attempt(self, c: int, now: float) -> None:
-        """Notes that a request goes to a server; to one that was ejected it is a probe."""
+        """Note that a request goes to a server; to one that was ejected it is a probe."""
         if c in self.ejected_until:
             self.probed_at[c] = now
 
--- a/brookhinge/decisions/purges.py
+++ b/brookhinge/decisions/purges.py
@@ -15,13 +15,13 @@
 class PurgeRecord:
     """Known purges by name: the key of an object or the number of a group. Times are seconds."""
 
-    def __init__(self, settled_s: float):
+    def __init__(self, settled_s: float) -> None:
         """`settled_s` is how long after a purge an old copy may still be met anywhere."""
         self.settled_s = settled_s
         self.purged_at: dict[str | int, float] = {}
 
     def add(self, now: float, name: str | int, at: float) -> None:
-        """Notes a purge, and forgets those that are long settled."""
+        """Note a purge, and forgets those that are long settled."""
         kept_s = self.settled_s + KEPT_BEYOND_S
         self.purged_at = {other: told for other, told in self.purged_at.items() if now - told <= kept_s}
         self.purged_at[name] = max(at, self.purged_at.get(name, NEVER))
@@ -31,13 +31,13 @@
         return name in self.purged_at
 
     def group_purged_at(self, group: int, default: float = NEVER) -> float:
-        """Returns when a group was purged."""
+        """Return when a group was purged."""
         return self.purged_at.get(group, default)
 
     def max_age_s(
         self, state: ObjectState, request_class: RequestClass, now: float, accept_stale: bool
     ) -> float:
-        """Returns the age of the oldest copy that will do; 0: any.
+        """Return the age of the oldest copy that will do; 0: any.
 
         Copies from before a known purge are shut out until they are gone everywhere.
         """
--- a/brookhinge/decisions/request_state.py
+++ b/brookhinge/decisions/request_state.py
@@ -9,13 +9,28 @@
 
 
 class FillKind(enum.Enum):
-    """Where the server of an attempt takes the object from."""
+    """Where the server of an attempt takes the object from.
 
-    NONE = "none"  # from what it holds; a parent or the origin asked directly answers by itself
-    HOLDER = "holder"  # it served a copy lately; a source is named in case that is gone
-    SIBLING = "sibling"  # from another cache that holds it
-    UPSTREAM = "upstream"  # from a parent or the origin
-    UPSTREAM_CACHED = "upstream_cached"  # from a parent, if that holds it
+    Attributes:
+        is_upstream: it is expected to come through the uplink.
+        is_cached_only: the source is asked for what it holds, it fetches nothing itself.
+    """
+
+    NONE = "none", False, False  # from what it holds; a parent or the origin asked directly answers by itself
+    HOLDER = "holder", False, False  # it served a copy lately; a source is named in case that is gone
+    SIBLING = "sibling", False, True  # from another cache that holds it
+    UPSTREAM = "upstream", True, False  # from a parent or the origin
+    UPSTREAM_CACHED = "upstream_cached", True, True  # from a parent, if that holds it
+
+    def __init__(self, label: str, is_upstream: bool, is_cached_only: bool) -> None:
+        self.label = label
+        self.is_upstream = is_upstream
+        self.is_cached_only = is_cached_only
+
+
+# An attribute of an enum class costs more than one of a module, and each request needs these.
+_NO_FILL = FillKind.NONE
+_NO_RETENTION = Retention.NONE
 
 
 class RequestState:
@@ -80,7 +95,7 @@
         is_uncacheable: bool,
         transfer_s: float,
         retry_client: object = None,
-    ):
+    ) -> None:
         self.request_id = request_id
         self.class_index = class_index
         self.request_class = request_class
@@ -95,8 +110,8 @@
         self.server: int | None = None
         self.source: int | None = None
         self.sent_at = now
-        self.retention = Retention.NONE
-        self.fill = FillKind.NONE
+        self.retention = _NO_RETENTION
+        self.fill = _NO_FILL
         self.failed_servers: set[int] = set()
         self.failed_sources: set[int] = set()
         self.may_have_run: Ran | None = None
@@ -108,7 +123,7 @@
     @property
     def fills_upstream(self) -> bool:
         """Whether the last attempt is expected to come through the uplink."""
-        return self.fill is FillKind.UPSTREAM or self.fill is FillKind.UPSTREAM_CACHED
+        return self.fill.is_upstream
 
     @property
     def is_held(self) -> bool:
--- a/brookhinge/decisions/router.py
+++ b/brookhinge/decisions/router.py
@@ -1,24 +1,19 @@
 """The router: takes messages in order, asks each mechanism in turn, and tells the sink what to do.
 
-The ordinary path is the Cache Clouds design: beacon rings, load-following sub-ranges, remembered holders, sibling fills of
-objects in demand, a parent for all other fills. `Router.route` reads as the order in which the mechanisms are asked.
+The ordinary path is the Cache Clouds design: beacon rings, load-following sub-ranges, remembered holders,
+sibling fills of objects in demand, a parent for all other fills. `Router.route` reads as the order in which
+the mechanisms are asked.
 """
 
-from collections.abc import Iterable, Sequence
-from random import Random
-from typing import Any
+from collections.abc import Iterable
 
 from brookhinge.decisions import rules
-from brookhinge.decisions.beacon_rings import BeaconRings
-from brookhinge.decisions.class_statistics import ClassStatistics
-from brookhinge.decisions.concurrency import ConcurrencyLimiter
-from brookhinge.decisions.eligibility import ServerEligibility
-from brookhinge.decisions.endpoints import EndpointTable, ServerRole
-from brookhinge.decisions.fault_attribution import FaultAttribution
-from brookhinge.decisions.feedback import AttemptOutcome, Feedback, full_utility_within_s
-from brookhinge.decisions.fill_planning import FillPlan, FillPlanner
+from brookhinge.decisions.attempt_timeout import attempt_timeout_s
+from brookhinge.decisions.endpoints import ServerRole
+from brookhinge.decisions.feedback import AttemptOutcome, full_utility_within_s
+from brookhinge.decisions.fill_planning import FillPlan
+from brookhinge.decisions.final_responses import FinalResponses
 from brookhinge.decisions.load_shedding import fair_share
-from brookhinge.decisions.local_cache import LocalCache
 from brookhinge.decisions.messages import (
     AttemptEnded,
     EndpointsListed,
@@ -27,166 +22,46 @@
     RequestWithdrawn,
     ResponseNote,
     RouterCountChanged,
+    RouterMessage,
 )
-from brookhinge.decisions.object_state import ObjectTable
-from brookhinge.decisions.origin_breaker import OriginCircuitBreaker
-from brookhinge.decisions.outliers import OutlierEjector
-from brookhinge.decisions.purges import PurgeRecord
 from brookhinge.decisions.request_state import FillKind, RequestState
-from brookhinge.decisions.retry_budget import RetryBudget
 from brookhinge.decisions.rules import AttemptResult, Ran, Refusal
-from brookhinge.decisions.server_selection import ServerSelector
 from brookhinge.decisions.settings import (
     FillPolicy,
     Idempotency,
-    Location,
     NoteDetail,
-    RequestClass,
-    RouterLimits,
-    SlowStart,
 )
 from brookhinge.decisions.sink import Attempt, DecisionSink, Retention
-from brookhinge.decisions.slow_start import SlowStartBudget
-from brookhinge.decisions.throughput import ThroughputEstimate
 
 REBALANCE_S = 10.0
 REBALANCE_REQUESTS = 1000  # counted since the last time: few would move sub-ranges by chance
 MIN_TIME_LEFT_S = 0.002
 HURRY_S = 0.2  # beside a transfer: what the way by a cache may take
-COPY_MARGIN_S = 0.02  # of the time left that is not used when a copy is promised
-DEADLINE_MARGIN_S = 0.001
 MAX_DIRECT_IN_FLIGHT = 16
-FIRST_ATTEMPT_SHARE = 0.6  # of the time left, where another attempt fits behind it
-ATTEMPTS_CUT_SHORT = 3
-RETRY_TIME_FACTOR = 6.0  # of an object's own time that an attempt must leave room for
-RETRY_TIME_MARGIN_S = 0.3
-RETRY_AFTER_BASE_S = 0.1
-RETRY_AFTER_SPREAD_S = 0.15
 DEMAND_COUNT = 2  # requests lately from which a copy is worth more than others
 
-ENDED_AT_ORIGIN = (ResponseNote.VIA_ORIGIN, ResponseNote.SOURCE_REFUSED, ResponseNote.ORIGIN_FAILED)
+# An attribute of an enum class costs more than one of a module, and each request needs these.
+_HIT = ResponseNote.HIT
+_UNSENT = AttemptResult.UNSENT
+_IN_DEMAND = Retention.IN_DEMAND
+_NORMAL = Retention.NORMAL
 
+ENDED_AT_ORIGIN = (ResponseNote.VIA_ORIGIN, ResponseNote.SOURCE_REFUSED, ResponseNote.ORIGIN_FAILED)
 
-class Router:
-    """All decisions of one router. Times are seconds of the caller's clock.
 
-    Attributes:
-        requests: requests without a final response.
-        fills_in_flight: attempts that are expected to come through the uplink.
-        knows_all_purges: False while a purge may have been told that is not known here yet.
-    """
+class Router(FinalResponses):
+    """All decisions of one router. Times are seconds of the caller's clock."""
 
-    def __init__(
-        self,
-        seed: int,
-        *,
-        request_classes: Sequence[RequestClass],
-        location: Location,
-        limits: RouterLimits,
-        fill_policy: FillPolicy,
-        cache_slow_start: SlowStart,
-        parent_slow_start: SlowStart,
-        purge_settled_s: float,
-        server_kinds: tuple[str, str],
-        machine: Any = None,
-        retry_schedule: Any = None,
-    ):
-        """`server_kinds` is what the list calls parents and origins.
-
-        `machine` tells memory and link of the router (`Bounds` of `brookhinge/startup.py`), None keeps no copies.
-        `retry_schedule` gives rejected clients a time to come back; None gives a short random one.
-        """
-        self.chance = Random(seed)
-        self.request_classes = request_classes
-        self.limits = limits
-        self.fill_policy = fill_policy
-        self.retry_schedule = retry_schedule
-        self.requests: dict[int, RequestState] = {}
-        self.fills_in_flight = 0
-        self.knows_all_purges = True
-        self.now = 0.0
-        self.sink: DecisionSink | None = None
-        self.requests_counted = 0
+    def __init__(self, seed: int, *, fill_policy: FillPolicy, **settings: object) -> None:
+        """Take the settings of `RouterMechanisms`."""
+        super().__init__(seed, fill_policy=fill_policy, **settings)
+        self.requests_counted = 0  # since sub-ranges were last rebalanced
         self._rebalance_at = REBALANCE_S
-        self.endpoints = EndpointTable(*server_kinds, location.zone)
-        self.rings = BeaconRings()
-        self.objects = ObjectTable(machine.memory_mb if machine else None)
-        self.purges = PurgeRecord(purge_settled_s)
-        self.statistics = ClassStatistics(request_classes)
-        self.origin_breaker = OriginCircuitBreaker()
-        self.retry_budget = RetryBudget(self.chance)
-        self.local_cache = LocalCache()
-        if machine:
-            self.local_cache = LocalCache(machine.memory_mb, machine.flow_bytes_s, machine.link_bytes_s)
-        self.slow_start = {
-            ServerRole.CACHE: self.create_slow_start_budget(cache_slow_start, location.routers_here),
-            ServerRole.PARENT: self.create_slow_start_budget(parent_slow_start, location.routers),
-        }
-        self.cache_outliers = self.create_cache_ejector()
-        self.parent_outliers = OutlierEjector()
-        self.concurrency = self.create_concurrency_limiter(location.routers_here)
-        self.throughput = ThroughputEstimate(self.endpoints, self.slow_start, location.weights_known)
-        self._join_mechanisms(location.routers_here)
-
-    def create_slow_start_budget(self, start: SlowStart, routers: int) -> SlowStartBudget:
-        """Makes the budget of a role of servers."""
-        return SlowStartBudget(start, routers)
-
-    def create_concurrency_limiter(self, routers: int) -> ConcurrencyLimiter:
-        """Makes the limiter of what is in flight."""
-        return ConcurrencyLimiter(routers)
-
-    def create_cache_ejector(self) -> OutlierEjector:
-        """Makes the outlier ejector of the caches."""
-        return OutlierEjector()
-
-    def _join_mechanisms(self, routers_here: int) -> None:
-        """Makes what needs several mechanisms."""
-        shared = {"concurrency": self.concurrency, "statistics": self.statistics}
-        self.eligibility = ServerEligibility(
-            self.endpoints,
-            slow_start=self.slow_start,
-            cache_outliers=self.cache_outliers,
-            parent_outliers=self.parent_outliers,
-            throughput=self.throughput,
-            chance=self.chance,
-            **shared,
-        )
-        self.selector = ServerSelector(
-            self.endpoints,
-            rings=self.rings,
-            objects=self.objects,
-            eligibility=self.eligibility,
-            siblings=self.fill_policy.siblings,
-            chance=self.chance,
-            **shared,
-        )
-        self.fill_planner = FillPlanner(
-            self.endpoints,
-            eligibility=self.eligibility,
-            origin_breaker=self.origin_breaker,
-            routers_here=routers_here,
-            chance=self.chance,
-            **shared,
-        )
-        self.feedback = Feedback(
-            self.endpoints,
-            throughput=self.throughput,
-            purges=self.purges,
-            notes=self.fill_policy.notes,
-            **shared,
-        )
-        self.fault_attribution = FaultAttribution(
-            self.endpoints,
-            concurrency=self.concurrency,
-            cache_outliers=self.cache_outliers,
-            parent_outliers=self.parent_outliers,
-            notes=self.fill_policy.notes,
-        )
+        self._tells_fault = fill_policy.notes is NoteDetail.ALL
 
     # messages
 
-    def process(self, now: float, messages: Iterable[Any], sink: DecisionSink) -> None:
+    def process(self, now: float, messages: Iterable[RouterMessage], sink: DecisionSink) -> None:
         """One round: handles the messages in order."""
         self.now = now
         self.sink = sink
@@ -195,8 +70,8 @@
         if now >= self._rebalance_at and self.requests_counted >= REBALANCE_REQUESTS:
             self._rebalance()
 
-    def handle(self, message: Any) -> None:
-        """Handles one message; TypeError for one that this router does not take."""
+    def handle(self, message: RouterMessage) -> None:
+        """Handle one message; TypeError for one that this router does not take."""
         match message:
             case RequestArrived():
                 self.on_request(message)
@@ -214,7 +89,7 @@
                 raise TypeError(f"message: expected one that this router takes, got {type(message).__name__}")
 
     def on_endpoints(self, listed: EndpointsListed) -> None:
-        """Takes an endpoint list; what is known of servers that are gone is dropped with their index."""
+        """Take an endpoint list; what is known of servers that are gone is dropped with their index."""
         endpoints = self.endpoints
         local_caches = endpoints.local_caches
         endpoints.update(self.now, listed.is_complete, listed.endpoints)
@@ -234,7 +109,7 @@
             self.rings.assign(endpoints.local_caches)
 
     def on_request(self, message: RequestArrived) -> None:
-        """Takes a request and decides on it."""
+        """Take a request and decide on it."""
         is_first = not message.retry_age_s  # a retry counts under its first try
         state = self.objects.get_or_add(message.key, message.part, message.group)
         state.count += is_first
@@ -266,7 +141,10 @@
             self.route(request)
 
     def _priority_weight(self, request: RequestState, retry_age_s: float) -> float:
-        """The part of its utility that a response can still earn: a late retry has missed its first try's objective."""
+        """Return the part of its utility that a response can still earn.
+
+        A late retry has missed the objective of its first try.
+        """
         one = request.request_class
         transfer_s = request.transfer_s or self.statistics.transfer_s[request.class_index]
         needed_s = self.statistics.response_s[request.class_index] - one.objective_stretch * transfer_s
@@ -274,7 +152,7 @@
 
     def _keeps_schedule(self, request: RequestState, is_first: bool) -> bool:
         """Whether a client did not come back before its time; else it is told the same time again."""
-        name = self._schedule_name(request)
+        name = self.schedule_name(request)
         wait_s, request.is_scheduled = self.retry_schedule.arrives(self.now, request.retry_client, name)
         if wait_s:
             del self.requests[request.request_id]
@@ -287,7 +165,7 @@
         return True
 
     def on_attempt_ended(self, end: AttemptEnded) -> None:
-        """Learns from the end of an attempt, and retries or answers a request that still waits."""
+        """Learn from the end of an attempt, and retry or answer a request that still waits."""
         request = self.requests.get(end.request_id)
         c = self.endpoints.index.get(end.server)
         due_at = self.origin_breaker.fill_ended(end.request_id)
@@ -295,12 +173,21 @@
             self.endpoints.in_flight[c] = max(0, self.endpoints.in_flight[c] - 1)
         if request is None or c is None:
             return
-        self.fills_in_flight -= request.fills_upstream
+        self.fills_in_flight -= request.fill.is_upstream
         if due_at is not None:
             self._record_fill_end(end, due_at)
-        if end.result != AttemptResult.UNSENT:
+        if end.result != _UNSENT:
+            was_filled = request.fill.is_upstream and end.note != _HIT
             outcome = AttemptOutcome(
-                request, c, end.result, end.took_s, end.note, end.waited_s, self.now, self.fills_in_flight
+                request,
+                c,
+                end.result,
+                end.took_s,
+                end.note,
+                end.waited_s,
+                self.now,
+                self.fills_in_flight,
+                was_filled,
             )
             is_lagging = self.feedback.learn(outcome)
             self.fault_attribution.judge(outcome, is_lagging, self.sink)
@@ -310,8 +197,9 @@
             self._keep_copy(request, end)
         if end.is_final or request.is_withdrawn:
             del self.requests[end.request_id]
-        elif end.result == AttemptResult.UNSENT:
-            # Drains, purges, budgets and windows may have changed meanwhile; nothing ran, so all is decided anew.
+        elif end.result == _UNSENT:
+            # Drains, purges, budgets and windows may have changed meanwhile; nothing ran, so all is decided
+            # anew.
             request.attempts -= 1
             self.route(request)
         else:
@@ -320,7 +208,10 @@
             self.retry(request, end.result)
 
     def _record_fill_end(self, end: AttemptEnded, due_at: float) -> None:
-        """Counts a fill that ended at the origin. One given up before it was due, by a client in a hurry, tells nothing."""
+        """Count a fill that ended at the origin.
+
+        One given up before it was due, by a client in a hurry, tells nothing.
+        """
         is_given_up = end.result in (AttemptResult.TIMEOUT, AttemptResult.CANCELLED)
         is_overdue = is_given_up and due_at < self.now
         broke_on_the_way = end.note == ResponseNote.SOURCE_BROKE and end.result != AttemptResult.FULL
@@ -329,7 +220,10 @@
             self.origin_breaker.record(self.now, is_good)
 
     def _keep_copy(self, request: RequestState, end: AttemptEnded) -> None:
-        """Keeps a response that may be given to others. It may have come after a purge that was heeded meanwhile."""
+        """Keep a response that may be given to others.
+
+        It may have come after a purge that was heeded meanwhile.
+        """
         request_class = request.request_class
         if request_class.idempotency is not Idempotency.REPEATABLE or request.is_uncacheable:
             return
@@ -340,12 +234,12 @@
             self.local_cache.keep(name, request.object, end.copy, request.request_id, self.sink)
 
     def on_withdrawn(self, withdrawn: RequestWithdrawn) -> None:
-        """Notes that no response is owed any more; the request ends with its attempt."""
+        """Note that no response is owed any more; the request ends with its attempt."""
         if withdrawn.request_id in self.requests:
             self.requests[withdrawn.request_id].is_withdrawn = True
 
     def on_purge(self, purge: ObjectsPurged) -> None:
-        """Keeps the moment of the purge and forgets what held the objects."""
+        """Keep the moment of the purge and forget what held the objects."""
         at = self.now - purge.age_s
         self.purges.add(self.now, purge.key or purge.group, at)
         for state in {*self.objects.states.values(), *(r.object for r in self.requests.values())}:
@@ -354,7 +248,7 @@
         self.local_cache.drop_purged(purge.key, purge.group, self.sink)
 
     def on_router_count(self, count: RouterCountChanged) -> None:
-        """Divides limits by other numbers of routers from here on."""
+        """Divide limits by other numbers of routers from here on."""
         self.slow_start[ServerRole.CACHE].routers = count.here
         self.slow_start[ServerRole.PARENT].routers = count.everywhere
         self.concurrency.routers = count.here
@@ -363,7 +257,7 @@
     # the path of a request
 
     def route(self, request: RequestState) -> None:
-        """Sends one attempt for a request, or its final response."""
+        """Send one attempt for a request, or its final response."""
         now = self.now
         time_left_s = request.deadline - now
         if time_left_s <= MIN_TIME_LEFT_S:
@@ -393,7 +287,7 @@
         )
 
     def _route_directly(self, request: RequestState) -> None:
-        """Goes straight to a parent or the origin where no cache may take it and that is allowed."""
+        """Go straight to a parent or the origin where no cache may take it and that is allowed."""
         endpoints = self.endpoints
         if not self.fill_policy.allows_direct:
             return self.refuse(request, Refusal.NO_SERVER)
@@ -426,7 +320,7 @@
         max_age_s: float,
         renews: bool,
     ) -> None:
-        """Notes an attempt and forwards it."""
+        """Note an attempt and forward it."""
         now = self.now
         request.attempts += 1
         request.server = server
@@ -435,34 +329,21 @@
         request.sent_at = now
         request.retention = retention
         self.endpoints.in_flight[server] += 1
-        self.fills_in_flight += request.fills_upstream
-        if plan.kind is FillKind.UPSTREAM and self.fill_policy.notes is NoteDetail.ALL:
+        self.fills_in_flight += plan.kind.is_upstream
+        if self._tells_fault and plan.kind is FillKind.UPSTREAM:
             due_at = now + full_utility_within_s(request, self.statistics)
             self.origin_breaker.fill_started(request.request_id, due_at)
         self.cache_outliers.note_attempt(server, now)
         self.parent_outliers.note_attempt(plan.source, now)
+        ids = self.endpoints.ids
+        joins_fill = self.fill_policy.joins_fills
+        deadline = now + attempt_timeout_s(request, now, self.limits.max_attempts)
+        cached_only = plan.kind.is_cached_only
         attempt = Attempt(
-            server=self.endpoints.ids[server],
-            deadline=now + self._attempt_timeout_s(request),
-            fill_from=self.endpoints.ids[plan.source],
-            retention=retention,
-            max_age_s=max_age_s,
-            joins_fill=self.fill_policy.joins_fills,
-            cached_only=plan.kind is FillKind.SIBLING or plan.kind is FillKind.UPSTREAM_CACHED,
-            renews=renews,
+            ids[server], deadline, ids[plan.source], retention, max_age_s, joins_fill, cached_only, renews
         )
         self.sink.forward(request.request_id, attempt)
 
-    def _attempt_timeout_s(self, request: RequestState) -> float:
-        """How long an attempt is waited for: cut short only where another fits behind it."""
-        time_left_s = request.deadline - self.now
-        needed_s = RETRY_TIME_FACTOR * max(request.object.best_s, request.transfer_s)  # 0: not known
-        first_s = time_left_s * FIRST_ATTEMPT_SHARE
-        can_retry = request.attempts < min(self.limits.max_attempts, ATTEMPTS_CUT_SHORT)
-        if can_retry and needed_s and needed_s + RETRY_TIME_MARGIN_S < first_s:
-            return first_s
-        return time_left_s - DEADLINE_MARGIN_S
-
     def retry(self, request: RequestState, result: AttemptResult) -> None:
         """After an attempt that did not answer: another, or the final response. No effect twice."""
         is_shed_or_missed = result in (AttemptResult.FULL, AttemptResult.MISS)
@@ -490,7 +371,7 @@
         return self.route(request)
 
     def _note_failure(self, request: RequestState, result: AttemptResult) -> None:
-        """Notes which server or source failed a request: it is not asked again for that."""
+        """Note which server or source failed a request: it is not asked again for that."""
         is_first_fill_error = (
             result == AttemptResult.ERRORED and request.fills_upstream and not request.failed_sources
         )
@@ -500,75 +381,6 @@
         if not is_sources_fault or request.fills_from_nobody or request.is_held:
             request.failed_servers.add(request.server)
 
-    # final responses
-
-    def refuse(self, request: RequestState, reason: Refusal) -> None:
-        """The final response, at once; the client is invited to repeat only where that can do no harm."""
-        if self.respond_from_copy(request):
-            return
-        if rules.may_invite_repeat(request.request_class, request.may_have_run):
-            self.sink.reject(request.request_id, self._retry_after_s(request), reason)
-        else:
-            self.sink.fail(request.request_id, reason)
-        del self.requests[request.request_id]
-
-    def respond_from_copy(self, request: RequestState) -> bool:
-        """Answers from memory, if a copy there will do and comes in time; returns whether it did."""
-        if not self.knows_all_purges:
-            return False
-        one = request.request_class
-        name = request.class_index, request.object.code
-        time_left_s = min(request.deadline - self.now, one.latency_objective_s + request.transfer_s)
-        max_age_s = self.purges.max_age_s(request.object, one, self.now, accept_stale=True)
-        if not self.local_cache.reserve(name, self.now, max_age_s, time_left_s - COPY_MARGIN_S):
-            return False
-        self.sink.respond_from_copy(request.request_id, name)
-        del self.requests[request.request_id]
-        return True
-
-    def _retry_after_s(self, request: RequestState) -> float:
-        """Seconds after which to come back: a place in the retry schedule, where one can be told."""
-        if self.retry_schedule is None or request.retry_client is None:
-            random_s = RETRY_AFTER_BASE_S + RETRY_AFTER_SPREAD_S * self.chance.random()
-            return min(self.limits.max_retry_after_s, random_s)
-        highest = max(one.utility for one in self.request_classes)
-        return self.retry_schedule.place(
-            self.now,
-            request.retry_client,
-            self._schedule_name(request),
-            self.statistics.transfer_s[request.class_index],
-            0.5 + 0.5 * request.request_class.utility / highest,
-            lambda at: self.eligibility.local_capacity(at, self.now),
-        )
-
-    def _schedule_name(self, request: RequestState) -> tuple[int, str, int]:
-        return request.class_index, request.object.key, request.object.part
-
-    # what the engine asks
-
-    def slow_start_bound(self, server: int | str, now: float) -> tuple[float, float] | None:
-        """Returns the seconds of transfer that all routers may send a server in a window, and the window.
-
-        None for a server that is warm, or that nothing overloads.
-        """
-        c = self.endpoints.index.get(server)
-        budget = self.slow_start.get(self.endpoints.role[c]) if c is not None else None
-        if budget is None or not budget.is_limited(now, self.endpoints.warming_since[c]):
-            return None
-        mean_s = self.statistics.mean_transfer_s()
-        power = self.throughput.power(c, self.now)
-        capacity = budget.capacity(now, self.endpoints.warming_since[c], power)
-        calls = budget.overload_work(capacity) / mean_s
-        return rules.slow_start_bound(calls) * mean_s, budget.start.window_s
-
-    def mean_transfer_s(self, class_index: int) -> float:
-        """Returns the mean transfer time of a request class."""
-        return self.statistics.transfer_s[class_index]
-
-    def forget_request(self, request_id: int) -> None:
-        """Drops a request that ended without the decisions."""
-        self.requests.pop(request_id, None)
-
     def _rebalance(self) -> None:
         """Sub-ranges follow the load; object counts are halved."""
         self._rebalance_at = self.now + REBALANCE_S
@@ -581,4 +393,4 @@
     """How much a cache should want to keep the object."""
     if request.is_uncacheable:
         return Retention.NONE
-    return Retention.IN_DEMAND if request.object.count >= DEMAND_COUNT else Retention.NORMAL
+    return _IN_DEMAND if request.object.count >= DEMAND_COUNT else _NORMAL
--- a/brookhinge/decisions/server_selection.py
+++ b/brookhinge/decisions/server_selection.py
@@ -1,4 +1,6 @@
-"""Which cache a request goes to: a holder of the object, else its home on the beacon rings, else who stands in for that.
+"""Which cache a request goes to.
+
+A holder of the object, else its home on the beacon rings, else who stands in for that.
 
 An object in demand gets one cache more, filled from a holder.
 """
@@ -44,7 +46,7 @@
         statistics: ClassStatistics,
         siblings: SiblingFills,
         chance: Random,
-    ):
+    ) -> None:
         self._endpoints = endpoints
         self._rings = rings
         self._objects = objects
@@ -55,7 +57,7 @@
         self._chance = chance
 
     def choose(self, request: RequestState, share: float, now: float) -> CacheChoice | None:
-        """Returns the cache for a request that has that share of a limit; None if no cache may take it."""
+        """Return the cache for a request that has that share of a limit; None if no cache may take it."""
         work = self._statistics.transfer_s[request.class_index]
         holders, candidates = self._candidates(request, now)
         home = next((c for c in candidates if self._eligibility.admits_work(c, work, request, now)), None)
@@ -74,7 +76,10 @@
         return CacheChoice(server, has_capacity, is_holder)
 
     def _candidates(self, request: RequestState, now: float) -> tuple[list[int], list[int]]:
-        """The holders that may be asked, and all caches that may be, in order: holders by load, home, stand-ins."""
+        """Return the holders that may be asked, and all caches that may be.
+
+        The latter in order: holders by load, home, stand-ins.
+        """
         endpoints = self._endpoints
         beacon_order = self._rings.beacon_order(request.object.code)
         holders: list[int] = []
@@ -99,8 +104,8 @@
     ) -> tuple[int, bool]:
         """The chosen cache, or another in its place that has capacity; and whether it has.
 
-        Elsewhere than at a holder the request would miss and be filled anew, so only holders stand in for one another,
-        unless the cache alone is crowded and not all are.
+        Elsewhere than at a holder the request would miss and be filled anew, so only holders stand in for
+        one another, unless the cache alone is crowded and not all are.
         """
         if self._eligibility.has_capacity(home, share, now):
             return home, True
--- a/brookhinge/decisions/settings.py
+++ b/brookhinge/decisions/settings.py
@@ -1,7 +1,7 @@
 """Settings of the decisions, as `brookhinge/startup.py` reads them. Times are seconds."""
 
 import enum
-from typing import NamedTuple
+from typing import NamedTuple, Protocol
 
 
 class Idempotency(enum.StrEnum):
@@ -91,3 +91,11 @@
     warm_up_s: float
     overload_multiple: float  # of what it can do now, sent in a window; 0: nothing overloads it
     window_s: float
+
+
+class Machine(Protocol):
+    """What the machine gives, and the pace of what a router sends from its own memory."""
+
+    memory_mb: float
+    flow_bytes_s: float  # of one transfer
+    link_bytes_s: float  # of all together; 0: the router sends nothing by itself
--- a/brookhinge/decisions/sink.py
+++ b/brookhinge/decisions/sink.py
@@ -31,22 +31,22 @@
     """Takes the decisions of a round, in the order in which they take effect."""
 
     def forward(self, request_id: int, attempt: Attempt) -> None:
-        """Sends a request to a server."""
+        """Send a request to a server."""
 
     def reject(self, request_id: int, retry_after_s: float, reason: Refusal | None = None) -> None:
-        """Answers finally that nothing was done; the client may ask again after that time."""
+        """Answer finally that nothing was done; the client may ask again after that time."""
 
     def fail(self, request_id: int, reason: Refusal | None = None) -> None:
-        """Answers finally with an error: asking again could do harm."""
+        """Answer finally with an error: asking again could do harm."""
 
     def respond_from_copy(self, request_id: int, name: tuple) -> None:
-        """Answers finally with a copy kept under that name."""
+        """Answer finally with a copy kept under that name."""
 
     def keep_copy(self, request_id: int, name: tuple) -> None:
-        """Keeps the body that this request has just been answered with."""
+        """Keep the body that this request has just been answered with."""
 
     def drop_copy(self, name: tuple) -> None:
-        """Forgets a copy."""
+        """Forget a copy."""
 
     def log(self, text: str) -> None:
-        """Tells operators of a decision."""
+        """Tell operators of a decision."""
--- a/brookhinge/decisions/slow_start.py
+++ b/brookhinge/decisions/slow_start.py
@@ -13,14 +13,16 @@
 
 
 class SlowStartBudget:
-    """Seconds of transfer that this router may send to each server that is warming up: its share of what that can do.
+    """Seconds of transfer that this router may send to each server that is warming up.
 
-    A request goes with the chance that what is saved covers it. What is risked in any one window stays within the share of
-    what the server bears: what all routers saved while nobody asked must not come at once. It can leave a quick starter
-    idle, and many routers that ask seldom use less than the whole.
+    It is the router's share of what that server can do.
+
+    A request goes with the chance that what is saved covers it. What is risked in any one window stays
+    within the share of what the server bears: what all routers saved while nobody asked must not come at
+    once. It can leave a quick starter idle, and many routers that ask seldom use less than the whole.
     """
 
-    def __init__(self, start: SlowStart, routers: int):
+    def __init__(self, start: SlowStart, routers: int) -> None:
         """`start` is how servers of this role start, `routers` how many share them."""
         self.start = start
         self.routers = routers
@@ -32,7 +34,7 @@
         ] = {}  # of each server: work times chance of going, by slice of a window
 
     def forget(self, c: int) -> None:
-        """Drops what is known of a server: its index belongs to another from here on."""
+        """Drop what is known of a server: its index belongs to another from here on."""
         for figures in (self.credit, self.credited_at, self.debt, self.risked):
             figures.pop(c, None)
 
@@ -45,23 +47,26 @@
         return self.start.overload_multiple > 0 and self.is_warming_up(now, started_at)
 
     def share(self, c: int, started_at: float | None) -> float:
-        """Returns this router's part of what all may send to a server."""
+        """Return this router's part of what all may send to a server."""
         return 1.0 / self.routers
 
     def capacity(self, now: float, started_at: float, power: float, lag_s: float = 0.0) -> float:
-        """Returns how many transfers at once a server does, as it was `lag_s` ago; `power` is what it does when warm."""
+        """Return how many transfers at once a server does, as it was `lag_s` ago.
+
+        `power` is what it does when warm.
+        """
         age = max(0.0, now - started_at - lag_s)
         share = self.start.initial_share
         return (share + (1.0 - share) * min(1.0, age / self.start.warm_up_s)) * power
 
     def overload_work(self, capacity: float) -> float:
-        """Returns the seconds of transfer in a window that overload a server, before what chance adds."""
+        """Return the seconds of transfer in a window that overload a server, before what chance adds."""
         return self.start.overload_multiple * capacity * self.start.window_s
 
     def fleet_limits(
         self, now: float, started_at: float, power: float, largest_s: float
     ) -> tuple[float, float]:
-        """Returns the seconds of transfer that all routers together may send to a server, in a second and in a window.
+        """Return the seconds of transfer that all routers may send a server, in a second and in a window.
 
         `largest_s` is the transfer time of the largest class: requests come by chance, in lumps of that size.
         """
@@ -74,11 +79,11 @@
         return rate, max(mean, overload - WINDOW_DEVIATIONS * (overload * largest_s) ** 0.5)
 
     def fleet_rate(self, now: float, started_at: float, power: float, largest_s: float) -> float:
-        """Returns the seconds of transfer a second that all routers together may send to a server."""
+        """Return the seconds of transfer a second that all routers together may send to a server."""
         return self.fleet_limits(now, started_at, power, largest_s)[0]
 
     def forget_credit(self, c: int, now: float) -> None:
-        """Begins anew for a server that has just lost what it held: nothing is saved from before."""
+        """Begin anew for a server that has just lost what it held: nothing is saved from before."""
         self.credited_at[c] = now
         self.credit[c] = 0.0
 
@@ -94,9 +99,10 @@
         chance: Random,
         reserve: float = 0.0,
     ) -> bool:
-        """Returns whether `work` seconds of transfer may go to a server now, and spends them if so.
+        """Return whether `work` seconds of transfer may go to a server now, and spends them if so.
 
-        `reserve` is the part of what may be saved that is left to others; below 0 the caller may borrow as much.
+        `reserve` is the part of what may be saved that is left to others; below 0 the caller may borrow as
+        much.
         """
         if not self.is_limited(now, started_at):
             return True
@@ -117,6 +123,12 @@
         self.credit[c] = credit - risk
         return chance.random() * work < risk
 
+    def record_demand(self, c: int, now: float, work: float, is_admitted: bool) -> None:
+        """Take note of work that was wanted of a server, admitted or not.
+
+        A budget that is not shared has no use for it.
+        """
+
     def _own_limits(
         self, c: int, now: float, started_at: float, power: float, largest_s: float
     ) -> tuple[float, float]:
@@ -126,7 +138,7 @@
         return share * rate, share * window_work
 
     def _collect(self, c: int, now: float, rate: float, max_credit: float) -> float:
-        """Adds what has come in since the last call; returns the credit, and keeps what is still owed."""
+        """Add what has come in since the last call; return the credit, and keeps what is still owed."""
         debt = self.debt.get(c, 0.0)
         income = rate * (now - self.credited_at.get(c, now))
         repaid = max(0.0, min(debt, REPAYMENT_SHARE * income))
--- a/brookhinge/decisions/throughput.py
+++ b/brookhinge/decisions/throughput.py
@@ -10,14 +10,17 @@
 
 
 class ThroughputEstimate:
-    """Work that warm servers of each role did lately: what they do on the mean is what their like can do at least."""
+    """Work that warm servers of each role did lately.
+
+    What they do on the mean is what their like can do at least.
+    """
 
     def __init__(
         self,
         endpoints: EndpointTable,
         slow_start: dict[ServerRole, SlowStartBudget],
         weights_known: bool,
-    ):
+    ) -> None:
         """`weights_known` tells whether a weight in the endpoint list says what a server does."""
         self._endpoints = endpoints
         self._slow_start = slow_start
@@ -27,7 +30,7 @@
         ] = {}  # (when, seconds of transfer, server-seconds)
 
     def record_work(self, c: int, now: float, work: float) -> None:
-        """Counts seconds of transfer done by a server, if it is warm."""
+        """Count seconds of transfer done by a server, if it is warm."""
         role = self._endpoints.role[c]
         budget = self._slow_start.get(role)
         if budget is not None and not budget.is_warming_up(now, self._endpoints.warming_since[c]):
@@ -35,11 +38,11 @@
             self._work[role] = now, total + work, server_seconds
 
     def known_weight(self, c: int) -> float:
-        """Returns a server's weight; 0 where weights say nothing."""
+        """Return a server's weight; 0 where weights say nothing."""
         return self._weights_known * self._endpoints.weight[c]
 
     def power(self, c: int, now: float) -> float:
-        """Returns how many transfers at once a server does when warm: told, or a low guess from its peers."""
+        """Return how many transfers at once a server does when warm: told, or a low guess from its peers."""
         weight = self._endpoints.weight[c]
         if self._weights_known and weight > 0:
             return weight
@@ -51,7 +54,10 @@
         )
 
     def _lately(self, role: ServerRole, now: float) -> tuple[float, float, float]:
-        """Decayed work of warm servers, the server-seconds in which it was done, and those of the servers warm now."""
+        """Return decayed work of warm servers, and the server-seconds in which it was done.
+
+        The third figure is the server-seconds of the servers that are warm now.
+        """
         last, total, server_seconds = self._work.get(role, (now, 0.0, 0.0))
         decay = math.exp((last - now) / AVERAGING_S)
         if role is ServerRole.PARENT:
--- a/brookhinge/limits/shared.py
+++ b/brookhinge/limits/shared.py
@@ -1,10 +1,10 @@
-"""The decisions where limits are shared: the same budgets, with quotas that are assigned and demand that is counted.
+"""The decisions where limits are shared.
 
-A quota belongs to one start of a server; of another start, or of a limit that no quota was assigned of, a router has its own
-part, one of N. No I/O, no clock.
-"""
+The same budgets, with quotas that are assigned and demand that is counted.
 
-from typing import Any
+A quota belongs to one start of a server; of another start, or of a limit that no quota was assigned of, a
+router has its own part, one of N. No I/O, no clock.
+"""
 
 from brookhinge.decisions.concurrency import (
     MIN_WEIGHT_SHARE,
@@ -12,7 +12,7 @@
     ConcurrencyLimiter,
 )
 from brookhinge.decisions.endpoints import ServerRole
-from brookhinge.decisions.messages import QuotasAssigned
+from brookhinge.decisions.messages import QuotasAssigned, RouterMessage
 from brookhinge.decisions.rules import SEND_STATE
 from brookhinge.decisions.settings import SlowStart
 from brookhinge.decisions.slow_start import SlowStartBudget
@@ -25,7 +25,7 @@
 class SharedSlowStartBudget(SlowStartBudget):
     """A budget with a quota for each server, that counts what is asked of it."""
 
-    def __init__(self, start: SlowStart, routers: int):
+    def __init__(self, start: SlowStart, routers: int) -> None:
         """As the plain budget."""
         super().__init__(start, routers)
         self.quotas: dict[int, tuple[float | None, float]] = {}  # of each server: (its start, quota)
@@ -34,29 +34,24 @@
         self._refused_at: float | None = None
 
     def forget(self, c: int) -> None:
-        """Drops what is known of a server."""
+        """Drop what is known of a server."""
         super().forget(c)
         self.quotas.pop(c, None)
         self.asked.pop(c, None)
 
     def share(self, c: int, started_at: float | None) -> float:
-        """Returns the quota for that start of a server, else the router's own part."""
+        """Return the quota for that start of a server, else the router's own part."""
         quota = self.quotas.get(c)
         return quota[1] if quota and quota[0] == started_at else self.own_share / self.routers
 
-    def admits(self, c: int, *, now: float, work: float, **other: Any) -> bool:
-        """As the plain budget, and counts the demand.
-
-        What a server refuses is wanting there, not at those asked in its place.
-        """
-        is_admitted = super().admits(c, now=now, work=work, **other)
+    def record_demand(self, c: int, now: float, work: float, is_admitted: bool) -> None:
+        """Count the demand. What a server refuses is wanting there, not at those asked in its place."""
         if is_admitted or self._refused_at != now:
             self.asked[c] = self.asked.get(c, 0.0) + work
         self._refused_at = None if is_admitted else now
-        return is_admitted
 
     def settle(self, c: int, *, now: float, started_at: float, power: float, largest_s: float) -> None:
-        """Saves what came up to now, at the quota that held till now."""
+        """Save what came up to now, at the quota that held till now."""
         if c in self.credited_at:
             rate = self.fleet_rate(now, started_at, power, largest_s) * self.share(c, started_at)
             income = rate * (now - self.credited_at[c])
@@ -67,7 +62,7 @@
 class SharedConcurrencyLimiter(ConcurrencyLimiter):
     """A limiter with a quota for each server, that notes the most that was wanted."""
 
-    def __init__(self, routers: int):
+    def __init__(self, routers: int) -> None:
         """As the plain limiter."""
         super().__init__(routers)
         self.quotas: dict[int, tuple[float | None, float]] = {}  # of each server: (its start, quota)
@@ -75,13 +70,13 @@
         self.own_share = 0.0
 
     def forget(self, c: int) -> None:
-        """Drops what is known of a server."""
+        """Drop what is known of a server."""
         super().forget(c)
         self.quotas.pop(c, None)
         self.peaks.pop(c, None)
 
     def share(self, c: int) -> float:
-        """Returns the quota for a server, else the router's own part."""
+        """Return the quota for a server, else the router's own part."""
         return self.quotas[c][1] if c in self.quotas else self.own_share / self.routers
 
     def has_capacity(self, c: int, in_flight: int, share: float, weight: float = 0.0) -> bool:
@@ -93,23 +88,23 @@
 
 
 class Sharing:
-    """Goes before Router: it also takes `QuotasAssigned`, and `demand` tells what was asked since the last call."""
+    """Goes before Router: it also takes `QuotasAssigned`, and `demand` tells what was asked."""
 
-    def __init__(self, *args: Any, **named: Any):
+    def __init__(self, *args: object, **named: object) -> None:
         """As the router."""
         super().__init__(*args, **named)
         self._demand_told_at = 0.0
 
     def create_slow_start_budget(self, start: SlowStart, routers: int) -> SharedSlowStartBudget:
-        """Makes a budget with quotas."""
+        """Make a budget with quotas."""
         return SharedSlowStartBudget(start, routers)
 
     def create_concurrency_limiter(self, routers: int) -> SharedConcurrencyLimiter:
-        """Makes a limiter with quotas."""
+        """Make a limiter with quotas."""
         return SharedConcurrencyLimiter(routers)
 
-    def handle(self, message: Any) -> None:
-        """Handles one message."""
+    def handle(self, message: RouterMessage) -> None:
+        """Handle one message."""
         if isinstance(message, QuotasAssigned):
             for quota in message.quotas:
                 self._assign(*quota)
@@ -117,9 +112,10 @@
             super().handle(message)
 
     def _assign(self, kind: str, server: int | str, started_at: float | None, quota: float | None) -> None:
-        """Takes one quota; None gives the router its own part again.
+        """Take one quota; None gives the router its own part again.
 
-        Of kind "own" it is the part that the router has by itself of all limits without a quota, 0 to 1 times one of N.
+        Of kind "own" it is the part that the router has by itself of all limits without a quota, 0 to 1
+        times one of N.
         """
         if kind == OWN_SHARE:
             for limit in (self.concurrency, *self.slow_start.values()):
@@ -139,10 +135,10 @@
             limit.quotas.pop(c, None)
 
     def demand(self, now: float) -> list[tuple]:
-        """Returns (kind, server, started_at, rate, fleet rate) of each limit that was asked for; begins anew to count.
+        """Return (kind, server, started_at, rate, fleet rate) of each limit asked for since the last call.
 
-        Rates are seconds of transfer a second, the fleet's is 0 where the server is warm. Of concurrency limits it is the
-        share of a server that was wanted at most, and 1.
+        Rates are seconds of transfer a second, the fleet's is 0 where the server is warm. Of concurrency
+        limits it is the share of a server that was wanted at most, and 1.
         """
         endpoints = self.endpoints
         elapsed_s = max(MIN_DEMAND_SPAN_S, now - self._demand_told_at)
--- a/brookhinge/verdicts/shared.py
+++ b/brookhinge/verdicts/shared.py
@@ -1,14 +1,13 @@
 """The decisions where outlier evidence is shared.
 
-Tries and failures of caches are counted for the peers, and what follows from all routers' evidence comes in beside the router's
-own. No I/O, no clock.
+Tries and failures of caches are counted for the peers, and what follows from all routers' evidence comes in
+beside the router's own. No I/O, no clock.
 """
 
 from collections.abc import Sequence
 from random import Random
-from typing import Any
 
-from brookhinge.decisions.messages import AttemptEnded, OutlierVerdictsChanged
+from brookhinge.decisions.messages import AttemptEnded, OutlierVerdictsChanged, RouterMessage
 from brookhinge.decisions.outliers import EJECTION_S, OutlierEjector
 from brookhinge.decisions.rules import NEVER, SEND_STATE, AttemptResult
 from brookhinge.verdicts.verdicts import RAMP
@@ -25,7 +24,7 @@
 class FleetOutlierEjector(OutlierEjector):
     """Ejects by the fleet's evidence too: such a server gets one request a turn, then more by and by."""
 
-    def __init__(self, chance: Random):
+    def __init__(self, chance: Random) -> None:
         """`chance` draws which requests come back during a ramp."""
         super().__init__()
         self.counts: dict[int, tuple[int, float]] = {}  # (tries, failures) of this process
@@ -36,7 +35,7 @@
         self._turns_used: dict[int, float] = {}  # the end of the turn in which a server was tried
 
     def forget(self, c: int) -> None:
-        """Drops what is known of a server."""
+        """Drop what is known of a server."""
         super().forget(c)
         for figures in (self.counts, self.verdicts, self._turns_used):
             figures.pop(c, None)
@@ -50,7 +49,7 @@
         return super().observe(c, now, failed, weight, peers)
 
     def apply(self, c: int, verdict: str, now: float, until: float) -> None:
-        """Takes a verdict on a server."""
+        """Take a verdict on a server."""
         if verdict == WELL:
             self.verdicts.pop(c, None)
             self.ejected_until.pop(c, None)
@@ -62,7 +61,7 @@
             self.ejected_until.setdefault(c, now)
 
     def is_eligible(self, c: int, now: float) -> bool:
-        """Whether a server may be asked, by the fleet's verdict while that holds, else as the plain ejector."""
+        """Whether a server may be asked, by the fleet's verdict or else as the plain ejector."""
         verdict, until = self.verdicts.get(c, (None, 0.0))
         if verdict is None or now >= until:
             return super().is_eligible(c, now)
@@ -76,11 +75,11 @@
     """Goes before Router: it also takes `OutlierVerdictsChanged`, and `seen` tells totals of this process."""
 
     def create_cache_ejector(self) -> FleetOutlierEjector:
-        """Makes the ejector that takes the fleet's verdicts."""
+        """Make the ejector that takes the fleet's verdicts."""
         return FleetOutlierEjector(self.chance)
 
-    def handle(self, message: Any) -> None:
-        """Handles one message."""
+    def handle(self, message: RouterMessage) -> None:
+        """Handle one message."""
         if isinstance(message, OutlierVerdictsChanged):
             for server, verdict, seconds in message.verdicts:
                 c = self.endpoints.index.get(server)
@@ -95,7 +94,7 @@
         super().on_attempt_ended(end)
 
     def seen(self) -> list[tuple]:
-        """Returns (server, started_at, tries, failures) of caches, since they were last entered."""
+        """Return (server, started_at, tries, failures) of caches, since they were last entered."""
         return [
             (self.endpoints.ids[c], self.endpoints.started_at[c], *counts)
             for c, counts in self.cache_outliers.counts.items()
--- a/brookhinge/wire/codec.py
+++ b/brookhinge/wire/codec.py
@@ -96,7 +96,7 @@
         bits = join + 2 * held_only + 8 * renew
         age = max(1, int(age_s / NS)) if age_s > 0 else 0
         self.lines.append(
-            f"FETCH_THROUGH {self.tid[query]} {cache} {self.clock(until)} {source} {rank} {age} {bits}"
+            f"FETCH_THROUGH {self.tid[query]} {cache} {self.clock(until)} {source} {int(rank)} {age} {bits}"
         )
 
     def reject(self, query, retry_after_s, reason=None):
@@ -127,14 +127,14 @@
             self.tid[serial], self.serial[v[0]], self.out[serial] = v[0], serial, (0, False)
             add(
                 RequestArrived(
-                    request_id=serial,
-                    request_class=self.tracks[v[2]],
-                    key=v[7],
-                    part=optional(v[1], line, "a part"),
-                    group=optional(v[6], line, "a group"),
-                    size_kb=optional(v[8], line, "a size", float),
-                    is_write=v[5] == "1",
-                    timeout_s=optional(v[9], line, "a time budget") * NS,
+                    serial,
+                    self.tracks[v[2]],
+                    v[7],
+                    optional(v[1], line, "a part"),
+                    optional(v[6], line, "a group"),
+                    optional(v[8], line, "a size", float),
+                    v[5] == "1",
+                    optional(v[9], line, "a time budget") * NS,
                 )
             )
         elif word == "OUTCOME":
@@ -148,13 +148,13 @@
             number(v[1], line, "a push")
             add(
                 AttemptEnded(
-                    request_id=serial,
-                    server=number(v[2], line, "a cache server"),
-                    result=RESULTS[v[3]],
-                    took_s=number(v[4], line, "a duration") * NS,
-                    is_final=ended,
-                    note=optional(v[6], line, "a note"),
-                    waited_s=optional(v[7], line, "a duration") * NS,
+                    serial,
+                    number(v[2], line, "a cache server"),
+                    RESULTS[v[3]],
+                    number(v[4], line, "a duration") * NS,
+                    ended,
+                    optional(v[6], line, "a note"),
+                    optional(v[7], line, "a duration") * NS,
                 )
             )
             self.check_load(v[8], line)
