--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -16,7 +16,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from benchmarks import kept
-from brookhinge.limits.terms import START
+from brookhinge.limits.lease_terms import START_S
 from brookhinge.standin.load import Load, uneven
 from brookhinge.standin.rig import Rig
 from brookhinge.standin.sharing import COLD, Fleet
@@ -46,13 +46,13 @@
         super().__init__(*args, **named)
         self.sent_cold, self.sent_bad, self.left_at, self.bad = 0.0, [], None, None
 
-    def pull(self, n, query, push, server, *rest):
-        box = self.boxes[server[0]] if server[0] in self.boxes else None
+    def pull(self, n, effect):
+        box = self.boxes.get(effect.server.server)
         if box is not None and box.born is not None and CALM < self.now < CALM + SPAN:
             self.sent_cold += self.work
         if box is not None and box.name == self.bad:
             self.sent_bad.append(self.now)
-        super().pull(n, query, push, server, *rest)
+        super().pull(n, effect)
 
     def fail(self, name, part):
         self.bad, self.boxes[name].fails = name, part
@@ -139,7 +139,7 @@
         ) as rig:
             await rig.until(rig.one_view, 60.0)
             async with Load(rig, uneven(rig, 40.0, 1.0)):
-                await asyncio.sleep(START + 1.0)
+                await asyncio.sleep(START_S + 1.0)
                 await rig.cold(*rig.box_names)
                 began = time.monotonic()
                 await asyncio.sleep(seconds)
--- a/benchmarks/soak/server.py
+++ b/benchmarks/soak/server.py
@@ -9,7 +9,9 @@
 from typing import NamedTuple
 
 from benchmarks.soak import process, world
-from brookhinge.box import wire
+from brookhinge.cache_server import protocol
+from brookhinge.engine.effects import SendAttempt
+from brookhinge.engine.endpoints import ServerInstance
 from brookhinge.net import cachewire
 
 READ = 1 << 16
@@ -59,7 +61,7 @@
     # connections
 
     async def session(self, reader, writer):
-        commands, tasks = wire.Commands(), {}
+        commands, tasks = protocol.Commands(), {}
         try:
             while data := await reader.read(READ):
                 for command, name, *rest in commands.feed(data):
@@ -68,7 +70,7 @@
                     elif command == "kill" and name in tasks:
                         tasks.pop(name).cancel()
                     elif command == "echo":
-                        writer.write(wire.answer(name, b"well"))
+                        writer.write(protocol.answer(name, b"well"))
         except (ConnectionError, cachewire.UnreadableError):
             pass
         finally:
@@ -79,15 +81,15 @@
     async def answer(self, writer, name, raw, body):
         try:
             word, fields, data = await self.serve(name, raw)
-        except wire.Unusable:
+        except protocol.Unusable:
             word, fields, data = b"failed", [], b""
         if not writer.is_closing():
-            writer.write(wire.answer(name, word, fields, data))
+            writer.write(protocol.answer(name, word, fields, data))
 
     # requests
 
     async def serve(self, name, raw):
-        pull = wire.read_pull(raw)
+        pull = protocol.read_pull(raw)
         kind = world.KINDS.get(pull.sort.decode(), world.KINDS["page"])
         if self.chance.random() < self.refuse_rate:
             return b"full", [], b""
@@ -203,20 +205,25 @@
         patience_s = min(pull.patience_s, world.LONGEST_S)
         tag = b"%b.%d" % (name, len(self.waiting)) if name in self.waiting else name
         self.waiting[tag] = future = asyncio.get_running_loop().create_future()
-        fetch = cachewire.Fetch(
-            request_class=pull.sort,
+        attempt = SendAttempt(
+            request_id=0,
+            attempt=1,
+            server=ServerInstance("", ("", 0), None),
+            client_request_id=tag,
+            class_name=pull.sort,
             object_key=pull.object,
             part=b"%d" % pull.part,
-            source=beyond,
-            rank=0,
+            deadline=0.0,
+            fill_from=beyond,
+            retention=0,
             max_age_s=accept_s,
             joins_fill=True,
             cached_only=pull.local,
-            revalidate=False,
+            revalidates=False,
             known_version=None,
             body=b"",
         )
-        self.writer.write(cachewire.encode_pull(tag, fetch, patience_s))
+        self.writer.write(cachewire.encode_pull(attempt, patience_s))
         try:
             return await asyncio.wait_for(future, patience_s)
         except asyncio.CancelledError:
--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -12,27 +12,29 @@
 from typing import TYPE_CHECKING
 
 from brookhinge.decisions.router import Router
+from brookhinge.engine.effects import NotifyPeers
+from brookhinge.engine.events import Event
 from brookhinge.engine.reducer import Reducer
 from brookhinge.startup import Site
 
 if TYPE_CHECKING:
-    from brookhinge.membership.talk import Talk
-    from brookhinge.membership.tight import Tight
-    from brookhinge.operator.schema import Control, Fleet
+    from brookhinge.membership.safety_notices import SafetyNotices
+    from brookhinge.membership.udp_transport import UdpTransport
+    from brookhinge.operator.settings import Control, Fleet
     from brookhinge.purgelog.client import LogClient
 
 JOIN_RETRY_S = 0.05  # between two tries to bind the address that the process before still holds
 
 
-def safety_notices(started_at: float) -> Tight:
+def safety_notices(started_at: float) -> SafetyNotices:
     """Return the store of what peers tell that tightens a rule.
 
     Args:
         started_at: When this router started, in Unix seconds.
     """
-    from brookhinge.membership.tight import Tight
+    from brookhinge.membership.safety_notices import SafetyNotices
 
-    return Tight(started_at)
+    return SafetyNotices(started_at)
 
 
 def router_class(fleet: Fleet | None) -> type[Router]:
@@ -71,19 +73,19 @@
         *,
         site: Site,
         reducer: Reducer,
-        post: Callable[[str, tuple], None],
+        post: Callable[[Event], None],
         log: Callable[..., None],
     ) -> None:
-        from brookhinge.membership.talk import Talk
+        from brookhinge.membership.udp_transport import UdpTransport
 
-        place = site.decisions["location"]
+        place = site.decisions.location
         configured_sizes = (place.routers_here, place.routers)
         self._fleet = fleet
         self._reducer = reducer
         self._log = log
-        self._talk: Talk = Talk(fleet, site.seed, configured_sizes, post, log)
+        self._talk: UdpTransport = UdpTransport(fleet, site.seed, configured_sizes, post, log)
         self._purge_log: LogClient | None = None
-        self.before_round = [self._talk.before]
+        self.before_round = [self._talk.before_engine_round]
         if fleet.share_limits:
             self._share_limits()
         if fleet.share_memory:
@@ -102,17 +104,17 @@
                 self._fleet.name,
                 self._fleet.zone,
                 talk.peer.version,
-                lambda: talk.counted,
+                lambda: talk.fleet_size,
                 self._reducer.demand,
                 now,
             )
         )
 
     def _share_warm_start_state(self) -> None:
-        from brookhinge.membership.memory import Memory
+        from brookhinge.membership.warm_start import WarmStart
 
         self._talk.add(
-            lambda talk, now: Memory(
+            lambda talk, now: WarmStart(
                 talk.peer.view,
                 self._fleet.name,
                 self._fleet.zone,
@@ -123,38 +125,38 @@
         )
 
     def _share_outlier_evidence(self) -> None:
-        from brookhinge.verdicts.verdicts import Verdicts
+        from brookhinge.verdicts.outlier_detection import OutlierDetection
 
         servers = self._reducer.router.endpoints
         self._talk.add(
-            lambda talk, now: Verdicts(
+            lambda talk, now: OutlierDetection(
                 talk.peer.view,
                 self._fleet.name,
                 self._fleet.zone,
                 talk.peer.version,
-                lambda: talk.counted[0],
+                lambda: talk.fleet_size.in_zone,
                 self._reducer.seen,
                 lambda: len(servers.local_caches),
                 now,
             )
         )
 
-    def _read_purge_log(self, controls: dict[str, Control], post: Callable[[str, tuple], None]) -> None:
+    def _read_purge_log(self, controls: dict[str, Control], post: Callable[[Event], None]) -> None:
         from brookhinge.purgelog.client import LogClient
 
         self._purge_log = self._talk.purge_log = LogClient(self._fleet, controls, post, self._log)
         self.before_round.append(self._purge_log.before)
 
-    def spread(self, kind: str, *values: object) -> None:
+    def spread(self, effect: NotifyPeers) -> None:
         """Tell the peers something that tightens a rule.
 
         Purges are left out where the settings say so, for as long as the purge log delivers them.
         """
         is_in_purge_log = (
-            kind == "purge" and self._purge_log is not None and self._purge_log.replaces_notices()
+            effect.kind == "purge" and self._purge_log is not None and self._purge_log.replaces_notices()
         )
         if not is_in_purge_log:
-            self._talk.spread(kind, *values)
+            self._talk.spread(effect.kind, *effect.values)
 
     async def join(self) -> None:
         """Begin to exchange messages with the peers and to read the purge log.
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -12,24 +12,38 @@
 from typing import TYPE_CHECKING
 
 from brookhinge.engine.commands import read_commands
+from brookhinge.engine.effects import (
+    CancelAttempt,
+    CloseClient,
+    FailRequest,
+    NotifyPeers,
+    RefuseCall,
+    RejectRequest,
+    Respond,
+    RetireServer,
+    SendAttempt,
+    WriteLog,
+    WriteTrace,
+)
+from brookhinge.engine.events import RequestReceived, ShutdownBegan
 from brookhinge.engine.invariants import Invariant
+from brookhinge.engine.lifecycle import Lifecycle, Phase
 from brookhinge.engine.log import Log
 from brookhinge.engine.loop_watch import LoopWatch, Stall
-from brookhinge.engine.phases import Phases
 from brookhinge.engine.reducer import Reducer
-from brookhinge.engine.rounds import Rounds
-from brookhinge.net.caches import Caches
+from brookhinge.engine.scheduler import EventScheduler
 from brookhinge.net.channel import Channel
+from brookhinge.net.client_connections import ClientConnections
 from brookhinge.net.fleet_wiring import FleetLink, router_class, safety_notices
-from brookhinge.net.front import Front
 from brookhinge.net.graceful_shutdown import GracefulShutdown
 from brookhinge.net.listener import RETRY_ACCEPT_S, SHORTAGES
 from brookhinge.net.metrics_report import MetricsReport
+from brookhinge.net.upstream_connections import UpstreamConnections
 from brookhinge.net.write_guard import WriteGuard
 from brookhinge.startup import Site
 
 if TYPE_CHECKING:
-    from brookhinge.operator.schema import Control, Fleet
+    from brookhinge.operator.settings import Control, Fleet
     from brookhinge.storm.gate import Gate
 
 RESERVED_DESCRIPTORS = 24  # neither clients nor cache servers take these
@@ -74,10 +88,10 @@
         self.steady_start = time.monotonic()
         self.watch = LoopWatch(self.now)
         self.watch.listeners.append(self._log_stall)
-        self.phases = Phases(self.log)
+        self.lifecycle = Lifecycle(self.log)
         self.reducer = self._build_reducer(fleet)
-        self.rounds = Rounds(self.reducer, self.watch, self.log, self.is_current)
-        self.post = self.rounds.post
+        self.scheduler = EventScheduler(self.reducer, self.watch, self.log, self.is_current)
+        self.post = self.scheduler.post
         self.gate = None
         upstream_sockets = site.bounds.sockets // 3
         client_sockets = max(
@@ -93,7 +107,7 @@
         self.write_guard = WriteGuard(
             now=self.now,
             reducer=self.reducer,
-            rounds=self.rounds,
+            scheduler=self.scheduler,
             command_channel=self.command_channel,
             client_connections=self.client_connections,
         )
@@ -108,12 +122,12 @@
         )
         self.shutdown = GracefulShutdown(
             now=self.now,
-            phases=self.phases,
+            lifecycle=self.lifecycle,
             has_open_work=self._has_open_work,
-            fail_open_requests=lambda: self.post("closing", ()),
+            fail_open_requests=lambda: self.post(ShutdownBegan()),
             client_connections=self.client_connections,
             longest_deadline_s=max(
-                request_class.timeout_s for request_class in site.decisions["request_classes"]
+                request_class.timeout_s for request_class in site.decisions.request_classes
             ),
         )
         self._join_effects()
@@ -121,26 +135,26 @@
         if fleet is not None:
             self.fleet_link = self._build_fleet_link(fleet, controls or {})
         for event in known_commands:
-            self.post(*event)
+            self.post(event)
 
     # construction
 
     def _build_reducer(self, fleet: Fleet | None) -> Reducer:
         decisions = self.site.decisions
-        request_classes = decisions["request_classes"]
+        request_classes = decisions.request_classes
         scores = lineage = returns = None
         if self._scores_interval_s:
             from brookhinge.engine.scores import Scores
 
-            scores = Scores(request_classes, decisions["fill_policy"].transfer_kb_s)
+            scores = Scores(request_classes, decisions.fill_policy.transfer_kb_s)
         if self.site.storm:
             from brookhinge.storm.lineage import Lineage
             from brookhinge.storm.plan import Returns
 
             lineage = Lineage()
-            returns = Returns(decisions["limits"].max_retry_after_s)
+            returns = Returns(decisions.limits.max_retry_after_s)
         router = router_class(fleet)(
-            self.site.seed, machine=self.site.bounds, retry_schedule=returns, **decisions
+            self.site.seed, machine=self.site.bounds, retry_schedule=returns, **decisions._asdict()
         )
         return Reducer(
             router,
@@ -157,52 +171,69 @@
 
         return Gate(client_sockets)
 
-    def _build_client_connections(self, sockets: int) -> Front:
-        return Front(
-            self.post,
-            self.log,
-            lambda: self.phases.well,
-            self.has_open_requests,
-            self.watch,
-            {
+    def _build_client_connections(self, sockets: int) -> ClientConnections:
+        return ClientConnections(
+            post=self.post,
+            log=self.log,
+            is_ready=lambda: self.lifecycle.is_ready,
+            has_open_requests=self.has_open_requests,
+            record_violation=self._record_violation,
+            watch=self.watch,
+            max_timeout_s={
                 request_class.name.encode(): request_class.timeout_s
-                for request_class in self.site.decisions["request_classes"]
+                for request_class in self.site.decisions.request_classes
             },
-            sockets,
-            self.site.bounds.memory_mb * 1024 * 1024 // CLIENT_MEMORY_SHARE,
-            self.gate,
-            self._record_violation,
-            self.tracer,
+            max_connections=sockets,
+            memory_limit_bytes=self.site.bounds.memory_mb * 1024 * 1024 // CLIENT_MEMORY_SHARE,
+            gate=self.gate,
+            trace=self.tracer,
         )
 
-    def _build_upstream_connections(self, sockets: int) -> Caches:
-        lines = self.site.lines
-        return Caches(
-            self.post,
-            self.log,
-            self.now,
-            self.start,
-            self.site.columns,
-            lines.connect_s,
-            lines.idle_s,
-            lines.multiplex,
-            sockets,
-            STALE_ATTEMPT_S,
-            self.write_guard.hold_reason,
-            self.tracer,
-            self.watch,
+    def _build_upstream_connections(self, sockets: int) -> UpstreamConnections:
+        return UpstreamConnections(
+            post=self.post,
+            log=self.log,
+            now=self.now,
+            started_at=self.start,
+            settings=self.site.upstream,
+            max_connections=sockets,
+            load_columns=self.site.columns,
+            max_wait_s=STALE_ATTEMPT_S,
+            hold_reason=self.write_guard.hold_reason,
+            trace=self.tracer,
+            watch=self.watch,
         )
 
     def _build_fleet_link(self, fleet: Fleet, controls: dict[str, Control]) -> FleetLink:
         link = FleetLink(fleet, controls, site=self.site, reducer=self.reducer, post=self.post, log=self.log)
-        self.rounds.before.extend(link.before_round)
-        self.rounds.join(link, "spread")
+        self.scheduler.before_round.extend(link.before_round)
+        self.scheduler.register({NotifyPeers: link.spread})
         return link
 
     def _join_effects(self) -> None:
-        self.rounds.join(self.client_connections, "satisfy", "nack", "error", "reject", "shut")
-        self.rounds.join(self.upstream_connections, "pull", "kill", "retire")
-        self.rounds.join(self, "say", "trace")
+        clients = self.client_connections
+        upstream = self.upstream_connections
+        self.scheduler.register(
+            {
+                Respond: clients.respond,
+                RejectRequest: clients.reject,
+                FailRequest: clients.fail,
+                RefuseCall: clients.refuse_call,
+                CloseClient: clients.close_client,
+            },
+            on_failed=clients.drop_after_failure,
+        )
+        self.scheduler.register(
+            {SendAttempt: upstream.send_attempt}, on_failed=upstream.end_failed, on_stale=upstream.end_stale
+        )
+        self.scheduler.register(
+            {
+                CancelAttempt: upstream.cancel_attempt,
+                RetireServer: upstream.retire_server,
+                WriteLog: self.say,
+                WriteTrace: self.trace,
+            }
+        )
 
     # what the parts ask
 
@@ -216,7 +247,7 @@
     def has_open_requests(self, client: int) -> bool:
         """Return whether a client has requests open, those included that the next round takes."""
         return client in self.reducer.clients or any(
-            method == "query" and values[0] == client for method, values in self.rounds.events
+            isinstance(event, RequestReceived) and event.client == client for event in self.scheduler.events
         )
 
     def is_current(self) -> bool:
@@ -227,17 +258,17 @@
         return self.reducer.closed or self.command_channel.is_current()
 
     def _has_open_work(self) -> bool:
-        return bool(self.rounds.events or self.reducer.queries or self.client_connections.listener.open)
+        return bool(self.scheduler.events or self.reducer.queries or self.client_connections.listener.open)
 
     # effects
 
-    def say(self, event: str, values: dict[str, object]) -> None:
-        """Carry out the effect `say`: a line of the log."""
-        self.log(event, **values)
+    def say(self, effect: WriteLog) -> None:
+        """Write a line of the log."""
+        self.log(effect.event, **effect.values)
 
-    def trace(self, step: str, ref: str, values: dict[str, object]) -> None:
-        """Carry out the effect `trace`: a step of a request."""
-        self.tracer(step, ref, **values)
+    def trace(self, effect: WriteTrace) -> None:
+        """Write a step of a request to the trace."""
+        self.tracer(effect.step, effect.client_request_id, **effect.values)
 
     def _log_stall(self, stall: Stall) -> None:
         self.log(
@@ -263,11 +294,11 @@
         """
         asyncio.get_running_loop().set_exception_handler(self._log_loop_exception)
         self.watch.begin()
-        self.rounds.open()  # what is known at the start comes before the first request
+        self.scheduler.open()  # what is known at the start comes before the first request
         host, port = await self._listen()
         if self.fleet_link is not None and self._listener_fd is None:
             await self.fleet_link.join()
-        self.phases.step("ready")
+        self.lifecycle.advance(Phase.READY)
         gc.collect()
         gc.freeze()
         tasks = self._start_tasks()
@@ -279,7 +310,7 @@
             task.cancel()
         await self._close()
         self.log("totals", **self.metrics.counts(), **self.metrics.reasons())
-        self.phases.step("ended")
+        self.lifecycle.advance(Phase.ENDED)
 
     async def _listen(self) -> tuple[str, int]:
         """Return the address on which clients are accepted.
@@ -310,7 +341,7 @@
             due = self.now() + SWEEP_INTERVAL_S
             await asyncio.sleep(SWEEP_INTERVAL_S)
             self.watch.tick()
-            if not self.rounds.is_behind():  # else what is late may lie there unread
+            if not self.scheduler.is_catching_up():  # else what is late may lie there unread
                 self.upstream_connections.sweep()
                 self.client_connections.sweep()
             if self.gate is not None:
@@ -335,9 +366,9 @@
 
     async def _close(self) -> None:
         self.command_channel.close()
-        self.rounds.finish()
+        self.scheduler.finish()
         self.client_connections.listener.close()
         await self.client_connections.end(self.shutdown.last_read_at())
-        self.upstream_connections.end_all()
+        self.upstream_connections.close_all()
         if self.fleet_link is not None:
             await self.fleet_link.leave()
--- a/brookhinge/net/write_guard.py
+++ b/brookhinge/net/write_guard.py
@@ -3,11 +3,12 @@
 from collections.abc import Callable
 
 from brookhinge.decisions.rules import HeldBack
+from brookhinge.engine.effects import SendAttempt
+from brookhinge.engine.events import EndpointsListed, ObjectsPurged
 from brookhinge.engine.reducer import Reducer
-from brookhinge.engine.rounds import Rounds
-from brookhinge.net.caches import Decided
+from brookhinge.engine.scheduler import EventScheduler
 from brookhinge.net.channel import Channel
-from brookhinge.net.front import Front
+from brookhinge.net.client_connections import ClientConnections
 
 MIN_TIME_LEFT_S = 0.002  # an attempt with less time than this cannot be answered in time
 
@@ -25,25 +26,25 @@
         *,
         now: Callable[[], float],
         reducer: Reducer,
-        rounds: Rounds,
+        scheduler: EventScheduler,
         command_channel: Channel,
-        client_connections: Front,
+        client_connections: ClientConnections,
     ) -> None:
         self._now = now
         self._reducer = reducer
-        self._rounds = rounds
+        self._scheduler = scheduler
         self._command_channel = command_channel
         self._client_connections = client_connections
 
-    def hold_reason(self, decided: Decided) -> HeldBack | None:
+    def hold_reason(self, attempt: SendAttempt) -> HeldBack | None:
         """Return why the attempt may not be written at this very moment, or None if it may."""
-        if decided.until - self._now() < MIN_TIME_LEFT_S:
+        if attempt.deadline - self._now() < MIN_TIME_LEFT_S:
             return HeldBack.NO_TIME
-        reason = self._reducer.held_back(decided.query, decided.push)
+        reason = self._reducer.held_back(attempt.request_id, attempt.attempt)
         if reason is not None:
             return reason
-        if not self._rounds.knows_all():
+        if not self._scheduler.is_caught_up():
             return HeldBack.STALLED
-        if self._command_channel.has_unread() or self._rounds.has_posted("listed", "purged"):
+        if self._command_channel.has_unread() or self._scheduler.has_posted(EndpointsListed, ObjectsPurged):
             return HeldBack.LIST_UNREAD
-        return self._client_connections.held_back(*self._reducer.asker(decided.query))
+        return self._client_connections.hold_reason(*self._reducer.asker(attempt.request_id))
--- a/brookhinge/purgelog/batching.py
+++ b/brookhinge/purgelog/batching.py
@@ -1,20 +1,27 @@
 """Batches cut to the size of datagrams."""
 
-from brookhinge.purgelog.messages import Batch
+from brookhinge.purgelog.messages import Batch, Entry
 
 ENTRY_BYTES = 24  # of an entry beside its text, and of a batch beside its entries, at most
 BATCH_BYTES = 40
 
 
-def entry_bytes(entry):
+def entry_bytes(entry: Entry) -> int:
+    """Return an upper bound of an entry's encoded size in bytes."""
     return ENTRY_BYTES + 4 * len(entry.text) if not entry.text.isascii() else ENTRY_BYTES + len(entry.text)
 
 
-def split(batches, room):
-    """Lists of batches in order, each at most `room` bytes when encoded; an entry longer than that goes by itself."""
-    datagrams, current, left = [], [], room
+def split(batches: list[Batch], room: int) -> list[list[Batch]]:
+    """Divide batches into datagrams of at most `room` encoded bytes, in order.
+
+    An entry longer than that goes by itself.
+    """
+    datagrams = []
+    current = []
+    left = room
     for batch in batches:
-        entries, index = [], batch.after_index
+        entries = []
+        index = batch.after_index
         epoch_before = batch.after_epoch
         left -= BATCH_BYTES
         for entry in batch.entries:
@@ -22,9 +29,12 @@
             if size > left and (entries or current):
                 if entries:
                     current.append(Batch(batch.source, batch.epoch, epoch_before, index, entries))
-                    index, epoch_before = index + len(entries), batch.epoch
+                    index = index + len(entries)
+                    epoch_before = batch.epoch
                 datagrams.append(current)
-                entries, current, left = [], [], room - BATCH_BYTES
+                entries = []
+                current = []
+                left = room - BATCH_BYTES
             entries.append(entry)
             left -= size
         if entries or not batch.entries:
--- a/brookhinge/verdicts/shared.py
+++ b/brookhinge/verdicts/shared.py
@@ -10,7 +10,7 @@
 from brookhinge.decisions.messages import AttemptEnded, OutlierVerdictsChanged, RouterMessage
 from brookhinge.decisions.outliers import EJECTION_S, OutlierEjector
 from brookhinge.decisions.rules import NEVER, SEND_STATE, AttemptResult
-from brookhinge.verdicts.verdicts import RAMP
+from brookhinge.verdicts.outlier_detection import RAMP_S
 
 FIRST_SHARE = 0.1  # of the requests that come back at once when an ejection ends; the rest over the ramp
 
@@ -68,7 +68,7 @@
         if verdict == TRIAL:
             is_probe_due = now - self.probed_at.get(c, NEVER) >= EJECTION_S
             return self._turns_used.get(c) != until and is_probe_due
-        return verdict == RAMP_UP and self._chance.random() < max(FIRST_SHARE, 1.0 - (until - now) / RAMP)
+        return verdict == RAMP_UP and self._chance.random() < max(FIRST_SHARE, 1.0 - (until - now) / RAMP_S)
 
 
 class Judging:
