--- a/brookhinge/decision_settings.py
+++ b/brookhinge/decision_settings.py
@@ -52,7 +52,7 @@
 
 
 class DecisionSettings(NamedTuple):
-    """The settings of `brookhinge.decisions.router.Router`, by the names of its arguments. Times are seconds."""
+    """The settings of `Router` in `brookhinge/decisions/router.py`, by the names of its arguments. Times are seconds."""
 
     request_classes: list[RequestClass]
     location: Location
@@ -115,8 +115,8 @@
     )
 
 
-def read_load_columns(settings: SettingsReader) -> list[str]:
-    """Read the columns of a load report, as servers name them."""
+def read_report_columns(settings: SettingsReader) -> list[str]:
+    """Return the columns of a load report, as servers name them."""
     columns = settings.get_object("Report", {}).get_texts("Columns")
     return [REPORT_COLUMNS.get(column, column) for column in columns]
 
