--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -73,14 +73,14 @@
 
 
 def body_wrong():
-    from msgspec import structs
+    from dataclasses import replace
 
     from brookhinge.net.client_connections import ClientConnections
 
     real = ClientConnections.respond
     ClientConnections.respond = lambda self, effect: real(
         self,
-        structs.replace(effect, body=effect.body[:-1] if chance.random() < 0.01 else effect.body),
+        replace(effect, body=effect.body[:-1] if chance.random() < 0.01 else effect.body),
     )
 
 
--- a/tests/net/test_wire_bytes.py
+++ b/tests/net/test_wire_bytes.py
@@ -1,7 +1,8 @@
 """The exact bytes that the router writes on each wire, as literals."""
 
+import dataclasses
+
 import pytest
-from msgspec import structs
 
 from brookhinge.engine.effects import SendAttempt
 from brookhinge.engine.endpoints import ServerInstance
@@ -122,7 +123,7 @@
     [
         (
             cachewire.encode_pull(
-                structs.replace(
+                dataclasses.replace(
                     PLAIN_ATTEMPT,
                     part=b"03",
                     fill_from="s-11",
@@ -145,7 +146,7 @@
         ),
         (
             cachewire.encode_pull(
-                structs.replace(
+                dataclasses.replace(
                     PLAIN_ATTEMPT, class_name=b"order", max_age_s=0.0001, idempotency_key=b"1ff975"
                 ),
                 3.0,
@@ -154,7 +155,7 @@
         ),
         (
             cachewire.encode_pull(
-                structs.replace(
+                dataclasses.replace(
                     PLAIN_ATTEMPT, fill_from="s-01", retention=1, cached_only=True, skips_cache=True
                 ),
                 0.05,
