--- a/brookhinge/standin/sharing.py
+++ b/brookhinge/standin/sharing.py
@@ -1,4 +1,4 @@
-"""A fleet of routers that share limits and verdicts, or nothing, among modelled boxes in simulated time: the daemon's reducer,
+"""A fleet of routers that share limits and verdicts, or nothing, among modelled boxes in simulated time: the daemon's state,
 decisions and cores; wires and the news of the view are stood in for."""
 
 from brookhinge.decide import Router
@@ -14,7 +14,7 @@
     SlowStart,
 )
 from brookhinge.engine.events import ClientDisconnected, RequestReceived
-from brookhinge.engine.reducer import Reducer
+from brookhinge.engine.router_state import RouterState
 from brookhinge.limits.limits import Limits
 from brookhinge.limits.shared import Sharing
 from brookhinge.membership.claims import Claim, MemberState
@@ -74,7 +74,7 @@
         kinds = (Sharing, Judging, Router) if share else (Router,)
         kind = type("Router", kinds, {})
         self.routers = [
-            Reducer(
+            RouterState(
                 kind(
                     seed + n,
                     request_classes=(PAGES,),
@@ -89,8 +89,7 @@
                 ),
                 [b"pages"],
                 ["hub", "edge"],
-                None,
-                SafetyNotices(0.0),
+                safety_notices=SafetyNotices(0.0),
             )
             for n in range(routers)
         ]
@@ -100,19 +99,19 @@
             for k in range(routers):
                 claim = Claim(f"n{k}", k + 1, 1, 1, MemberState.ALIVE, "h", k + 1, "z", 1, 0.0)
                 view.apply(0.0, claim, "n0")
-            reducer, own = self.routers[n], self.routers[n].router.fleet
+            state, own = self.routers[n], self.routers[n].decisions.fleet
             self.views.append(view)
             self.writers.append(Writer(self, n))
             self.cores.append(
                 [
-                    Limits(view, f"n{n}", "z", 1, lambda: (routers, routers), reducer.demand, -60.0),
+                    Limits(view, f"n{n}", "z", 1, lambda: (routers, routers), state.fleet.demand, -60.0),
                     OutlierDetection(
                         view,
                         f"n{n}",
                         "z",
                         1,
                         lambda: routers,
-                        reducer.seen,
+                        state.fleet.seen,
                         lambda own=own: len(own.own),
                         0.0,
                     ),
