--- a/benchmarks/soak/server.py
+++ b/benchmarks/soak/server.py
@@ -13,6 +13,7 @@
 from brookhinge.engine.effects import SendAttempt
 from brookhinge.engine.endpoints import ServerInstance
 from brookhinge.net import cachewire
+from brookhinge.net.errors import UnreadableError
 
 READ = 1 << 16
 
@@ -71,7 +72,7 @@
                         tasks.pop(name).cancel()
                     elif command == "echo":
                         writer.write(protocol.encode_answer(name, b"well"))
-        except (ConnectionError, cachewire.UnreadableError):
+        except (ConnectionError, UnreadableError):
             pass
         finally:
             for task in tasks.values():
@@ -193,7 +194,7 @@
                     future = self.waiting.pop(name, None)
                     if future is not None and not future.done():
                         future.set_result((word, list(fields.items()), body))
-        except (ConnectionError, cachewire.UnreadableError):
+        except (ConnectionError, UnreadableError):
             pass
         self.closed = True
         self.writer.close()
--- a/brookhinge/cache_server/line_server.py
+++ b/brookhinge/cache_server/line_server.py
@@ -9,7 +9,7 @@
 
 from brookhinge.cache_server import protocol
 from brookhinge.cache_server.protocol import CommandKind, CommandSplitter, UnusableRequestError
-from brookhinge.net.cachewire import UnreadableError
+from brookhinge.net.errors import UnreadableError
 from brookhinge.net.listener import Listener
 from brookhinge.net.stream import Stream
 
--- a/brookhinge/cache_server/protocol.py
+++ b/brookhinge/cache_server/protocol.py
@@ -8,7 +8,8 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from brookhinge.net.cachewire import LineSplitter, UnreadableError, is_body_size, read_fields
+from brookhinge.net.cachewire import LineSplitter, is_body_size, read_fields
+from brookhinge.net.errors import UnreadableError
 
 _HEX_DIGITS = frozenset(b"0123456789abcdef")
 _OBJECT_KEY_DIGITS = 16
--- a/brookhinge/client/client.py
+++ b/brookhinge/client/client.py
@@ -9,6 +9,7 @@
 
 from brookhinge.client import backoff
 from brookhinge.net import thrift
+from brookhinge.net.errors import InvalidCallError, UnreadableError
 
 MAX_OPEN_REQUESTS = 30  # the router takes 32 on a connection
 DEAD_AFTER_S = 0.2  # after a request's timeout, until its connection is taken for dead
@@ -114,8 +115,8 @@
         except (
             ConnectionError,
             asyncio.IncompleteReadError,
-            thrift.UnreadableError,
-            thrift.InvalidCallError,
+            UnreadableError,
+            InvalidCallError,
             StopIteration,
         ):
             pass  # the connection has ended; open calls get GONE
@@ -128,7 +129,7 @@
     async def _read_response(self, reader: asyncio.StreamReader) -> None:
         (size,) = thrift.INT32.unpack(await reader.readexactly(thrift.INT32.size))
         if not 0 < size <= MAX_FRAME_BYTES:
-            raise thrift.UnreadableError(f"a frame of {size} bytes")
+            raise UnreadableError(f"a frame of {size} bytes")
         frame = thrift.Reader(await reader.readexactly(size))
         _, kind, number = thrift.read_message_header(frame)
         future = self._pending.pop(number, None)
--- a/brookhinge/net/cachewire.py
+++ b/brookhinge/net/cachewire.py
@@ -10,6 +10,7 @@
 
 from brookhinge.decisions.rules import AttemptResult
 from brookhinge.engine.effects import SendAttempt
+from brookhinge.net.errors import UnreadableError
 
 MAX_LINE_BYTES = 4096
 MAX_BODY_BYTES = 240_000
@@ -41,10 +42,6 @@
 NOTES = {name: number for number, name in enumerate(_NOTE_NAMES, 1)}
 
 
-class UnreadableError(Exception):
-    """Bytes that can't be read as this protocol; the connection they came on is closed."""
-
-
 class AnswerLine(NamedTuple):
     """An answer as it came."""
 
--- a/brookhinge/net/client_calls.py
+++ b/brookhinge/net/client_calls.py
@@ -12,6 +12,7 @@
 from brookhinge.engine.events import Event, RequestCancelled
 from brookhinge.net import client_protocol, thrift
 from brookhinge.net.client_connection import ClientConnection, Ending, ReceivedCall
+from brookhinge.net.errors import InvalidCallError, RefusedCallError, UnreadableError
 from brookhinge.net.receive_times import ReceiveTimes
 from brookhinge.net.request_validation import read_request
 
@@ -132,7 +133,7 @@
                 and self._connections.is_open(client)
             ):
                 self._carry_out(client, client.next_call())
-        except thrift.UnreadableError as error:
+        except UnreadableError as error:
             client.ending = Ending(CloseReason.UNREADABLE, f"unreadable: {error}")
             client.clear_calls()
         if client.queued_bytes <= MAX_QUEUED_BYTES:
@@ -142,7 +143,7 @@
     def _carry_out(self, client: ClientConnection, received: ReceivedCall) -> None:
         try:
             call = client_protocol.read_call(received.frame)
-        except client_protocol.CallError as error:
+        except RefusedCallError as error:
             self.refuse(client, error.reply)
             return
         match call.method:
@@ -152,7 +153,7 @@
             case client_protocol.SERVE:
                 try:
                     self._post_request(client, call, received.received_at)
-                except thrift.InvalidCallError as error:
+                except InvalidCallError as error:
                     reply = client_protocol.invalid_call(call.method, call.sequence_number, error)
                     self.refuse(client, reply)
                     return
--- a/brookhinge/net/client_protocol.py
+++ b/brookhinge/net/client_protocol.py
@@ -9,6 +9,7 @@
 from typing import NamedTuple
 
 from brookhinge.net import thrift
+from brookhinge.net.errors import InvalidCallError, RefusedCallError, UnreadableError
 
 SERVE = b"serve"
 CANCEL = b"forget"
@@ -40,36 +41,28 @@
     arguments: dict[int, object]
 
 
-class CallError(Exception):
-    """A call that can be read and not be carried out; `reply` answers it under its sequence number."""
-
-    def __init__(self, reply: bytes) -> None:
-        super().__init__("a call that cannot be carried out")
-        self.reply = reply
-
-
 def read_call(frame: bytes) -> Call:
     """Read a message of a client.
 
     Raises:
-        CallError: The method is unknown, or an argument has another type.
-        thrift.UnreadableError: The frame cannot be read, or nothing can be replied.
+        RefusedCallError: The method is unknown, or an argument has another type.
+        UnreadableError: The frame cannot be read, or nothing can be replied.
     """
     reader = thrift.Reader(frame)
     method, message_type, sequence_number = thrift.read_message_header(reader)
     try:
         if message_type != (thrift.ONEWAY if method == CANCEL else thrift.CALL):
-            raise thrift.InvalidCallError(thrift.WRONG_MESSAGE_TYPE, "expected another kind of message")
+            raise InvalidCallError(thrift.WRONG_MESSAGE_TYPE, "expected another kind of message")
         types = ARGUMENT_TYPES.get(method)
         if types is None:
-            raise thrift.InvalidCallError(thrift.UNKNOWN_METHOD, f"no method {method[:80].decode('latin-1')}")
+            raise InvalidCallError(thrift.UNKNOWN_METHOD, f"no method {method[:80].decode('latin-1')}")
         arguments = thrift.read_arguments(reader, types)
-    except thrift.InvalidCallError as error:
+    except InvalidCallError as error:
         if message_type == thrift.ONEWAY:
-            raise thrift.UnreadableError(str(error)) from None
-        raise CallError(invalid_call(method, sequence_number, error)) from None
+            raise UnreadableError(str(error)) from None
+        raise RefusedCallError(invalid_call(method, sequence_number, error)) from None
     if reader.position != len(frame):
-        raise thrift.UnreadableError("a frame that goes on after its message")
+        raise UnreadableError("a frame that goes on after its message")
     return Call(method, sequence_number, arguments)
 
 
@@ -79,7 +72,7 @@
         return None
     try:
         return thrift.read_message_header(thrift.Reader(frame)).sequence_number
-    except thrift.UnreadableError:
+    except UnreadableError:
         return None
 
 
@@ -92,7 +85,7 @@
     """Return the sequence number that a cancel names, or None where it cannot be read."""
     try:
         return read_call(frame).arguments.get(CANCELLED_ARGUMENT)
-    except (thrift.UnreadableError, CallError):
+    except (UnreadableError, RefusedCallError):
         return None
 
 
@@ -124,7 +117,7 @@
     return thrift.encode_exception(SERVE, sequence_number, thrift.PROTOCOL_ERROR, reason)
 
 
-def invalid_call(method: bytes, sequence_number: int, error: thrift.InvalidCallError) -> bytes:
+def invalid_call(method: bytes, sequence_number: int, error: InvalidCallError) -> bytes:
     """Encode that a call cannot be carried out."""
     return thrift.encode_exception(method, sequence_number, error.code, str(error))
 
--- a/brookhinge/net/command_channel.py
+++ b/brookhinge/net/command_channel.py
@@ -14,6 +14,7 @@
 from brookhinge.engine.commands import Command, CommandFormatError, read_commands
 from brookhinge.engine.loop_watch import LoopWatch
 from brookhinge.net import http
+from brookhinge.net.errors import UnreadableError
 from brookhinge.net.stream import Stream, Unread, unread
 from brookhinge.net.timeouts import within
 
@@ -95,7 +96,7 @@
         try:
             response = await within(self.poll(), POLL_WAIT_S + POLL_SLACK_S, self._watch)
             if response.status != HTTP_OK:
-                raise http.UnreadableError(f"status {response.status}")
+                raise UnreadableError(f"status {response.status}")
             cursor, commands = read_commands(response.body, self._started_at)
             if not response.keeps_alive:
                 self.close()
@@ -105,7 +106,7 @@
             self._known_until = self._polled_at  # not before: until here they were read, but known to nobody
         except (TimeoutError, StreamClosedError, OSError) as error:
             return type(error).__name__
-        except (http.UnreadableError, CommandFormatError) as error:
+        except (UnreadableError, CommandFormatError) as error:
             return str(error)
         except Exception as error:
             return f"{type(error).__name__}: {error}"
@@ -131,7 +132,7 @@
         Raises:
             OSError: The address cannot be reached.
             StreamClosedError: The connection ended.
-            http.UnreadableError: What came is no response.
+            UnreadableError: What came is no response.
         """
         if self.stream is None or self.stream.closed():
             await self._connect()
--- a/brookhinge/net/http.py
+++ b/brookhinge/net/http.py
@@ -4,6 +4,8 @@
 
 from typing import NamedTuple
 
+from brookhinge.net.errors import UnreadableError
+
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 4 * 1024 * 1024
 LINE_END = b"\r\n"
@@ -11,10 +13,6 @@
 STATUSES_WITHOUT_BODY = (204, 304)
 
 
-class UnreadableError(Exception):
-    """Bytes that can't be read as this protocol; the connection they came on is closed."""
-
-
 class Response(NamedTuple):
     """A response that is complete."""
 
--- a/brookhinge/net/request_validation.py
+++ b/brookhinge/net/request_validation.py
@@ -12,6 +12,7 @@
 from brookhinge.engine.events import RequestReceived
 from brookhinge.net import thrift
 from brookhinge.net.client_protocol import BODY_ARGUMENT, FIELDS_ARGUMENT, Call
+from brookhinge.net.errors import InvalidCallError
 
 MAX_BODY_BYTES = 240_000
 MAX_PURGE_GROUP = 255
@@ -69,7 +70,7 @@
         max_timeout_s: The longest time that clients may wait, by request class.
 
     Raises:
-        thrift.InvalidCallError: A field is missing or unusable; the message names it.
+        InvalidCallError: A field is missing or unusable; the message names it.
     """
     fields = call.arguments.get(FIELDS_ARGUMENT, {})
     body = call.arguments.get(BODY_ARGUMENT, b"")
@@ -110,6 +111,6 @@
     )
 
 
-def invalid(reason: str) -> thrift.InvalidCallError:
+def invalid(reason: str) -> InvalidCallError:
     """Return the error of a call whose fields cannot be used."""
-    return thrift.InvalidCallError(thrift.PROTOCOL_ERROR, reason)
+    return InvalidCallError(thrift.PROTOCOL_ERROR, reason)
--- a/brookhinge/net/thrift.py
+++ b/brookhinge/net/thrift.py
@@ -4,6 +4,8 @@
 from collections.abc import Iterator, Mapping
 from typing import NamedTuple
 
+from brookhinge.net.errors import InvalidCallError, UnreadableError
+
 MAX_FRAME_BYTES = 256 * 1024
 MAX_DEPTH = 8  # of nested values in an argument that is skipped
 CUT_OFF = "a frame that is cut off"
@@ -40,22 +42,6 @@
 FIELD_HEADER = struct.Struct(">Bh")  # type, number
 
 
-class UnreadableError(Exception):
-    """Bytes that can't be read as this protocol; the connection they came on is closed."""
-
-
-class InvalidCallError(Exception):
-    """A call that can be read and not be carried out; it is answered under its sequence number.
-
-    Attributes:
-        code: Of the TApplicationException that answers it.
-    """
-
-    def __init__(self, code: int, reason: str) -> None:
-        super().__init__(reason)
-        self.code = code
-
-
 class MessageHeader(NamedTuple):
     """What every message begins with."""
 
--- a/brookhinge/net/upstream_connections.py
+++ b/brookhinge/net/upstream_connections.py
@@ -16,6 +16,7 @@
 from brookhinge.engine.events import AttemptEnded, Event
 from brookhinge.engine.loop_watch import LoopWatch
 from brookhinge.net import cachewire
+from brookhinge.net.errors import UnreadableError
 from brookhinge.net.timeouts import within
 from brookhinge.net.upstream_connection import PendingAttempt, SentAttempt, UpstreamConnection
 from brookhinge.net.upstream_pool import READ_BYTES, UpstreamPool
@@ -271,7 +272,7 @@
             pass
         except TimeoutError:
             fault = "no connection in time"
-        except cachewire.UnreadableError as error:
+        except UnreadableError as error:
             fault = f"unreadable: {error}"
             reason = CloseReason.UNREADABLE
         except Exception as error:
--- a/brookhinge/standin/caller.py
+++ b/brookhinge/standin/caller.py
@@ -6,6 +6,7 @@
 
 from brookhinge.client.client import Connection
 from brookhinge.net import cachewire
+from brookhinge.net.errors import UnreadableError
 
 
 class LineCaller:
@@ -26,7 +27,7 @@
                 for name, word, fields, body in answers.feed(data):
                     if name in self.waiting and not self.waiting[name].done():
                         self.waiting.pop(name).set_result((word.decode(), fields, body))
-        except (ConnectionError, cachewire.UnreadableError):
+        except (ConnectionError, UnreadableError):
             pass
         finally:
             for future in self.waiting.values():
--- a/tests/cache_server/test_cache_server.py
+++ b/tests/cache_server/test_cache_server.py
@@ -7,7 +7,7 @@
 import pytest
 
 from brookhinge.cache_server import CacheServer, protocol
-from brookhinge.net.cachewire import UnreadableError
+from brookhinge.net.errors import UnreadableError
 from brookhinge.operator.settings import CacheServerSettings, StoreSettings
 from brookhinge.standin.caller import LineCaller
 from brookhinge.standin.channel import CommandChannel
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -8,6 +8,7 @@
 from brookhinge.engine.effects import SendAttempt
 from brookhinge.engine.endpoints import ServerInstance
 from brookhinge.net import cachewire, http, thrift
+from brookhinge.net.errors import InvalidCallError, UnreadableError
 
 SERVE = (
     bytes.fromhex("80010001 00000005")
@@ -54,7 +55,7 @@
     ],
 )
 def test_a_frame_that_cannot_be_read(frame, why):
-    with pytest.raises(thrift.UnreadableError) as fault:
+    with pytest.raises(UnreadableError) as fault:
         reader = thrift.Reader(frame)
         thrift.read_message_header(reader)
         thrift.read_arguments(reader, {1: thrift.MAP, 2: thrift.STRING})
@@ -64,7 +65,7 @@
 def test_a_wrong_type_is_told_and_the_frame_stays_readable():
     reader = thrift.Reader(SERVE)
     thrift.read_message_header(reader)
-    with pytest.raises(thrift.InvalidCallError) as fault:
+    with pytest.raises(InvalidCallError) as fault:
         thrift.read_arguments(reader, {1: thrift.STRING, 2: thrift.STRING})
     assert str(fault.value) == "argument 1: wrong type"
 
@@ -125,7 +126,7 @@
     ],
 )
 def test_an_answer_that_cannot_be_read(line):
-    with pytest.raises(cachewire.UnreadableError):
+    with pytest.raises(UnreadableError):
         cachewire.AnswerSplitter().feed(line)
 
 
@@ -150,7 +151,7 @@
         "moot",
     ]
     for word, fields in ((b"maybe", {}), (b"data", {b"first": b"soon"}), (b"data", {b"l": b"util:x"})):
-        with pytest.raises(cachewire.UnreadableError):
+        with pytest.raises(UnreadableError):
             read(word, fields, [b"util"])
 
 
@@ -221,7 +222,7 @@
     answer = http.ResponseParser()
     assert answer.feed(HEAD + b"\r\n{..") is None
     assert answer.end() == (200, b"{..", False)
-    with pytest.raises(http.UnreadableError):
+    with pytest.raises(UnreadableError):
         http.ResponseParser().end()
 
 
@@ -238,7 +239,7 @@
     ],
 )
 def test_an_answer_of_the_channel_that_cannot_be_read(wire):
-    with pytest.raises(http.UnreadableError):
+    with pytest.raises(UnreadableError):
         http.ResponseParser().feed(wire)
 
 
