--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -201,7 +201,7 @@
     """Spans are those of the wall clock, as they were before."""
     from brookhinge.net.service import Service
 
-    Service.now = lambda self: time.time() - self.start
+    Service.now = lambda self: time.time() - self.started_at
 
 
 def backlog():
--- a/brookhinge/net/__init__.py
+++ b/brookhinge/net/__init__.py
@@ -1,1 +1,1 @@
-"""The router on sockets: parsers, connections, the engine that holds all state, and the service round them."""
+"""The router on sockets: parsers, connections, and the service that joins them to the engine."""
--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -83,9 +83,9 @@
         self._fleet = fleet
         self._state = state
         self._log = log
-        self._talk: UdpTransport = UdpTransport(fleet, site.seed, configured_sizes, post, log)
+        self._transport: UdpTransport = UdpTransport(fleet, site.seed, configured_sizes, post, log)
         self._purge_log: LogClient | None = None
-        self.before_round = [self._talk.before_engine_round]
+        self.before_round = [self._transport.before_engine_round]
         if fleet.share_limits:
             self._share_limits()
         if fleet.share_memory:
@@ -98,13 +98,13 @@
     def _share_limits(self) -> None:
         from brookhinge.limits.limits import Limits
 
-        self._talk.add(
-            lambda talk, now: Limits(
-                talk.peer.view,
+        self._transport.add(
+            lambda transport, now: Limits(
+                transport.peer.view,
                 self._fleet.name,
                 self._fleet.zone,
-                talk.peer.version,
-                lambda: talk.fleet_size,
+                transport.peer.version,
+                lambda: transport.fleet_size,
                 self._state.fleet.demand,
                 now,
             )
@@ -113,12 +113,12 @@
     def _share_warm_start_state(self) -> None:
         from brookhinge.membership.warm_start import WarmStart
 
-        self._talk.add(
-            lambda talk, now: WarmStart(
-                talk.peer.view,
+        self._transport.add(
+            lambda transport, now: WarmStart(
+                transport.peer.view,
                 self._fleet.name,
                 self._fleet.zone,
-                talk.peer.version,
+                transport.peer.version,
                 self._state.decisions.memory,
                 now,
             )
@@ -128,13 +128,13 @@
         from brookhinge.verdicts.outlier_detection import OutlierDetection
 
         servers = self._state.decisions.fleet
-        self._talk.add(
-            lambda talk, now: OutlierDetection(
-                talk.peer.view,
+        self._transport.add(
+            lambda transport, now: OutlierDetection(
+                transport.peer.view,
                 self._fleet.name,
                 self._fleet.zone,
-                talk.peer.version,
-                lambda: talk.fleet_size.in_zone,
+                transport.peer.version,
+                lambda: transport.fleet_size.in_zone,
                 self._state.fleet.seen,
                 lambda: len(servers.own),
                 now,
@@ -144,10 +144,10 @@
     def _read_purge_log(self, controls: dict[str, Control], post: Callable[[Event], None]) -> None:
         from brookhinge.purgelog.client import LogClient
 
-        self._purge_log = self._talk.purge_log = LogClient(self._fleet, controls, post, self._log)
+        self._purge_log = self._transport.purge_log = LogClient(self._fleet, controls, post, self._log)
         self.before_round.append(self._purge_log.before)
 
-    def spread(self, effect: NotifyPeers) -> None:
+    def notify_peers(self, effect: NotifyPeers) -> None:
         """Tell the peers something that tightens a rule.
 
         Purges are left out where the settings say so, for as long as the purge log delivers them.
@@ -156,7 +156,7 @@
             effect.kind == "purge" and self._purge_log is not None and self._purge_log.replaces_notices()
         )
         if not is_in_purge_log:
-            self._talk.spread(effect.kind, *effect.values)
+            self._transport.spread(effect.kind, *effect.values)
 
     async def join(self) -> None:
         """Begin to exchange messages with the peers and to read the purge log.
@@ -166,7 +166,7 @@
         """
         if self._purge_log is not None and self._purge_log.closed():
             await self._purge_log.start()
-        await self._talk.start()
+        await self._transport.start()
 
     async def join_after_predecessor(self) -> None:
         """Join the fleet once the process before this one has left it.
@@ -188,4 +188,4 @@
         """Leave the fleet; this router's share of the limits was in use until now."""
         if self._purge_log is not None:
             self._purge_log.stop()
-        await self._talk.leave()
+        await self._transport.leave()
--- a/brookhinge/net/request_validation.py
+++ b/brookhinge/net/request_validation.py
@@ -74,10 +74,7 @@
     """
     fields = call.arguments.get(FIELDS_ARGUMENT, {})
     body = call.arguments.get(BODY_ARGUMENT, b"")
-    for name, is_valid, is_required in FIELD_RULES:
-        value = fields.get(name)
-        if is_required if value is None else not is_valid(value):
-            raise invalid(f"{name.decode()}: missing or unusable")
+    check_fields(fields)
     request_class = fields[REQUEST_CLASS]
     longest_s = max_timeout_s.get(request_class)
     if longest_s is None:
@@ -111,6 +108,19 @@
     )
 
 
+def check_fields(fields: Mapping[bytes, bytes]) -> None:
+    """Check the form of each field.
+
+    Raises:
+        InvalidCallError: A field is missing or unusable; the message names it.
+    """
+    for name, is_valid, is_required in FIELD_RULES:
+        value = fields.get(name)
+        is_unusable = is_required if value is None else not is_valid(value)
+        if is_unusable:
+            raise invalid(f"{name.decode()}: missing or unusable")
+
+
 def invalid(reason: str) -> InvalidCallError:
     """Return the error of a call whose fields cannot be used."""
     return InvalidCallError(thrift.PROTOCOL_ERROR, reason)
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -84,8 +84,8 @@
         self._listener_fd = listener_fd
         self._scores_interval_s = scores_interval_s
         self.tracer = trace
-        self.start = time.time()
-        self.steady_start = time.monotonic()
+        self.started_at = time.time()
+        self._steady_started_at = time.monotonic()
         self.watch = LoopWatch(self.now)
         self.watch.listeners.append(self._log_stall)
         self.lifecycle = Lifecycle(self.log)
@@ -100,37 +100,13 @@
         if site.storm:
             self.gate = self._build_gate(client_sockets)
         self.client_connections = self._build_client_connections(client_sockets)
-        cursor, known_commands = read_commands(site.known, self.start)
-        self.command_channel = CommandChannel(
-            self.post, self.log, site.channel, cursor, self.start, watch=self.watch
-        )
-        self.write_guard = WriteGuard(
-            now=self.now,
-            state=self.state,
-            scheduler=self.scheduler,
-            command_channel=self.command_channel,
-            client_connections=self.client_connections,
-        )
+        cursor, known_commands = read_commands(site.known, self.started_at)
+        self.command_channel = self._build_command_channel(cursor)
+        self.write_guard = self._build_write_guard()
         self.upstream_connections = self._build_upstream_connections(upstream_sockets)
-        self.metrics = MetricsReport(
-            now=self.now,
-            log=self.log,
-            state=self.state,
-            watch=self.watch,
-            client_connections=self.client_connections,
-            upstream_connections=self.upstream_connections,
-        )
-        self.shutdown = GracefulShutdown(
-            now=self.now,
-            lifecycle=self.lifecycle,
-            has_open_work=self._has_open_work,
-            fail_open_requests=lambda: self.post(ShutdownBegan()),
-            client_connections=self.client_connections,
-            longest_deadline_s=max(
-                request_class.timeout_s for request_class in site.decisions.request_classes
-            ),
-        )
-        self._join_effects()
+        self.metrics = self._build_metrics()
+        self.shutdown = self._build_shutdown()
+        self._register_effects()
         self.fleet_link = None
         if fleet is not None:
             self.fleet_link = self._build_fleet_link(fleet, controls or {})
@@ -161,7 +137,7 @@
             [request_class.name.encode() for request_class in request_classes],
             self.site.zones,
             lineage=lineage,
-            safety_notices=safety_notices(self.start) if fleet is not None else None,
+            safety_notices=safety_notices(self.started_at) if fleet is not None else None,
             scores=scores,
             is_traced=self.tracer is not None,
         )
@@ -194,7 +170,7 @@
             post=self.post,
             log=self.log,
             now=self.now,
-            started_at=self.start,
+            started_at=self.started_at,
             settings=self.site.upstream,
             max_connections=sockets,
             load_columns=self.site.columns,
@@ -204,13 +180,48 @@
             watch=self.watch,
         )
 
+    def _build_command_channel(self, cursor: int) -> CommandChannel:
+        return CommandChannel(
+            self.post, self.log, self.site.channel, cursor, self.started_at, watch=self.watch
+        )
+
+    def _build_write_guard(self) -> WriteGuard:
+        return WriteGuard(
+            now=self.now,
+            state=self.state,
+            scheduler=self.scheduler,
+            command_channel=self.command_channel,
+            client_connections=self.client_connections,
+        )
+
+    def _build_metrics(self) -> MetricsReport:
+        return MetricsReport(
+            now=self.now,
+            log=self.log,
+            state=self.state,
+            watch=self.watch,
+            client_connections=self.client_connections,
+            upstream_connections=self.upstream_connections,
+        )
+
+    def _build_shutdown(self) -> GracefulShutdown:
+        request_classes = self.site.decisions.request_classes
+        return GracefulShutdown(
+            now=self.now,
+            lifecycle=self.lifecycle,
+            has_open_work=self._has_open_work,
+            fail_open_requests=lambda: self.post(ShutdownBegan()),
+            client_connections=self.client_connections,
+            longest_deadline_s=max(request_class.timeout_s for request_class in request_classes),
+        )
+
     def _build_fleet_link(self, fleet: Fleet, controls: dict[str, Control]) -> FleetLink:
         link = FleetLink(fleet, controls, site=self.site, state=self.state, post=self.post, log=self.log)
         self.scheduler.before_round.extend(link.before_round)
-        self.scheduler.register({NotifyPeers: link.spread})
+        self.scheduler.register({NotifyPeers: link.notify_peers})
         return link
 
-    def _join_effects(self) -> None:
+    def _register_effects(self) -> None:
         clients = self.client_connections
         upstream = self.upstream_connections
         self.scheduler.register(
@@ -230,8 +241,8 @@
             {
                 CancelAttempt: upstream.cancel_attempt,
                 RetireServer: upstream.retire_server,
-                WriteLog: self.say,
-                WriteTrace: self.trace,
+                WriteLog: self.write_log,
+                WriteTrace: self.write_trace,
             }
         )
 
@@ -240,9 +251,9 @@
     def now(self) -> float:
         """Return seconds since the start, by a clock that nobody sets.
 
-        `start` is that moment in Unix time.
+        `started_at` is that moment in Unix time.
         """
-        return time.monotonic() - self.steady_start
+        return time.monotonic() - self._steady_started_at
 
     def has_open_requests(self, client: int) -> bool:
         """Return whether a client has requests open, those included that the next round takes."""
@@ -264,11 +275,11 @@
 
     # effects
 
-    def say(self, effect: WriteLog) -> None:
+    def write_log(self, effect: WriteLog) -> None:
         """Write a line of the log."""
         self.log(effect.event, **effect.values)
 
-    def trace(self, effect: WriteTrace) -> None:
+    def write_trace(self, effect: WriteTrace) -> None:
         """Write a step of a request to the trace."""
         self.tracer(effect.step, effect.client_request_id, **effect.values)
 
