--- a/examples/ask.py
+++ b/examples/ask.py
@@ -1,6 +1,9 @@
-"""Asks the router of examples/config.json for one part of an object: .venv/bin/python examples/ask.py OBJECT [PART]
+"""Asks the router of examples/config.json for one part of an object.
 
-OBJECT is 16 hex digits, such as 7f3a9c21e0b4d655."""
+Usage: .venv/bin/python examples/ask.py OBJECT [PART]
+
+OBJECT is 16 hex digits, such as 7f3a9c21e0b4d655.
+"""
 
 import os
 import socket
@@ -10,40 +13,57 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 from brookhinge.net import thrift
 
+ROUTER = ("127.0.0.1", 8080)
+CONNECT_TIMEOUT_S = 5
+READ_BYTES = 64 * 1024
+BODY_FIELD = 1
+DECLARED_EXCEPTIONS = {1: "nacked", 2: "errored"}  # by their place in the result
+
 
-def main(key, part="0"):
+def encode_request(object_key: str, part: str) -> bytes:
+    """Encode a call of `serve` that gives the router two seconds."""
     fields = {
         b"service": b"page",
         b"ref": os.urandom(8).hex().encode(),
         b"allow": b"2000",
-        b"lookup": key.encode(),
+        b"lookup": object_key.encode(),
         b"piece": part.encode(),
     }
-    with socket.create_connection(("127.0.0.1", 8080), 5) as made:
-        made.sendall(
-            thrift.encode_message(
-                b"serve",
-                thrift.CALL,
-                1,
-                thrift.FIELD_HEADER.pack(thrift.MAP, 1),
-                thrift.encode_string_map(fields),
-                b"\0",
-            )
-        )
-        frames, found = thrift.FrameSplitter(), []
-        while not found:
-            data = made.recv(65536)
-            if not data:
-                return "the connection ended without an answer"
-            found = frames.feed(data)
-    reader = thrift.Reader(found[0])
-    _, kind, _ = thrift.read_message_header(reader)
+    arguments = (thrift.FIELD_HEADER.pack(thrift.MAP, 1), thrift.encode_string_map(fields), b"\0")
+    return thrift.encode_message(b"serve", thrift.CALL, 1, *arguments)
+
+
+def read_reply(connection: socket.socket) -> bytes | None:
+    """Return the first frame that comes, or None at the end of the connection."""
+    splitter = thrift.FrameSplitter()
+    while data := connection.recv(READ_BYTES):
+        frames = splitter.feed(data)
+        if frames:
+            return frames[0]
+    return None
+
+
+def describe(reply: bytes) -> str:
+    """Return what a reply says, as a line of text."""
+    reader = thrift.Reader(reply)
+    header = thrift.read_message_header(reader)
     _, place = next(reader.read_fields())
-    if kind == thrift.EXCEPTION:
+    if header.message_type == thrift.EXCEPTION:
         return "not taken: " + reader.read_string().decode()
-    if place:
-        return {1: "nacked", 2: "errored"}[place]
-    return "satisfied: " + thrift.read_arguments(reader, {1: thrift.STRING})[1].decode()
+    if place in DECLARED_EXCEPTIONS:
+        return DECLARED_EXCEPTIONS[place]
+    body = thrift.read_arguments(reader, {BODY_FIELD: thrift.STRING})[BODY_FIELD]
+    return "satisfied: " + body.decode()
+
+
+def main(object_key: str, part: str = "0") -> str:
+    """Ask the router and return what it answers."""
+    with socket.create_connection(ROUTER, CONNECT_TIMEOUT_S) as connection:
+        connection.sendall(encode_request(object_key, part))
+        reply = read_reply(connection)
+    if reply is None:
+        return "the connection ended without an answer"
+    return describe(reply)
 
 
 if __name__ == "__main__":
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,45 +1,69 @@
-"""Toy cache servers, parent, origin and command channel for examples/config.json: python examples/toy_server.py
+"""Toy cache servers, parent, origin and command channel for examples/config.json.
 
-Each server keeps what it was asked for. A miss is filled, which takes 100 ms, where the router names a source."""
+Usage: python examples/toy_server.py
+
+Each server keeps what it was asked for. A miss is filled, which takes 100 ms, where the router names a
+source.
+"""
 
 import asyncio
+import contextlib
 import json
 import time
+from asyncio import StreamReader, StreamWriter
+from collections.abc import Awaitable, Callable
 from pathlib import Path
 
 CONFIGURATION = json.loads((Path(__file__).parent / "config.json").read_text())
+FILL_S = 0.1
+ORIGIN = "s-origin"
+
+Item = tuple[str, str]  # object and part
+Handler = Callable[[StreamReader, StreamWriter], Awaitable[None]]
+
+
+class ToyServer:
+    """A server that keeps everything."""
+
+    def __init__(self, name: str) -> None:
+        self.name = name
+        self.filled_at_ms: dict[Item, int] = {}
 
+    async def serve(self, reader: StreamReader, writer: StreamWriter) -> None:
+        """Answer the lines of one connection."""
+        while words := (await reader.readline()).decode().split():
+            if words[0] == "ECHO":
+                writer.write(f"{words[1]} well - 0\r\n\r\n".encode())
+            elif words[0] == "PULL":
+                _, request_id, fields, body_size = words
+                await reader.readexactly(int(body_size) + 2)
+                answer = await self.answer(dict(pair.split("=", 1) for pair in fields.split(",")))
+                writer.write(f"{request_id} ".encode() + answer)
 
-async def server(name, reader, writer, kept):
-    while line := (await reader.readline()).decode().split():
-        if line[0] == "ECHO":
-            writer.write(f"{line[1]} well - 0\r\n\r\n".encode())
-        if line[0] != "PULL":
-            continue
-        await reader.readexactly(int(line[3]) + 2)
-        fields = dict(pair.split("=", 1) for pair in line[2].split(","))
-        item, source, note = (fields["asset"], fields["slice"]), fields.get("parent"), "hit"
-        if item not in kept and (source or name == "s-origin"):
-            await asyncio.sleep(0.1)
-            kept[item], note = int(time.time() * 1000), "filled"
-        if item in kept:
-            body = f"part {item[1]} of {item[0]}, from {name}".encode()
-            writer.write(
-                f"{line[1]} data n={note},digest=1,dated={kept[item]} {len(body)}\r\n".encode()
-                + body
-                + b"\r\n"
-            )
-        else:
-            note = "absent"
-            writer.write(f"{line[1]} absent - 0\r\n\r\n".encode())
-        print(
-            f"{name}: {item[0]}/{item[1]} {note}" + (f" from {source}" if note == "filled" else ""),
-            flush=True,
-        )
-
-
-async def channel(reader, writer):
-    """Has nothing new to tell, ever."""
+    async def answer(self, fields: dict[str, str]) -> bytes:
+        """Return the answer to one request, without the id that it begins with."""
+        item = (fields["asset"], fields["slice"])
+        source = fields.get("parent")
+        note = "hit"
+        if item not in self.filled_at_ms and (source or self.name == ORIGIN):
+            await asyncio.sleep(FILL_S)
+            self.filled_at_ms[item] = int(time.time() * 1000)
+            note = "filled"
+        if item not in self.filled_at_ms:
+            self.report(item, "absent")
+            return b"absent - 0\r\n\r\n"
+        self.report(item, note + (f" from {source}" if note == "filled" else ""))
+        body = f"part {item[1]} of {item[0]}, from {self.name}".encode()
+        head = f"data n={note},digest=1,dated={self.filled_at_ms[item]} {len(body)}\r\n"
+        return head.encode() + body + b"\r\n"
+
+    def report(self, item: Item, what: str) -> None:
+        """Print what became of a request."""
+        print(f"{self.name}: {item[0]}/{item[1]} {what}", flush=True)
+
+
+async def serve_channel(reader: StreamReader, writer: StreamWriter) -> None:
+    """Answer polls of the command channel; there is never anything new."""
     while words := (await reader.readuntil(b"\r\n\r\n")).decode().split():
         query = dict(pair.split("=") for pair in words[1].partition("?")[2].split("&"))
         await asyncio.sleep(int(query["block"]) / 1000)
@@ -47,10 +71,12 @@
         writer.write(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
 
 
-def quietly(serve, *args):
-    async def run(reader, writer):
+def until_closed(serve: Handler) -> Handler:
+    """Return a handler that ends quietly with its connection."""
+
+    async def run(reader: StreamReader, writer: StreamWriter) -> None:
         try:
-            await serve(*args[:1], reader, writer, *args[1:])
+            await serve(reader, writer)
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
         finally:
@@ -59,18 +85,17 @@
     return run
 
 
-async def main():
-    for told in CONFIGURATION["known"]["cmds"][0]["nodes"]["hosts"]:
-        host, port = told["dial"].split(":")
-        await asyncio.start_server(quietly(server, told["host"], {}), host, int(port))
+async def main() -> None:
+    """Serve until interrupted."""
+    for row in CONFIGURATION["known"]["cmds"][0]["nodes"]["hosts"]:
+        host, port = row["dial"].split(":")
+        await asyncio.start_server(until_closed(ToyServer(row["host"]).serve), host, int(port))
     host, port = CONFIGURATION["channel"].split(":")
-    await asyncio.start_server(quietly(channel), host, int(port))
+    await asyncio.start_server(until_closed(serve_channel), host, int(port))
     print("toy servers are up", flush=True)
     await asyncio.Event().wait()
 
 
 if __name__ == "__main__":
-    try:
+    with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(main())
-    except KeyboardInterrupt:
-        pass
