--- a/brookhinge/net/request_validation.py
+++ b/brookhinge/net/request_validation.py
@@ -12,6 +12,7 @@
 from brookhinge.engine.events import RequestReceived
 from brookhinge.net import thrift
 from brookhinge.net.client_protocol import BODY_ARGUMENT, FIELDS_ARGUMENT, Call
+from brookhinge.net.errors import InvalidCallError
 
 MAX_BODY_BYTES = 240_000
 MAX_PURGE_GROUP = 255
@@ -69,14 +70,11 @@
         max_timeout_s: The longest time that clients may wait, by request class.
 
     Raises:
-        thrift.InvalidCallError: A field is missing or unusable; the message names it.
+        InvalidCallError: A field is missing or unusable; the message names it.
     """
     fields = call.arguments.get(FIELDS_ARGUMENT, {})
     body = call.arguments.get(BODY_ARGUMENT, b"")
-    for name, is_valid, is_required in FIELD_RULES:
-        value = fields.get(name)
-        if is_required if value is None else not is_valid(value):
-            raise invalid(f"{name.decode()}: missing or unusable")
+    check_fields(fields)
     request_class = fields[REQUEST_CLASS]
     longest_s = max_timeout_s.get(request_class)
     if longest_s is None:
@@ -110,6 +108,19 @@
     )
 
 
-def invalid(reason: str) -> thrift.InvalidCallError:
+def check_fields(fields: Mapping[bytes, bytes]) -> None:
+    """Check the form of each field.
+
+    Raises:
+        InvalidCallError: A field is missing or unusable; the message names it.
+    """
+    for name, is_valid, is_required in FIELD_RULES:
+        value = fields.get(name)
+        is_unusable = is_required if value is None else not is_valid(value)
+        if is_unusable:
+            raise invalid(f"{name.decode()}: missing or unusable")
+
+
+def invalid(reason: str) -> InvalidCallError:
     """Return the error of a call whose fields cannot be used."""
-    return thrift.InvalidCallError(thrift.PROTOCOL_ERROR, reason)
+    return InvalidCallError(thrift.PROTOCOL_ERROR, reason)
