--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -29,8 +29,8 @@
 from brookhinge.engine.events import ClientConnected, ClientDisconnected, RequestCancelled, RequestReceived
 from brookhinge.engine.reducer import Reducer
 from brookhinge.standin.model import Model
-from brookhinge.storm.lineage import Lineage
-from brookhinge.storm.plan import Returns
+from brookhinge.overload.retry_lineage import RetryLineage
+from brookhinge.overload.retry_schedule import RetrySchedule
 
 ROUTERS, BOXES, CORES, WORK, OBJECTS = 3, 6, 4, 0.1, 400
 COLD = SlowStart(0.3, 6.0, 3.0, 1.0)
@@ -110,10 +110,10 @@
         self.routers = [self.router(n, seed) for n in range(ROUTERS)]
         self.serial, self.open, self.needs = 0, {}, []
         self.counts = dict(tries=0, told=0, came_when_told=0, served_when_told=0)
-        self.plans_before = [dict.fromkeys(Returns(0).counts, 0)] * ROUTERS
+        self.plans_before = [dict.fromkeys(RetrySchedule(0).counts, 0)] * ROUTERS
 
     def router(self, number, seed):
-        returns = Returns(LONGEST_HINT_S) if self.storm else None
+        returns = RetrySchedule(LONGEST_HINT_S) if self.storm else None
         router = Router(
             seed + number,
             request_classes=TRACKS,
@@ -127,7 +127,7 @@
             retry_schedule=returns,
         )
         return Reducer(
-            router, [t.name.encode() for t in TRACKS], ["hub", "edge"], Lineage() if self.storm else None
+            router, [t.name.encode() for t in TRACKS], ["hub", "edge"], RetryLineage() if self.storm else None
         )
 
     # clients
--- a/benchmarks/structures.py
+++ b/benchmarks/structures.py
@@ -1,7 +1,7 @@
 """Structures made for storms beside plain ones, in the same run: python -m benchmarks.structures [--short]
 
 Places in time: a hashed wheel of slots against heapq with lazy deletion: half of what is put in is taken back. Tries:
-the bounded table of storm/lineage.py against a dict that is swept each second. Last line: one JSON object."""
+the bounded table of overload/retry_lineage.py against a dict that is swept each second. Last line: one JSON object."""
 
 import argparse
 import heapq
@@ -11,7 +11,7 @@
 import time
 from collections import OrderedDict
 
-from brookhinge.storm.lineage import Lineage
+from brookhinge.overload.retry_lineage import RetryLineage
 
 SLOT_S = 0.05
 
@@ -87,16 +87,16 @@
 
     def __init__(self, remember_s=15.0):
         self.remember_s = remember_s
-        self.tries = {}
+        self.attempts = {}
         self.swept = 0.0
 
     def asked(self, now, query, address, connection, name):
         if now - self.swept > 1.0:
             self.swept = now
-            self.tries = {key: row for key, row in self.tries.items() if now - row[1] < self.remember_s}
+            self.attempts = {key: row for key, row in self.attempts.items() if now - row[1] < self.remember_s}
         key = address, name
-        known = self.tries.get(key)
-        self.tries[key] = known[0] if known else now, now, query
+        known = self.attempts.get(key)
+        self.attempts[key] = known[0] if known else now, now, query
         return known is not None
 
 
@@ -111,12 +111,12 @@
         name = 0, "object", chance.randrange(50)
         began = time.perf_counter()
         table.asked(now, n, address, n, name)
-        if isinstance(table, Lineage):
+        if isinstance(table, RetryLineage):
             table.ended(now, n, "refused")
         took = time.perf_counter() - began
         longest = max(longest, took)
         total = total + took
-    return round(total / count * 1e6, 2), round(longest * 1000, 2), len(table.tries)
+    return round(total / count * 1e6, 2), round(longest * 1000, 2), len(table.attempts)
 
 
 def main():
@@ -132,7 +132,10 @@
         }
     }
     count = 60_000 if given.short else 300_000
-    figures["tries_us_longest_ms_held"] = {"bounded": tries(Lineage(), count), "swept": tries(Swept(), count)}
+    figures["tries_us_longest_ms_held"] = {
+        "bounded": tries(RetryLineage(), count),
+        "swept": tries(Swept(), count),
+    }
     entry = sys.getsizeof(OrderedDict.fromkeys(range(1000))) / 1000
     figures["ordered_dict_bytes_an_entry"] = round(entry)
     if given.keep:
--- a/brookhinge/cli/explain.py
+++ b/brookhinge/cli/explain.py
@@ -1,4 +1,4 @@
-"""brookhinge explain"""
+"""The command `brookhinge explain`."""
 
 import time
 
@@ -7,31 +7,39 @@
 from brookhinge.cli import refuse
 
 
-@click.command("explain")
+def format_time(at: float) -> str:
+    """A Unix time as text, in UTC."""
+    return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(at))
+
+
+@click.command(
+    "explain",
+    help="Tells the storms in a router's LOG as a story: when, who, how damped, how ended. "
+    "- reads standard input.",
+)
 @click.argument("log", type=click.Path(allow_dash=True))
 @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
 def command(log: str, as_json: bool) -> None:
-    """Tells the storms in a router's LOG as a story: when, who, how damped, how ended. - reads standard input."""
-    from brookhinge.storm import story
+    """Print the report on a log."""
+    from brookhinge.overload import log_report
 
     try:
         with click.open_file(log, encoding="utf-8", errors="replace") as file:
-            rows, unreadable = story.read(file)
-    except OSError as fault:
-        refuse(f"{log}: expected a log that can be read ({fault.strerror})")
-    told = story.episodes(rows)
+            rows, unreadable = log_report.parse_log(file)
+    except OSError as error:
+        refuse(f"{log}: expected a log that can be read ({error.strerror})")
+    episodes = log_report.find_episodes(rows)
     if as_json:
         import orjson
 
-        click.echo(orjson.dumps(told, option=orjson.OPT_INDENT_2).decode())
+        report = [episode.as_dict() for episode in episodes]
+        click.echo(orjson.dumps(report, option=orjson.OPT_INDENT_2).decode())
         return
-    for episode in told:
-        for line in story.sentences(episode, lambda at: time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(at))):
+    for episode in episodes:
+        for line in log_report.describe(episode, format_time):
             click.echo(line)
-    if not told:
-        click.echo(
-            f"no storm in {len(rows)} lines"
-            + ("" if rows else ": is `storm` on, and is this a router's log?")
-        )
+    if not episodes:
+        hint = "" if rows else ": is `storm` on, and is this a router's log?"
+        click.echo(f"no storm in {len(rows)} lines{hint}")
     if unreadable:
         click.echo(f"{unreadable} lines could not be read", err=True)
--- a/brookhinge/decisions/router.py
+++ b/brookhinge/decisions/router.py
@@ -275,7 +275,7 @@
     def _keeps_schedule(self, request: RequestState, is_first: bool) -> bool:
         """Whether a client did not come back before its time; else it is told the same time again."""
         name = self._schedule_name(request)
-        wait_s, request.is_scheduled = self.retry_schedule.arrives(self.now, request.retry_client, name)
+        wait_s, request.is_scheduled = self.retry_schedule.check_in(self.now, request.retry_client, name)
         if wait_s:
             del self.requests[request.request_id]
             self.sink.reject(request.request_id, wait_s, Refusal.EARLY)
@@ -283,7 +283,7 @@
         if request.is_scheduled:  # what was promised holds
             request.priority_weight = 1.0
         if is_first:
-            self.retry_schedule.newcomer(self.now, self.statistics.transfer_s[request.class_index])
+            self.retry_schedule.record_new_request(self.now, self.statistics.transfer_s[request.class_index])
         return True
 
     def on_attempt_ended(self, end: AttemptEnded) -> None:
@@ -532,7 +532,7 @@
             random_s = RETRY_AFTER_BASE_S + RETRY_AFTER_SPREAD_S * self.chance.random()
             return min(self.limits.max_retry_after_s, random_s)
         highest = max(one.utility for one in self.request_classes)
-        return self.retry_schedule.place(
+        return self.retry_schedule.reserve(
             self.now,
             request.retry_client,
             self._schedule_name(request),
--- a/brookhinge/net/client_connections.py
+++ b/brookhinge/net/client_connections.py
@@ -33,7 +33,7 @@
 from brookhinge.net.stream import Stream
 
 if TYPE_CHECKING:
-    from brookhinge.storm.gate import Gate
+    from brookhinge.overload.ingress import Ingress
 
 CALL_TIMEOUT_S = 2.2  # from the connect to the first call, and from a call's first byte to its last
 IDLE_TIMEOUT_S = 10.0  # of a connection that has called; usual clients close theirs before
@@ -68,7 +68,7 @@
         max_timeout_s: Mapping[bytes, float],
         max_connections: int,
         memory_limit_bytes: int,
-        gate: Gate | None = None,
+        ingress: Ingress | None = None,
         trace: Callable[..., None] | None = None,
     ) -> None:
         """Prepare to accept; `listen` begins.
@@ -83,7 +83,7 @@
             max_timeout_s: The longest time that clients may wait, by request class.
             max_connections: How many connections may be open.
             memory_limit_bytes: How many bytes may be held for all clients.
-            gate: How many connections to accept and whose, where overload is watched.
+            ingress: How many connections to accept and whose, where overload is watched.
             trace: Takes (step, **values) of each connection, or None.
         """
         self.now = watch.now
@@ -97,7 +97,7 @@
         self._log = log
         self._has_open_requests = has_open_requests
         self._record_violation = record_violation
-        self._gate = gate
+        self._ingress = ingress
         self._last_number = 0
         self._readers: set[asyncio.Task] = set()
         self._receive_times = ReceiveTimes(watch)
@@ -109,7 +109,7 @@
             is_ready=is_ready,
             max_timeout_s=max_timeout_s,
         )
-        max_accepts = (lambda: MAX_ACCEPTS_PER_PASS) if gate is None else gate.in_a_pass
+        max_accepts = (lambda: MAX_ACCEPTS_PER_PASS) if ingress is None else ingress.max_accepts
         self.listener = Listener(self._open, log, self._has_capacity, max_accepts)
         self.listener.on_shortage = self._receive_times.note_accept_failed
         self.listener.on_empty = self._receive_times.note_backlog_empty
@@ -127,8 +127,8 @@
     def _open(self, accepted: socket.socket, address: str) -> None:
         """Begin to read a connection that was accepted."""
         network = None
-        if self._gate is not None:
-            network, is_kept = self._gate.came(self.now(), address)
+        if self._ingress is not None:
+            network, is_kept = self._ingress.admit(self.now(), address)
             if not is_kept:
                 accepted.close()
                 return
@@ -331,7 +331,7 @@
         client.clear_calls()
         client.may_read.set()
         if client.network is not None:
-            self._gate.left(client.network)
+            self._ingress.release(client.network)
         self._post(ClientDisconnected(client.number))
 
     def _note_close(self, client: ClientConnection, reason: CloseReason) -> None:
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -44,7 +44,7 @@
 
 if TYPE_CHECKING:
     from brookhinge.operator.settings import Control, Fleet
-    from brookhinge.storm.gate import Gate
+    from brookhinge.overload.ingress import Ingress
 
 RESERVED_DESCRIPTORS = 24  # neither clients nor cache servers take these
 MIN_CLIENT_DESCRIPTORS = 8
@@ -92,13 +92,13 @@
         self.reducer = self._build_reducer(fleet)
         self.scheduler = EventScheduler(self.reducer, self.watch, self.log, self.is_current)
         self.post = self.scheduler.post
-        self.gate = None
+        self.ingress = None
         upstream_sockets = site.bounds.sockets // 3
         client_sockets = max(
             MIN_CLIENT_DESCRIPTORS, site.bounds.sockets - upstream_sockets - RESERVED_DESCRIPTORS
         )
         if site.storm:
-            self.gate = self._build_gate(client_sockets)
+            self.ingress = self._build_ingress(client_sockets)
         self.client_connections = self._build_client_connections(client_sockets)
         cursor, known_commands = read_commands(site.known, self.start)
         self.command_channel = CommandChannel(
@@ -148,11 +148,11 @@
 
             scores = Scores(request_classes, decisions.fill_policy.transfer_kb_s)
         if self.site.storm:
-            from brookhinge.storm.lineage import Lineage
-            from brookhinge.storm.plan import Returns
+            from brookhinge.overload.retry_lineage import RetryLineage
+            from brookhinge.overload.retry_schedule import RetrySchedule
 
-            lineage = Lineage()
-            returns = Returns(decisions.limits.max_retry_after_s)
+            lineage = RetryLineage()
+            returns = RetrySchedule(decisions.limits.max_retry_after_s)
         router = router_class(fleet)(
             self.site.seed, machine=self.site.bounds, retry_schedule=returns, **decisions._asdict()
         )
@@ -166,10 +166,10 @@
             self.tracer is not None,
         )
 
-    def _build_gate(self, client_sockets: int) -> Gate:
-        from brookhinge.storm.gate import Gate
+    def _build_ingress(self, client_sockets: int) -> Ingress:
+        from brookhinge.overload.ingress import Ingress
 
-        return Gate(client_sockets)
+        return Ingress(client_sockets)
 
     def _build_client_connections(self, sockets: int) -> ClientConnections:
         return ClientConnections(
@@ -185,7 +185,7 @@
             },
             max_connections=sockets,
             memory_limit_bytes=self.site.bounds.memory_mb * 1024 * 1024 // CLIENT_MEMORY_SHARE,
-            gate=self.gate,
+            ingress=self.ingress,
             trace=self.tracer,
         )
 
@@ -344,15 +344,15 @@
             if not self.scheduler.is_catching_up():  # else what is late may lie there unread
                 self.upstream_connections.sweep()
                 self.client_connections.sweep()
-            if self.gate is not None:
+            if self.ingress is not None:
                 self._detect_overload(due)
 
     def _detect_overload(self, due: float) -> None:
         counts = self.reducer.counts
         now = self.now()
-        change = self.gate.look(now, now - due, counts["queries"], counts["again"] + counts["beside"])
+        change = self.ingress.update(now, now - due, counts["queries"], counts["again"] + counts["beside"])
         if change is not None:
-            self.log("storm", **change)
+            self.log("storm", **change._asdict())
 
     def reload(self, site: Site) -> None:
         """Take the command channel of a new configuration; all else is read at a start alone."""
--- a/tests/crossings/test_rare.py
+++ b/tests/crossings/test_rare.py
@@ -17,7 +17,7 @@
 from brookhinge.engine.reducer import Reducer
 from brookhinge.net import client_connection, client_connections, listener, thrift, upstream_pool
 from brookhinge.net.request_validation import MAX_BODY_BYTES
-from brookhinge.storm.lineage import Lineage
+from brookhinge.overload.retry_lineage import RetryLineage
 from tests.crossings.test_sockets import Raw, warm
 from tests.helpers import Bench, Desk, Machine, configuration, request_class, settings
 from tests.test_service import caches, played, until
@@ -283,7 +283,7 @@
     for group, key in ((0, "aa"), (4, "")):
         desk = Desk(tmp_path)
         tracks = [track.name.encode() for track in desk.router.request_classes]
-        desk.reducer = Reducer(desk.router, tracks, list(desk.reducer.zones), Lineage())
+        desk.reducer = Reducer(desk.router, tracks, list(desk.reducer.zones), RetryLineage())
         desk.hear(*read_commands(configuration()["known"], 0.0)[1])
         assert any("pull" in line for line in desk.ask(allow=3.0))
         desk.hear(ObjectsPurged(4, group, desk.now, key))
--- a/tests/storm/test_daemon.py
+++ b/tests/storm/test_daemon.py
@@ -96,20 +96,20 @@
     async def scene(t):
         t.caller.ask(1)
         heard = [await t.caller.hear()]
-        t.service.gate.signs.began = -300.0  # as after five calm minutes
+        t.service.ingress.detector.observed_since = -300.0  # as after five calm minutes
         crowd = await asyncio.gather(*(asyncio.open_connection(*t.address) for _ in range(200)))
         await asyncio.sleep(0.2)
         t.caller.ask(2, lookup="cd" * 8)
         heard.append(await t.caller.hear())
         kept = len(t.service.client_connections.clients)
-        gate = t.service.gate
+        ingress = t.service.ingress
         for _, writer in crowd:
             writer.close()
-        await until(lambda: gate.door.open == len(t.service.client_connections.clients) == 1)
+        await until(lambda: ingress.admission.open == len(t.service.client_connections.clients) == 1)
         return (
             heard,
             kept,
-            gate.door.counts["turned_away"],
+            ingress.admission.rejected,
             [line.split()[1] for line in t.lines if line.startswith("storm")],
         )
 
--- a/tests/storm/test_decisions.py
+++ b/tests/storm/test_decisions.py
@@ -4,12 +4,12 @@
 from helpers import CACHES, Bench
 
 from brookhinge.decisions.messages import EndpointsListed, RequestArrived
-from brookhinge.storm.plan import Returns
+from brookhinge.overload.retry_schedule import RetrySchedule
 
 
 def bench(**other):
     b = Bench(routers=2, **other)
-    b.router.retry_schedule = Returns(2.0)
+    b.router.retry_schedule = RetrySchedule(2.0)
     return b
 
 
@@ -33,7 +33,7 @@
 def test_who_comes_early_is_told_the_same_place_and_nothing_is_sent():
     b = bench()
     b.now = 10.0
-    wait = b.router.retry_schedule.place(10.0, "w", (0, "a", 0), 0.1, 1.0, lambda at: 1.0)
+    wait = b.router.retry_schedule.reserve(10.0, "w", (0, "a", 0), 0.1, 1.0, lambda at: 1.0)
     assert ask(b, since=0.2, who="w", at=10.01) == ["q1 nack"] and not b.router.requests
     assert ask(b, since=0.2, who="v", at=10.02)[0].startswith("q2 push")  # somebody else is free to ask
     assert ask(b, since=0.2, who="w", at=10.0 + wait)[0].startswith("q3 push")
@@ -48,7 +48,7 @@
         now, kind = 0.1 + n / rate, n % len(kinds)
         since, told = kinds[kind]
         if told:
-            b.router.retry_schedule.places[n, (0, f"o{n}", 0)] = now
+            b.router.retry_schedule.reservations[n, (0, f"o{n}", 0)] = now
         lines = ask(b, f"o{n}", since=since, who=n if told else None, at=now)
         counts[kind] += any(" push " in line for line in lines)
         if b.next in b.router.requests:
--- a/tests/storm/test_lineage.py
+++ b/tests/storm/test_lineage.py
@@ -14,7 +14,7 @@
     RequestReceived,
     ShutdownBegan,
 )
-from brookhinge.storm.lineage import MANY, Lineage
+from brookhinge.overload.retry_lineage import MAX_CONNECTIONS_OF_CLIENT, RetryLineage
 from tests.helpers import Desk
 
 A, B, PROXY = "192.0.2.1", "192.0.2.2", "198.51.100.1"
@@ -23,7 +23,7 @@
 
 def desk(folder, *places):
     d = Desk(folder)
-    d.reducer.lineage = Lineage()
+    d.reducer.lineage = RetryLineage()
     for client, place in enumerate(places, 1):
         d.hear(ClientConnected(client, place))
     return d
@@ -42,7 +42,7 @@
         "satisfy 1 2 b'x' False",
         "satisfy 2 3 b'x' False",
     ]
-    assert not d.reducer.queries and not d.reducer.waiting and not d.reducer.lineage.of_query
+    assert not d.reducer.queries and not d.reducer.waiting and not d.reducer.lineage.key_of_request
 
 
 def test_what_is_no_retry_runs_by_itself(tmp_path):
@@ -58,7 +58,7 @@
 
 
 def test_behind_an_address_with_many_connections_only_the_connection_tells(tmp_path):
-    d = desk(tmp_path, *[PROXY] * (MANY + 1))
+    d = desk(tmp_path, *[PROXY] * (MAX_CONNECTIONS_OF_CLIENT + 1))
     d.ask(client=1)
     assert len(d.ask(client=2)) == 1 and d.ask(client=1) == []
 
@@ -96,7 +96,7 @@
 
 
 def test_a_retry_has_its_first_tries_time_and_is_forgotten_by_itself():
-    lineage, trace = Lineage(remember_s=5.0), []
+    lineage, trace = RetryLineage(memory_s=5.0), []
 
     def ask(now, query):
         seen = lineage.asked(now, query, A, 1, NAME)
@@ -117,12 +117,12 @@
 
 
 def test_memory_is_bounded():
-    lineage = Lineage(most=100)
+    lineage = RetryLineage(max_attempts=100)
     for n in range(5000):
         lineage.asked(n * 0.001, n, f"a{n % 777}", n, (0, n, 0))
         if n % 2:
             lineage.ended(n * 0.001, n, "refused")
-    assert len(lineage.tries) == 100 and len(lineage.of_query) <= 100
+    assert len(lineage.attempts) == 100 and len(lineage.key_of_request) <= 100
 
 
 class Answers(RuleBasedStateMachine):
--- a/tests/storm/test_story.py
+++ b/tests/storm/test_story.py
@@ -4,7 +4,7 @@
 import subprocess
 import sys
 
-from brookhinge.storm.story import episodes, read, sentences
+from brookhinge.overload.log_report import describe, find_episodes, parse_log
 
 
 def line(at, event, **values):
@@ -31,8 +31,8 @@
 
 
 def test_the_story():
-    rows, unreadable = read(LOG)
-    told = [text for episode in episodes(rows) for text in sentences(episode, lambda at: f"{at:g}")]
+    rows, unreadable = parse_log(LOG)
+    told = [text for episode in find_episodes(rows) for text in describe(episode, lambda at: f"{at:g}")]
     assert unreadable == 1 and told == [
         "60 a storm at n1",
         "  seen by 90 connections a second from about 140 networks, 400 queries a second, 62% of them returns",
