--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -28,9 +28,9 @@
 )
 from brookhinge.engine.events import ClientConnected, ClientDisconnected, RequestCancelled, RequestReceived
 from brookhinge.engine.router_state import RouterState
+from brookhinge.overload.retry_lineage import RetryLineage
+from brookhinge.overload.retry_schedule import RetrySchedule
 from brookhinge.standin.model import Model
-from brookhinge.storm.lineage import Lineage
-from brookhinge.storm.plan import Returns
 
 ROUTERS, BOXES, CORES, WORK, OBJECTS = 3, 6, 4, 0.1, 400
 COLD = SlowStart(0.3, 6.0, 3.0, 1.0)
@@ -110,10 +110,10 @@
         self.routers = [self.router(n, seed) for n in range(ROUTERS)]
         self.serial, self.open, self.needs = 0, {}, []
         self.counts = dict(tries=0, told=0, came_when_told=0, served_when_told=0)
-        self.plans_before = [dict.fromkeys(Returns(0).counts, 0)] * ROUTERS
+        self.plans_before = [dict.fromkeys(RetrySchedule(0).counts, 0)] * ROUTERS
 
     def router(self, number, seed):
-        returns = Returns(LONGEST_HINT_S) if self.storm else None
+        returns = RetrySchedule(LONGEST_HINT_S) if self.storm else None
         router = Router(
             seed + number,
             request_classes=TRACKS,
@@ -130,7 +130,7 @@
             router,
             [t.name.encode() for t in TRACKS],
             ["hub", "edge"],
-            lineage=Lineage() if self.storm else None,
+            lineage=RetryLineage() if self.storm else None,
         )
 
     # clients
--- a/brookhinge/decisions/retry_schedule.py
+++ b/brookhinge/decisions/retry_schedule.py
@@ -1,4 +1,4 @@
-"""What the decisions need of a retry schedule; `brookhinge/storm/plan.py` has one."""
+"""What the decisions need of a retry schedule; `brookhinge/overload/retry_schedule.py` has one."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -15,22 +15,22 @@
 
     counts: dict[str, int]
 
-    def arrives(self, now: float, who: object, name: RequestName) -> tuple[float, bool]:
+    def check_in(self, now: float, client: object, name: RequestName) -> tuple[float, bool]:
         """Return the seconds until the time that was given, and whether the client came at it.
 
         0 seconds where no time was given, or it is over.
         """
 
-    def newcomer(self, now: float, work: float) -> None:
+    def record_new_request(self, now: float, work: float) -> None:
         """Count seconds of transfer for a client that was not rejected before."""
 
-    def place(
+    def reserve(
         self,
         now: float,
-        who: object,
+        client: object,
         name: RequestName,
         work: float,
-        part: float,
-        can_take: Callable[[float], float],
+        share: float,
+        capacity_at: Callable[[float], float],
     ) -> float:
         """Return the seconds after which to come back; 0: nothing is promised."""
--- a/tests/net/test_wire_bytes.py
+++ b/tests/net/test_wire_bytes.py
@@ -1,6 +1,5 @@
 """The exact bytes that the router writes on each wire, as literals."""
 
-
 import pytest
 
 from brookhinge.engine.effects import SendAttempt
