--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -44,7 +44,7 @@
 
 if TYPE_CHECKING:
     from brookhinge.operator.settings import Control, Fleet
-    from brookhinge.storm.gate import Gate
+    from brookhinge.overload.ingress import Ingress
 
 RESERVED_DESCRIPTORS = 24  # neither clients nor cache servers take these
 MIN_CLIENT_DESCRIPTORS = 8
@@ -84,53 +84,29 @@
         self._listener_fd = listener_fd
         self._scores_interval_s = scores_interval_s
         self.tracer = trace
-        self.start = time.time()
-        self.steady_start = time.monotonic()
+        self.started_at = time.time()
+        self._steady_started_at = time.monotonic()
         self.watch = LoopWatch(self.now)
         self.watch.listeners.append(self._log_stall)
         self.lifecycle = Lifecycle(self.log)
         self.state = self._build_state(fleet)
         self.scheduler = EventScheduler(self.state, self.watch, self.log, self.is_current)
         self.post = self.scheduler.post
-        self.gate = None
+        self.ingress = None
         upstream_sockets = site.bounds.sockets // 3
         client_sockets = max(
             MIN_CLIENT_DESCRIPTORS, site.bounds.sockets - upstream_sockets - RESERVED_DESCRIPTORS
         )
         if site.storm:
-            self.gate = self._build_gate(client_sockets)
+            self.ingress = self._build_ingress(client_sockets)
         self.client_connections = self._build_client_connections(client_sockets)
-        cursor, known_commands = read_commands(site.known, self.start)
-        self.command_channel = CommandChannel(
-            self.post, self.log, site.channel, cursor, self.start, watch=self.watch
-        )
-        self.write_guard = WriteGuard(
-            now=self.now,
-            state=self.state,
-            scheduler=self.scheduler,
-            command_channel=self.command_channel,
-            client_connections=self.client_connections,
-        )
+        cursor, known_commands = read_commands(site.known, self.started_at)
+        self.command_channel = self._build_command_channel(cursor)
+        self.write_guard = self._build_write_guard()
         self.upstream_connections = self._build_upstream_connections(upstream_sockets)
-        self.metrics = MetricsReport(
-            now=self.now,
-            log=self.log,
-            state=self.state,
-            watch=self.watch,
-            client_connections=self.client_connections,
-            upstream_connections=self.upstream_connections,
-        )
-        self.shutdown = GracefulShutdown(
-            now=self.now,
-            lifecycle=self.lifecycle,
-            has_open_work=self._has_open_work,
-            fail_open_requests=lambda: self.post(ShutdownBegan()),
-            client_connections=self.client_connections,
-            longest_deadline_s=max(
-                request_class.timeout_s for request_class in site.decisions.request_classes
-            ),
-        )
-        self._join_effects()
+        self.metrics = self._build_metrics()
+        self.shutdown = self._build_shutdown()
+        self._register_effects()
         self.fleet_link = None
         if fleet is not None:
             self.fleet_link = self._build_fleet_link(fleet, controls or {})
@@ -148,11 +124,11 @@
 
             scores = Scores(request_classes, decisions.fill_policy.transfer_kb_s)
         if self.site.storm:
-            from brookhinge.storm.lineage import Lineage
-            from brookhinge.storm.plan import Returns
+            from brookhinge.overload.retry_lineage import RetryLineage
+            from brookhinge.overload.retry_schedule import RetrySchedule
 
-            lineage = Lineage()
-            returns = Returns(decisions.limits.max_retry_after_s)
+            lineage = RetryLineage()
+            returns = RetrySchedule(decisions.limits.max_retry_after_s)
         router = router_class(fleet)(
             self.site.seed, machine=self.site.bounds, retry_schedule=returns, **decisions._asdict()
         )
@@ -161,15 +137,15 @@
             [request_class.name.encode() for request_class in request_classes],
             self.site.zones,
             lineage=lineage,
-            safety_notices=safety_notices(self.start) if fleet is not None else None,
+            safety_notices=safety_notices(self.started_at) if fleet is not None else None,
             scores=scores,
             is_traced=self.tracer is not None,
         )
 
-    def _build_gate(self, client_sockets: int) -> Gate:
-        from brookhinge.storm.gate import Gate
+    def _build_ingress(self, client_sockets: int) -> Ingress:
+        from brookhinge.overload.ingress import Ingress
 
-        return Gate(client_sockets)
+        return Ingress(client_sockets)
 
     def _build_client_connections(self, sockets: int) -> ClientConnections:
         return ClientConnections(
@@ -185,7 +161,7 @@
             },
             max_connections=sockets,
             memory_limit_bytes=self.site.bounds.memory_mb * 1024 * 1024 // CLIENT_MEMORY_SHARE,
-            gate=self.gate,
+            ingress=self.ingress,
             trace=self.tracer,
         )
 
@@ -194,7 +170,7 @@
             post=self.post,
             log=self.log,
             now=self.now,
-            started_at=self.start,
+            started_at=self.started_at,
             settings=self.site.upstream,
             max_connections=sockets,
             load_columns=self.site.columns,
@@ -204,13 +180,48 @@
             watch=self.watch,
         )
 
+    def _build_command_channel(self, cursor: int) -> CommandChannel:
+        return CommandChannel(
+            self.post, self.log, self.site.channel, cursor, self.started_at, watch=self.watch
+        )
+
+    def _build_write_guard(self) -> WriteGuard:
+        return WriteGuard(
+            now=self.now,
+            state=self.state,
+            scheduler=self.scheduler,
+            command_channel=self.command_channel,
+            client_connections=self.client_connections,
+        )
+
+    def _build_metrics(self) -> MetricsReport:
+        return MetricsReport(
+            now=self.now,
+            log=self.log,
+            state=self.state,
+            watch=self.watch,
+            client_connections=self.client_connections,
+            upstream_connections=self.upstream_connections,
+        )
+
+    def _build_shutdown(self) -> GracefulShutdown:
+        request_classes = self.site.decisions.request_classes
+        return GracefulShutdown(
+            now=self.now,
+            lifecycle=self.lifecycle,
+            has_open_work=self._has_open_work,
+            fail_open_requests=lambda: self.post(ShutdownBegan()),
+            client_connections=self.client_connections,
+            longest_deadline_s=max(request_class.timeout_s for request_class in request_classes),
+        )
+
     def _build_fleet_link(self, fleet: Fleet, controls: dict[str, Control]) -> FleetLink:
         link = FleetLink(fleet, controls, site=self.site, state=self.state, post=self.post, log=self.log)
         self.scheduler.before_round.extend(link.before_round)
-        self.scheduler.register({NotifyPeers: link.spread})
+        self.scheduler.register({NotifyPeers: link.notify_peers})
         return link
 
-    def _join_effects(self) -> None:
+    def _register_effects(self) -> None:
         clients = self.client_connections
         upstream = self.upstream_connections
         self.scheduler.register(
@@ -230,8 +241,8 @@
             {
                 CancelAttempt: upstream.cancel_attempt,
                 RetireServer: upstream.retire_server,
-                WriteLog: self.say,
-                WriteTrace: self.trace,
+                WriteLog: self.write_log,
+                WriteTrace: self.write_trace,
             }
         )
 
@@ -240,9 +251,9 @@
     def now(self) -> float:
         """Return seconds since the start, by a clock that nobody sets.
 
-        `start` is that moment in Unix time.
+        `started_at` is that moment in Unix time.
         """
-        return time.monotonic() - self.steady_start
+        return time.monotonic() - self._steady_started_at
 
     def has_open_requests(self, client: int) -> bool:
         """Return whether a client has requests open, those included that the next round takes."""
@@ -264,11 +275,11 @@
 
     # effects
 
-    def say(self, effect: WriteLog) -> None:
+    def write_log(self, effect: WriteLog) -> None:
         """Write a line of the log."""
         self.log(effect.event, **effect.values)
 
-    def trace(self, effect: WriteTrace) -> None:
+    def write_trace(self, effect: WriteTrace) -> None:
         """Write a step of a request to the trace."""
         self.tracer(effect.step, effect.client_request_id, **effect.values)
 
@@ -346,15 +357,15 @@
             if not self.scheduler.is_catching_up():  # else what is late may lie there unread
                 self.upstream_connections.sweep()
                 self.client_connections.sweep()
-            if self.gate is not None:
+            if self.ingress is not None:
                 self._detect_overload(due)
 
     def _detect_overload(self, due: float) -> None:
         counts = self.state.totals.counts
         now = self.now()
-        change = self.gate.look(now, now - due, counts["queries"], counts["again"] + counts["beside"])
+        change = self.ingress.update(now, now - due, counts["queries"], counts["again"] + counts["beside"])
         if change is not None:
-            self.log("storm", **change)
+            self.log("storm", **change._asdict())
 
     def reload(self, site: Site) -> None:
         """Take the command channel of a new configuration; all else is read at a start alone."""
