--- a/brookhinge/engine/coalescing.py
+++ b/brookhinge/engine/coalescing.py
@@ -65,18 +65,18 @@
         client = request.call.client
         address = self.clients.addresses.get(client, client)
         name = arrival.request_class, arrival.key, arrival.part
-        seen = self.lineage.asked(self.context.now, request.request_id, address, client, name)
-        leader = self.requests.open.get(seen.beside)
+        recognized = self.lineage.asked(self.context.now, request.request_id, address, client, name)
+        leader = self.requests.open.get(recognized.beside)
         if leader is not None and self.may_share_response(leader, request):
             self.follow(leader, request)
             return
-        self.totals.counts["again"] += seen.kind == "again"
-        origin = self.lineage.who(address, client)
+        self.totals.counts["again"] += recognized.kind == "again"
+        identity = self.lineage.who(address, client)
         self.context.inbox.append(
             arrival._replace(
                 timeout_s=request.deadline - self.context.now,
-                retry_age_s=seen.since,
-                retry_client=origin if origin[0] == "address" else None,
+                retry_age_s=recognized.since,
+                retry_client=identity if identity.kind == "address" else None,
             )
         )
 
