--- a/tests/membership/test_rig.py
+++ b/tests/membership/test_rig.py
@@ -92,15 +92,15 @@
         await ask(20)
         for name in rig.names[1:]:
             rig.channels[name].end()
-        before = rig.boxes["s-1"].counts["queries"]
+        before = rig.boxes["s-1"].counters["queries"]
         await ask(10)
-        assert rig.boxes["s-1"].counts["queries"] > before
+        assert rig.boxes["s-1"].counters["queries"] > before
         rig.channels["n1"].list("s-1", health="draining")
         going = asyncio.ensure_future(ask(60))
         await asyncio.sleep(0.5)
-        after, others = rig.boxes["s-1"].counts["queries"], rig.boxes["s-2"].counts["queries"]
+        after, others = rig.boxes["s-1"].counters["queries"], rig.boxes["s-2"].counters["queries"]
         await going
-        assert rig.boxes["s-1"].counts["queries"] == after and rig.boxes["s-2"].counts["queries"] > others
+        assert rig.boxes["s-1"].counters["queries"] == after and rig.boxes["s-2"].counters["queries"] > others
         for caller in callers:
             caller.close()
 
