--- a/brookhinge/decision_settings.py
+++ b/brookhinge/decision_settings.py
@@ -52,7 +52,7 @@
 
 
 class DecisionSettings(NamedTuple):
-    """The settings of `brookhinge.decide.Router`, by the names of its arguments. Times are seconds."""
+    """The settings of `brookhinge.decisions.router.Router`, by the names of its arguments. Times are seconds."""
 
     request_classes: list[RequestClass]
     location: Location
@@ -62,7 +62,6 @@
     parent_slow_start: SlowStart
     purge_settled_s: float
     server_kinds: tuple[str, str]  # of parents and of the origin
-    reports: list[str]  # columns of a load report, as servers name them
 
 
 def read_decision_settings(settings: SettingsReader) -> DecisionSettings:
@@ -74,7 +73,6 @@
     rules = settings.get_object("Rules", {})
     limits = settings.get_object("Limits", {})
     specifics = settings.get_object("Specifics", {})
-    report = settings.get_object("Report", {})
     zones = settings.get_texts("Zones")
     machine_types = settings.get_texts("MachineTypes")
     zone = _read_zone(settings, zones)
@@ -114,10 +112,15 @@
             _read_machine_type(specifics, "UpperKind", machine_types),
             _read_machine_type(specifics, "MasterKind", machine_types),
         ),
-        reports=[REPORT_COLUMNS.get(column, column) for column in report.get_texts("Columns")],
     )
 
 
+def read_load_columns(settings: SettingsReader) -> list[str]:
+    """Read the columns of a load report, as servers name them."""
+    columns = settings.get_object("Report", {}).get_texts("Columns")
+    return [REPORT_COLUMNS.get(column, column) for column in columns]
+
+
 def _read_zone(settings: SettingsReader, zones: list[str]) -> int:
     """Return the index of the zone where this router stands; the first where it is not told."""
     name = settings.get("Az", TEXT, "")
--- a/brookhinge/decisions/rules.py
+++ b/brookhinge/decisions/rules.py
@@ -1,6 +1,6 @@
 """What a router may do now: send, send again, refuse, close, believe a time stamp. The one place for it.
 
-The decisions (`brookhinge/decide.py`) ask here before they act; the engine asks here again with its own record of the facts
+The decisions (`brookhinge/decisions/router.py`) ask here before they act; the engine asks here again with its own record of the facts
 when it acts, and counts what should not have been (`brookhinge/engine/invariants.py`). Pure functions without I/O or clock;
 times are seconds of the caller's steady clock, unless a name says otherwise."""
 
@@ -9,6 +9,7 @@
 
 from brookhinge.decisions.settings import DeduplicationScope, Idempotency
 
+NEVER = -1e9  # a time before any other
 SEND_STATE = "ready"  # the only state of a server that takes new work, as server or as source of a fill
 CONNECT_MARGIN_S = 0.1  # a push may wait so long for its connection: a window of repeats ends earlier by that
 DEADLINE_SLACK_S = 0.15  # by how much the deadline passed to a server may exceed what the client has left
--- a/brookhinge/engine/effects.py
+++ b/brookhinge/engine/effects.py
@@ -4,22 +4,14 @@
 router's start. `request_id` and `attempt` are numbered as in `engine/events.py`.
 """
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from brookhinge.engine.endpoints import ServerInstance
 
-
-class Effect:
-    """Base of all effects."""
-
-    __slots__ = ()
-
-
 # To servers.
 
 
-@dataclass(frozen=True, slots=True)
-class SendAttempt(Effect):
+class SendAttempt(NamedTuple):
     """Send an attempt of a request to a server."""
 
     request_id: int
@@ -42,16 +34,14 @@
     idempotency_key: bytes | None = None
 
 
-@dataclass(frozen=True, slots=True)
-class CancelAttempt(Effect):
+class CancelAttempt(NamedTuple):
     """Give up an attempt: its response is not wanted any more."""
 
     request_id: int
     attempt: int
 
 
-@dataclass(frozen=True, slots=True)
-class RetireServer(Effect):
+class RetireServer(NamedTuple):
     """Use the connections to one start of a server for nothing new."""
 
     server: ServerInstance
@@ -60,8 +50,7 @@
 # To clients.
 
 
-@dataclass(frozen=True, slots=True)
-class Respond(Effect):
+class Respond(NamedTuple):
     """The final response: an object, or that the client's copy of it still holds."""
 
     client: int
@@ -70,8 +59,7 @@
     is_unchanged: bool
 
 
-@dataclass(frozen=True, slots=True)
-class RejectRequest(Effect):
+class RejectRequest(NamedTuple):
     """The final response: not served, and asking again is harmless."""
 
     client: int
@@ -79,16 +67,14 @@
     retry_after_s: float  # 0: no advice
 
 
-@dataclass(frozen=True, slots=True)
-class FailRequest(Effect):
+class FailRequest(NamedTuple):
     """The final response: an error."""
 
     client: int
     number: int
 
 
-@dataclass(frozen=True, slots=True)
-class RefuseCall(Effect):
+class RefuseCall(NamedTuple):
     """A call that cannot be taken, answered with an exception of the protocol."""
 
     client: int
@@ -96,8 +82,7 @@
     reason: str
 
 
-@dataclass(frozen=True, slots=True)
-class CloseClient(Effect):
+class CloseClient(NamedTuple):
     """Close the connection of a client that broke the protocol."""
 
     client: int
@@ -107,16 +92,14 @@
 # To the rest of the process.
 
 
-@dataclass(frozen=True, slots=True)
-class WriteLog(Effect):
+class WriteLog(NamedTuple):
     """Write an event to the log."""
 
     event: str
     values: dict[str, object]
 
 
-@dataclass(frozen=True, slots=True)
-class WriteTrace(Effect):
+class WriteTrace(NamedTuple):
     """Write a step of a request to the trace."""
 
     step: str
@@ -124,9 +107,23 @@
     values: dict[str, object]
 
 
-@dataclass(frozen=True, slots=True)
-class NotifyPeers(Effect):
+class NotifyPeers(NamedTuple):
     """Notify the peers of something that tightens a rule."""
 
     kind: str  # 'purge', 'draining' or 'gone'
     values: tuple
+
+
+Effect = (
+    SendAttempt
+    | CancelAttempt
+    | RetireServer
+    | Respond
+    | RejectRequest
+    | FailRequest
+    | RefuseCall
+    | CloseClient
+    | WriteLog
+    | WriteTrace
+    | NotifyPeers
+)
--- a/brookhinge/engine/router_state.py
+++ b/brookhinge/engine/router_state.py
@@ -34,7 +34,7 @@
 from brookhinge.engine.totals import Totals
 
 if TYPE_CHECKING:
-    from brookhinge.decide import Router
+    from brookhinge.decisions.router import Router
     from brookhinge.engine.scores import Scores
     from brookhinge.membership.safety_notices import SafetyNotices
     from brookhinge.storm.lineage import Lineage
@@ -88,7 +88,7 @@
         self.requests = RequestTable()
         self.clients = ClientTable()
         self.totals = Totals()
-        purge_kept_s = decisions.purge_settled_s + PURGES_KEPT_S
+        purge_kept_s = decisions.purges.settled_s + PURGES_KEPT_S
         self.invariants = Invariants(purge_kept_s, decisions.slow_start_bound)
         records = Records(self.context, self.requests, self.clients, self.invariants, self.totals)
         self.coalescer = RequestCoalescer(records, lineage=lineage)
@@ -160,7 +160,7 @@
         Returns:
             What is to be done, in order.
         """
-        self.decisions.knows_all = is_caught_up
+        self.decisions.knows_all_purges = is_caught_up
         self.context.begin(now)
         self.clients.closed.clear()
         if self.purges.is_first_round:
@@ -224,7 +224,7 @@
         request = self.requests.open.get(request_id)
         if request is not None:
             if not self.attempts.cancel(request):  # else the decisions still have to count what was out
-                self.decisions.queries.pop(request_id, None)
+                self.decisions.forget_request(request_id)
             self.responses.fail(request, Refusal.FAULT)
 
     def current_step(self) -> tuple[str, int | None]:
--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from brookhinge.decide import Router
+from brookhinge.decisions.router import Router
 from brookhinge.engine.effects import NotifyPeers
 from brookhinge.engine.events import Event
 from brookhinge.engine.router_state import RouterState
@@ -100,13 +100,10 @@
 
         self._transport.add(
             lambda transport, now: Limits(
-                transport.peer.view,
-                self._fleet.name,
-                self._fleet.zone,
-                transport.peer.version,
-                lambda: transport.fleet_size,
-                self._state.fleet.demand,
-                now,
+                transport.core_context(),
+                fleet_size=lambda: transport.fleet_size,
+                demand=self._state.fleet.demand,
+                now=now,
             )
         )
 
@@ -115,29 +112,23 @@
 
         self._transport.add(
             lambda transport, now: WarmStart(
-                transport.peer.view,
-                self._fleet.name,
-                self._fleet.zone,
-                transport.peer.version,
-                self._state.decisions.memory,
-                now,
+                transport.core_context(),
+                known_rows=self._state.decisions.memory,
+                now=now,
             )
         )
 
     def _share_outlier_evidence(self) -> None:
         from brookhinge.verdicts.outlier_detection import OutlierDetection
 
-        servers = self._state.decisions.fleet
+        servers = self._state.decisions.endpoints
         self._transport.add(
             lambda transport, now: OutlierDetection(
-                transport.peer.view,
-                self._fleet.name,
-                self._fleet.zone,
-                transport.peer.version,
-                lambda: transport.fleet_size.in_zone,
-                self._state.fleet.seen,
-                lambda: len(servers.own),
-                now,
+                transport.core_context(),
+                routers=lambda: transport.fleet_size.in_zone,
+                own_totals=self._state.fleet.seen,
+                servers=lambda: len(servers.local_caches),
+                now=now,
             )
         )
 
--- a/tests/engine/test_router_state.py
+++ b/tests/engine/test_router_state.py
@@ -42,7 +42,7 @@
 
 def test_a_response_to_an_earlier_attempt_does_not_pass_for_a_later_one(tmp_path):
     d = Desk(tmp_path)
-    d.router.retries = 10.0
+    d.router.retry_budget.tokens = 10.0
     d.ask()
     assert d.end(0, 1, "errored") == ["pull q0.2 r1 s-21 from s-11 rank 1 for 0.989"]
     assert d.end(0, 1, "satisfied", b"of the first") == []
@@ -64,18 +64,18 @@
     assert d.hear(RequestCancelled(1, 1)) == []
     assert d.hear(ClientDisconnected(1)) == ["kill q1.1"]
     assert d.end(0, 1, "satisfied") + d.end(1, 1, "satisfied") == []
-    assert list(d.state.requests.open) == [2] and list(d.router.queries) == [2]
+    assert list(d.state.requests.open) == [2] and list(d.router.requests) == [2]
 
 
 def test_a_client_that_disconnects_in_the_round_of_its_request_or_of_a_failed_attempt(tmp_path):
     """The decisions must not send for a query that is over when their round begins."""
     d = Desk(tmp_path)
     asked = RequestReceived(1, 1, b"r", b"page", b"aa", b"0", 0, 4, 100.0, 1.0, None, b"", 0.0)
-    assert d.hear(asked, RequestCancelled(1, 1)) == [] and d.router.queries == {}
+    assert d.hear(asked, RequestCancelled(1, 1)) == [] and d.router.requests == {}
     d.ask()
     failed = AttemptEnded(1, 1, "full", 6, 0.0, None, b"", False, d.now)
-    assert d.hear(failed, ClientDisconnected(1)) == [] and d.router.queries == {}
-    assert sum(d.router.fleet.inflight) == 0
+    assert d.hear(failed, ClientDisconnected(1)) == [] and d.router.requests == {}
+    assert sum(d.router.endpoints.in_flight) == 0
 
 
 def test_calls_that_cannot_be_taken(tmp_path):
@@ -86,7 +86,7 @@
     assert d.ask(kind=b"tune") == ["reject 1 3 service: no such class"]
     assert d.end(0, 1, "satisfied", b"all of it") == ["satisfy 1 1 b'all of it' False"]
     assert d.ask(name=b"r") == ["reject 1 4 ref: used before"]
-    assert d.state.requests.open == {} and d.router.queries == {}
+    assert d.state.requests.open == {} and d.router.requests == {}
 
 
 def test_a_connection_that_breaks_the_protocol_ends_with_all_that_is_open_on_it(tmp_path):
@@ -111,7 +111,8 @@
         assert d.hear(call(1, b"other", 2)) == ["pull q0.1 other s-21 from s-12 rank 1 for 0.979"]
         assert d.hear(*bad) == [f"shut 1 {why}"]
         assert (
-            list(d.state.requests.open) == list(d.router.queries) == [0] and sum(d.router.fleet.inflight) == 1
+            list(d.state.requests.open) == list(d.router.requests) == [0]
+            and sum(d.router.endpoints.in_flight) == 1
         )
         assert list(d.state.clients.last_numbers) == [2] and d.state.clients.withdrawn == {}
 
@@ -120,14 +121,14 @@
     d = Desk(tmp_path)
     d.ask(), d.ask()
     assert d.hear(ShutdownBegan()) == ["kill q0.1", "error 1 1", "kill q1.1", "error 1 2"]
-    assert d.state.requests.open == {} and sum(d.router.fleet.inflight) == 0
+    assert d.state.requests.open == {} and sum(d.router.endpoints.in_flight) == 0
 
 
 def test_unchanged_only_where_a_tag_was_passed_on(tmp_path):
     d = Desk(tmp_path)
     d.ask(tag=b"4be0")
     assert d.end(0, 1, "satisfied", same=True) == ["satisfy 1 1 b'' True"]
-    d.router.retries = 0.0
+    d.router.retry_budget.tokens = 0.0
     d.ask(key=b"bb")
     assert d.end(1, 1, "satisfied", same=True) == ["nack 1 2 0.0"]
 
@@ -182,14 +183,14 @@
     d = Desk(tmp_path)
     d.ask(), d.end(0, 1, "satisfied")
     d.hear(*commands({"cursor": 4, "drop": {"id": "aa", "when": 1000}}), at=1.5)
-    assert d.router.docs["aa", 0].purged_at == 1.0
+    assert d.router.objects.states["aa", 0].purged_at == 1.0
     d.hear(*commands({"cursor": 5, "drop": {"family": 4, "when": 2000}}), at=2.5)
-    assert d.router.groups == {4: 2.0, "aa": 1.0}
+    assert d.router.purges.purged_at == {4: 2.0, "aa": 1.0}
 
 
 def test_an_exception_in_the_decisions_costs_its_request_alone(tmp_path):
     d = Desk(tmp_path)
-    place, d.router.place = d.router.place, lambda query, q: place(query, q) if query else 1 / 0
+    route, d.router.route = d.router.route, lambda request: route(request) if request.request_id else 1 / 0
     told = [
         RequestReceived(1, n, b"r%d" % n, b"page", b"aa", b"0", 0, 4, 100.0, 1.0, None, b"", 0.01)
         for n in (1, 2)
@@ -197,4 +198,4 @@
     said, *done = d.hear(*told)
     assert said.startswith("say decisions {'text': 'ZeroDivisionError: division by zero (<lambda>, line")
     assert done == ["error 1 1", "pull q1.1 r2 s-21 from s-12 rank 2 for 0.989"]
-    assert list(d.router.queries) == [1]
+    assert list(d.router.requests) == [1]
--- a/tests/membership/test_warm_start.py
+++ b/tests/membership/test_warm_start.py
@@ -4,10 +4,11 @@
 
 from helpers import Bench
 
-from brookhinge.decide import Router
 from brookhinge.decisions.messages import ObjectsPurged, WarmStartReceived
+from brookhinge.decisions.router import Router
 from brookhinge.engine import events
 from brookhinge.membership.claims import Claim, MemberState
+from brookhinge.membership.core import CoreContext
 from brookhinge.membership.memory import Remembering
 from brookhinge.membership.messages import CoreMessage, WarmStartRequest, WarmStartState
 from brookhinge.membership.view import MembershipView
@@ -23,7 +24,7 @@
         self.router.__class__ = type("Router", (Remembering, Router), {})
 
 
-def told(old, new):
+def hand_over(old, new):
     new.router.process(new.now, [WarmStartReceived(old.router.memory())], new.trace)
 
 
@@ -32,31 +33,33 @@
     for i in range(30):
         old.serve("abc"[i % 3])
     old.router.rings.rings[0][1][0] = 300
-    told(old, new)
+    hand_over(old, new)
     assert (
         new.router.rings.rings[0][1] == old.router.rings.rings[0][1]
-        and new.router.sending == old.router.sending
+        and new.router.statistics.transfer_s == old.router.statistics.transfer_s
     )
-    assert {key: list(doc.holders) for key, doc in new.router.docs.items()} == {
-        key: list(doc.holders) for key, doc in old.router.docs.items()
+    assert {key: list(doc.holders) for key, doc in new.router.objects.states.items()} == {
+        key: list(doc.holders) for key, doc in old.router.objects.states.items()
     }
     target = new.ask("a")[0].split()[2]
-    assert target in [str(old.router.fleet.ids[c]) for c in old.router.docs["a", 0].holders]
+    assert target in [str(old.router.endpoints.ids[c]) for c in old.router.objects.states["a", 0].holders]
 
 
-def test_own_experience_and_purges_go_before_what_is_told():
+def test_own_experience_and_purges_go_before_warm_start_state():
     old, new = Taught(), Taught()
     for _ in range(3):
         old.serve("a")
     old.serve("b", group=5)
     for _ in range(60):
         new.serve("c")
-    mean = new.router.sending[0]
+    mean = new.router.statistics.transfer_s[0]
     new.call(ObjectsPurged(5, 0.0, ""))
     new.call(ObjectsPurged(-1, 0.0, "a"))
-    told(old, new)
+    hand_over(old, new)
     assert (
-        new.router.sending[0] == mean and ("a", 0) not in new.router.docs and ("b", 0) not in new.router.docs
+        new.router.statistics.transfer_s[0] == mean
+        and ("a", 0) not in new.router.objects.states
+        and ("b", 0) not in new.router.objects.states
     )
 
 
@@ -71,7 +74,7 @@
         ("song", "x", 0, "", 0, 0),
     ]
     new.router.process(new.now, [WarmStartReceived(rows)], new.trace)
-    assert [ends for _, ends, _ in new.router.rings.rings] == before and not new.router.docs
+    assert [ends for _, ends, _ in new.router.rings.rings] == before and not new.router.objects.states
 
 
 class Writer:
@@ -89,7 +92,8 @@
     view = MembershipView(600.0)
     for n, state in enumerate(states):
         view.apply(0.0, Claim(f"n{n}", n + 1, 1, 1, state, "h", n + 1, "z", 1, 0.0), "n0")
-    return WarmStart(view, "n0", "z", 1, lambda: [("takes", "page", 0, "", 0.1, 9.0)] * 23, 0.0), Writer()
+    context = CoreContext(view, "n0", "z", 1)
+    return WarmStart(context, known_rows=lambda: [("takes", "page", 0, "", 0.1, 9.0)] * 23, now=0.0), Writer()
 
 
 def test_one_peer_after_another_is_asked_until_one_answers():
--- a/tests/net/test_codecs.py
+++ b/tests/net/test_codecs.py
@@ -1,7 +1,5 @@
 """Parsers and encoders: bytes in any pieces, what can't be read, what is written."""
 
-import dataclasses
-
 import pytest
 
 from brookhinge.engine import commands
@@ -176,8 +174,7 @@
 
 
 def test_what_a_cache_is_sent():
-    full = dataclasses.replace(
-        PLAIN_ATTEMPT,
+    full = PLAIN_ATTEMPT._replace(
         part=b"03",
         fill_from="s-11",
         retention=2,
@@ -195,7 +192,7 @@
     assert cachewire.encode_pull(PLAIN_ATTEMPT, 0.0) == (
         b"PULL 9b1f sort=page,asset=7f3a,slice=3,patience=1 0\r\n\r\n"
     )
-    keyed = dataclasses.replace(PLAIN_ATTEMPT, class_name=b"order", idempotency_key=b"1ff975")
+    keyed = PLAIN_ATTEMPT._replace(class_name=b"order", idempotency_key=b"1ff975")
     assert b",patience=1,op=1ff975 0\r\n" in cachewire.encode_pull(keyed, 0.0)
     assert cachewire.encode_kill(b"9b1f") + cachewire.encode_echo(b"t") == b"KILL 9b1f\r\nECHO t\r\n"
 
--- a/tests/storm/test_lineage.py
+++ b/tests/storm/test_lineage.py
@@ -85,13 +85,13 @@
     d = desk(tmp_path, A, A)
     d.ask(client=1)
     d.ask(client=2)
-    again, d.router.again = d.router.again, lambda query, q, result: 1 / 0
+    retry, d.router.retry = d.router.retry, lambda request, result: 1 / 0
     said, *lines = d.end(0, 1, "broken")
     assert "ZeroDivisionError" in said
     assert lines[0] == "error 1 1" and kinds(lines[1:]) == ["pull q1.1 r2 s-21 from s-12 rank 1"]
-    d.router.again = again
+    d.router.retry = retry
     assert d.end(1, 1, "satisfied", b"x") == ["satisfy 2 2 b'x' False"]
-    assert not d.state.requests.open and not d.router.queries and sum(d.router.fleet.inflight) == 0
+    assert not d.state.requests.open and not d.router.requests and sum(d.router.endpoints.in_flight) == 0
 
 
 def test_who_waits_has_its_error_before_its_time_is_over(tmp_path):
