--- a/brookhinge/decision_settings.py
+++ b/brookhinge/decision_settings.py
@@ -52,7 +52,7 @@
 
 
 class DecisionSettings(NamedTuple):
-    """The settings of `brookhinge.decisions.router.Router`, by the names of its arguments. Times are seconds."""
+    """The settings of `brookhinge.decisions.router.Router`, by its arguments. Times are seconds."""
 
     request_classes: list[RequestClass]
     location: Location
