--- a/brookhinge/decision_settings.py
+++ b/brookhinge/decision_settings.py
@@ -115,8 +115,8 @@
     )
 
 
-def read_load_columns(settings: SettingsReader) -> list[str]:
-    """Read the columns of a load report, as servers name them."""
+def read_report_columns(settings: SettingsReader) -> list[str]:
+    """Return the columns of a load report, as servers name them."""
     columns = settings.get_object("Report", {}).get_texts("Columns")
     return [REPORT_COLUMNS.get(column, column) for column in columns]
 
--- a/brookhinge/engine/coalescing.py
+++ b/brookhinge/engine/coalescing.py
@@ -15,7 +15,7 @@
 from brookhinge.engine.records import Records
 
 if TYPE_CHECKING:
-    from brookhinge.storm.lineage import Lineage
+    from brookhinge.overload.retry_lineage import RetryLineage
 
 END_MARGIN_S = 0.02  # a follower fails so long before its deadline: the response has to reach its client
 
@@ -36,7 +36,7 @@
         followers: The requests that wait for each leader, in order of arrival.
     """
 
-    def __init__(self, records: Records, *, lineage: Lineage | None) -> None:
+    def __init__(self, records: Records, *, lineage: RetryLineage | None) -> None:
         self.context = records.context
         self.requests = records.requests
         self.clients = records.clients
--- a/brookhinge/engine/router_state.py
+++ b/brookhinge/engine/router_state.py
@@ -37,7 +37,7 @@
     from brookhinge.decisions.router import Router
     from brookhinge.engine.scores import Scores
     from brookhinge.membership.safety_notices import SafetyNotices
-    from brookhinge.storm.lineage import Lineage
+    from brookhinge.overload.retry_lineage import RetryLineage
 
 PURGES_KEPT_S = 1.0  # beyond the time after which the settings take an old copy to be gone
 
@@ -66,7 +66,7 @@
         class_names: Sequence[bytes],
         zones: Sequence[str],
         *,
-        lineage: Lineage | None = None,
+        lineage: RetryLineage | None = None,
         safety_notices: SafetyNotices | None = None,
         scores: Scores | None = None,
         is_traced: bool = False,
--- a/brookhinge/startup.py
+++ b/brookhinge/startup.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from brookhinge.decision_settings import DecisionSettings, read_decision_settings, read_load_columns
+from brookhinge.decision_settings import DecisionSettings, read_decision_settings, read_report_columns
 from brookhinge.engine.commands import read_commands
 from brookhinge.engine.events import CommandSkipped
 from brookhinge.settings_reader import (
@@ -98,7 +98,7 @@
             multiplex=limits.get_above("Multiplex", 0, INTEGER, DEFAULT_MULTIPLEX),
         ),
         zones=settings.get_texts("Zones"),
-        columns=[column.encode() for column in read_load_columns(settings)],
+        columns=[column.encode() for column in read_report_columns(settings)],
         decisions=decisions,
         storm=config.get_flag("storm"),
     )
