--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -211,7 +211,7 @@
     return {"cursor": cursor, "nodes": {"seq": cursor, "whole": whole, "hosts": hosts}}
 
 
-ALWAYS = {}  # keys of every configuration: tests/storm plays the services' tests with `storm` on
+ALWAYS = {}  # keys of every configuration: tests/overload plays the services' tests with `storm` on
 
 
 def configuration(ports=None, channel=9, **other):
