--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -14,7 +14,7 @@
 from brookhinge.decisions.router import Router
 from brookhinge.engine.effects import NotifyPeers
 from brookhinge.engine.events import Event
-from brookhinge.engine.reducer import Reducer
+from brookhinge.engine.router_state import RouterState
 from brookhinge.startup import Site
 
 if TYPE_CHECKING:
@@ -72,7 +72,7 @@
         controls: dict[str, Control],
         *,
         site: Site,
-        reducer: Reducer,
+        state: RouterState,
         post: Callable[[Event], None],
         log: Callable[..., None],
     ) -> None:
@@ -81,11 +81,11 @@
         place = site.decisions.location
         configured_sizes = (place.routers_here, place.routers)
         self._fleet = fleet
-        self._reducer = reducer
+        self._state = state
         self._log = log
-        self._talk: UdpTransport = UdpTransport(fleet, site.seed, configured_sizes, post, log)
+        self._transport: UdpTransport = UdpTransport(fleet, site.seed, configured_sizes, post, log)
         self._purge_log: LogClient | None = None
-        self.before_round = [self._talk.before_engine_round]
+        self.before_round = [self._transport.before_engine_round]
         if fleet.share_limits:
             self._share_limits()
         if fleet.share_memory:
@@ -98,11 +98,11 @@
     def _share_limits(self) -> None:
         from brookhinge.limits.limits import Limits
 
-        self._talk.add(
-            lambda talk, now: Limits(
-                talk.core_context(),
-                fleet_size=lambda: talk.fleet_size,
-                demand=self._reducer.demand,
+        self._transport.add(
+            lambda transport, now: Limits(
+                transport.core_context(),
+                fleet_size=lambda: transport.fleet_size,
+                demand=self._state.fleet.demand,
                 now=now,
             )
         )
@@ -110,10 +110,10 @@
     def _share_warm_start_state(self) -> None:
         from brookhinge.membership.warm_start import WarmStart
 
-        self._talk.add(
-            lambda talk, now: WarmStart(
-                talk.core_context(),
-                known_rows=self._reducer.router.memory,
+        self._transport.add(
+            lambda transport, now: WarmStart(
+                transport.core_context(),
+                known_rows=self._state.decisions.memory,
                 now=now,
             )
         )
@@ -121,12 +121,12 @@
     def _share_outlier_evidence(self) -> None:
         from brookhinge.verdicts.outlier_detection import OutlierDetection
 
-        servers = self._reducer.router.endpoints
-        self._talk.add(
-            lambda talk, now: OutlierDetection(
-                talk.core_context(),
-                routers=lambda: talk.fleet_size.in_zone,
-                own_totals=self._reducer.seen,
+        servers = self._state.decisions.endpoints
+        self._transport.add(
+            lambda transport, now: OutlierDetection(
+                transport.core_context(),
+                routers=lambda: transport.fleet_size.in_zone,
+                own_totals=self._state.fleet.seen,
                 servers=lambda: len(servers.local_caches),
                 now=now,
             )
@@ -135,10 +135,10 @@
     def _read_purge_log(self, controls: dict[str, Control], post: Callable[[Event], None]) -> None:
         from brookhinge.purgelog.client import LogClient
 
-        self._purge_log = self._talk.purge_log = LogClient(self._fleet, controls, post, self._log)
+        self._purge_log = self._transport.purge_log = LogClient(self._fleet, controls, post, self._log)
         self.before_round.append(self._purge_log.before)
 
-    def spread(self, effect: NotifyPeers) -> None:
+    def notify_peers(self, effect: NotifyPeers) -> None:
         """Tell the peers something that tightens a rule.
 
         Purges are left out where the settings say so, for as long as the purge log delivers them.
@@ -147,7 +147,7 @@
             effect.kind == "purge" and self._purge_log is not None and self._purge_log.replaces_notices()
         )
         if not is_in_purge_log:
-            self._talk.spread(effect.kind, *effect.values)
+            self._transport.spread(effect.kind, *effect.values)
 
     async def join(self) -> None:
         """Begin to exchange messages with the peers and to read the purge log.
@@ -157,7 +157,7 @@
         """
         if self._purge_log is not None and self._purge_log.closed():
             await self._purge_log.start()
-        await self._talk.start()
+        await self._transport.start()
 
     async def join_after_predecessor(self) -> None:
         """Join the fleet once the process before this one has left it.
@@ -179,4 +179,4 @@
         """Leave the fleet; this router's share of the limits was in use until now."""
         if self._purge_log is not None:
             self._purge_log.stop()
-        await self._talk.leave()
+        await self._transport.leave()
--- a/brookhinge/net/write_guard.py
+++ b/brookhinge/net/write_guard.py
@@ -5,7 +5,7 @@
 from brookhinge.decisions.rules import HeldBack
 from brookhinge.engine.effects import SendAttempt
 from brookhinge.engine.events import EndpointsListed, ObjectsPurged
-from brookhinge.engine.reducer import Reducer
+from brookhinge.engine.router_state import RouterState
 from brookhinge.engine.scheduler import EventScheduler
 from brookhinge.net.client_connections import ClientConnections
 from brookhinge.net.command_channel import CommandChannel
@@ -25,13 +25,13 @@
         self,
         *,
         now: Callable[[], float],
-        reducer: Reducer,
+        state: RouterState,
         scheduler: EventScheduler,
         command_channel: CommandChannel,
         client_connections: ClientConnections,
     ) -> None:
         self._now = now
-        self._reducer = reducer
+        self._state = state
         self._scheduler = scheduler
         self._command_channel = command_channel
         self._client_connections = client_connections
@@ -40,11 +40,11 @@
         """Return why the attempt may not be written at this very moment, or None if it may."""
         if attempt.deadline - self._now() < MIN_TIME_LEFT_S:
             return HeldBack.NO_TIME
-        reason = self._reducer.held_back(attempt.request_id, attempt.attempt)
+        reason = self._state.hold_reason(attempt.request_id, attempt.attempt)
         if reason is not None:
             return reason
         if not self._scheduler.is_caught_up():
             return HeldBack.STALLED
         if self._command_channel.has_unread() or self._scheduler.has_posted(EndpointsListed, ObjectsPurged):
             return HeldBack.LIST_UNREAD
-        return self._client_connections.hold_reason(*self._reducer.asker(attempt.request_id))
+        return self._client_connections.hold_reason(*self._state.client_and_number(attempt.request_id))
--- a/brookhinge/standin/sharing.py
+++ b/brookhinge/standin/sharing.py
@@ -1,4 +1,4 @@
-"""A fleet of routers that share limits and verdicts, or nothing, among modelled boxes in simulated time: the daemon's reducer,
+"""A fleet of routers that share limits and verdicts, or nothing, among modelled boxes in simulated time: the daemon's state,
 decisions and cores; wires and the news of the view are stood in for."""
 
 from brookhinge.decisions.router import Router
@@ -14,7 +14,7 @@
     SlowStart,
 )
 from brookhinge.engine.events import ClientDisconnected, RequestReceived
-from brookhinge.engine.reducer import Reducer
+from brookhinge.engine.router_state import RouterState
 from brookhinge.limits.limits import Limits
 from brookhinge.limits.shared import Sharing
 from brookhinge.membership.claims import Claim, MemberState
@@ -75,7 +75,7 @@
         kinds = (Sharing, Judging, Router) if share else (Router,)
         kind = type("Router", kinds, {})
         self.routers = [
-            Reducer(
+            RouterState(
                 kind(
                     seed + n,
                     request_classes=(PAGES,),
@@ -89,8 +89,7 @@
                 ),
                 [b"pages"],
                 ["hub", "edge"],
-                None,
-                SafetyNotices(0.0),
+                safety_notices=SafetyNotices(0.0),
             )
             for n in range(routers)
         ]
@@ -100,17 +99,19 @@
             for k in range(routers):
                 claim = Claim(f"n{k}", k + 1, 1, 1, MemberState.ALIVE, "h", k + 1, "z", 1, 0.0)
                 view.apply(0.0, claim, "n0")
-            reducer, own = self.routers[n], self.routers[n].router.endpoints
+            state, own = self.routers[n], self.routers[n].decisions.endpoints
             self.views.append(view)
             context = CoreContext(view, f"n{n}", "z", 1)
             self.writers.append(Writer(self, n))
             self.cores.append(
                 [
-                    Limits(context, fleet_size=lambda: (routers, routers), demand=reducer.demand, now=-60.0),
+                    Limits(
+                        context, fleet_size=lambda: (routers, routers), demand=state.fleet.demand, now=-60.0
+                    ),
                     OutlierDetection(
                         context,
                         routers=lambda: routers,
-                        own_totals=reducer.seen,
+                        own_totals=state.fleet.seen,
                         servers=lambda own=own: len(own.local_caches),
                         now=0.0,
                     ),
--- a/tests/test_parsers.py
+++ b/tests/net/test_codecs.py
@@ -1,13 +1,12 @@
 """Parsers and encoders: bytes in any pieces, what can't be read, what is written."""
 
-import dataclasses
-
 import pytest
 
 from brookhinge.engine import commands
 from brookhinge.engine.effects import SendAttempt
 from brookhinge.engine.endpoints import ServerInstance
 from brookhinge.net import cachewire, http, thrift
+from brookhinge.net.errors import InvalidCallError, UnreadableError
 
 SERVE = (
     bytes.fromhex("80010001 00000005")
@@ -54,7 +53,7 @@
     ],
 )
 def test_a_frame_that_cannot_be_read(frame, why):
-    with pytest.raises(thrift.UnreadableError) as fault:
+    with pytest.raises(UnreadableError) as fault:
         reader = thrift.Reader(frame)
         thrift.read_message_header(reader)
         thrift.read_arguments(reader, {1: thrift.MAP, 2: thrift.STRING})
@@ -64,7 +63,7 @@
 def test_a_wrong_type_is_told_and_the_frame_stays_readable():
     reader = thrift.Reader(SERVE)
     thrift.read_message_header(reader)
-    with pytest.raises(thrift.InvalidCallError) as fault:
+    with pytest.raises(InvalidCallError) as fault:
         thrift.read_arguments(reader, {1: thrift.STRING, 2: thrift.STRING})
     assert str(fault.value) == "argument 1: wrong type"
 
@@ -125,7 +124,7 @@
     ],
 )
 def test_an_answer_that_cannot_be_read(line):
-    with pytest.raises(cachewire.UnreadableError):
+    with pytest.raises(UnreadableError):
         cachewire.AnswerSplitter().feed(line)
 
 
@@ -150,7 +149,7 @@
         "moot",
     ]
     for word, fields in ((b"maybe", {}), (b"data", {b"first": b"soon"}), (b"data", {b"l": b"util:x"})):
-        with pytest.raises(cachewire.UnreadableError):
+        with pytest.raises(UnreadableError):
             read(word, fields, [b"util"])
 
 
@@ -175,8 +174,7 @@
 
 
 def test_what_a_cache_is_sent():
-    full = dataclasses.replace(
-        PLAIN_ATTEMPT,
+    full = PLAIN_ATTEMPT._replace(
         part=b"03",
         fill_from="s-11",
         retention=2,
@@ -194,7 +192,7 @@
     assert cachewire.encode_pull(PLAIN_ATTEMPT, 0.0) == (
         b"PULL 9b1f sort=page,asset=7f3a,slice=3,patience=1 0\r\n\r\n"
     )
-    keyed = dataclasses.replace(PLAIN_ATTEMPT, class_name=b"order", idempotency_key=b"1ff975")
+    keyed = PLAIN_ATTEMPT._replace(class_name=b"order", idempotency_key=b"1ff975")
     assert b",patience=1,op=1ff975 0\r\n" in cachewire.encode_pull(keyed, 0.0)
     assert cachewire.encode_kill(b"9b1f") + cachewire.encode_echo(b"t") == b"KILL 9b1f\r\nECHO t\r\n"
 
@@ -221,7 +219,7 @@
     answer = http.ResponseParser()
     assert answer.feed(HEAD + b"\r\n{..") is None
     assert answer.end() == (200, b"{..", False)
-    with pytest.raises(http.UnreadableError):
+    with pytest.raises(UnreadableError):
         http.ResponseParser().end()
 
 
@@ -238,7 +236,7 @@
     ],
 )
 def test_an_answer_of_the_channel_that_cannot_be_read(wire):
-    with pytest.raises(http.UnreadableError):
+    with pytest.raises(UnreadableError):
         http.ResponseParser().feed(wire)
 
 
