--- a/benchmarks/structures.py
+++ b/benchmarks/structures.py
@@ -90,7 +90,7 @@
         self.attempts = {}
         self.swept = 0.0
 
-    def asked(self, now, query, address, connection, name):
+    def recognize(self, now, query, address, connection, name):
         if now - self.swept > 1.0:
             self.swept = now
             self.attempts = {key: row for key, row in self.attempts.items() if now - row[1] < self.remember_s}
@@ -110,9 +110,9 @@
         address = f"a{chance.randrange(count)}"
         name = 0, "object", chance.randrange(50)
         began = time.perf_counter()
-        table.asked(now, n, address, n, name)
+        table.recognize(now, n, address, n, name)
         if isinstance(table, RetryLineage):
-            table.ended(now, n, "refused")
+            table.end(now, n, was_served=False)
         took = time.perf_counter() - began
         longest = max(longest, took)
         total = total + took
--- a/brookhinge/engine/coalescing.py
+++ b/brookhinge/engine/coalescing.py
@@ -19,14 +19,6 @@
 
 END_MARGIN_S = 0.02  # a follower fails so long before its deadline: the response has to reach its client
 
-# How the lineage knows the outcomes.
-LINEAGE_STATES = {
-    Outcome.SATISFIED: None,
-    Outcome.REJECTED: "refused",
-    Outcome.FAILED: "failed",
-    Outcome.WITHDRAWN: "forgotten",
-}
-
 
 class RequestCoalescer:
     """Recognizes retries and lets them follow the request that they repeat.
@@ -65,18 +57,18 @@
         client = request.call.client
         address = self.clients.addresses.get(client, client)
         name = arrival.request_class, arrival.key, arrival.part
-        seen = self.lineage.asked(self.context.now, request.request_id, address, client, name)
-        leader = self.requests.open.get(seen.beside)
+        seen = self.lineage.recognize(self.context.now, request.request_id, address, client, name)
+        leader = self.requests.open.get(seen.open_request)
         if leader is not None and self.may_share_response(leader, request):
             self.follow(leader, request)
             return
-        self.totals.counts["again"] += seen.kind == "again"
-        origin = self.lineage.who(address, client)
+        self.totals.counts["again"] += seen.is_retry
+        client_identity = self.lineage.identify(address, client)
         self.context.inbox.append(
             arrival._replace(
                 timeout_s=request.deadline - self.context.now,
-                retry_age_s=seen.since,
-                retry_client=origin if origin[0] == "address" else None,
+                retry_age_s=seen.since_first_s,
+                retry_client=client_identity if client_identity.outlives_connection else None,
             )
         )
 
@@ -110,7 +102,7 @@
         if self.lineage is None:
             return
         if request.leader is None:
-            self.lineage.ended(self.context.now, request.request_id, LINEAGE_STATES[outcome])
+            self.lineage.end(self.context.now, request.request_id, was_served=outcome is Outcome.SATISFIED)
             return
         followers = self.followers.get(request.leader, [])
         if request.request_id in followers:
--- a/brookhinge/overload/retry_lineage.py
+++ b/brookhinge/overload/retry_lineage.py
@@ -27,19 +27,36 @@
     BESIDE_OPEN = "beside"  # a retry of one that is still open
 
 
+class IdentityKind(StrEnum):
+    """By what a client is known."""
+
+    ADDRESS = "address"
+    CONNECTION = "connection"
+
+
 class ClientIdentity(NamedTuple):
-    """What a client is known by: `kind` is "address" or "connection"."""
+    """What a client is known by: its address, or its connection where others share the address."""
 
-    kind: str
+    kind: IdentityKind
     value: Hashable
 
+    @property
+    def outlives_connection(self) -> bool:
+        """Whether the client is recognized on another connection."""
+        return self.kind is IdentityKind.ADDRESS
+
 
 class Recognition(NamedTuple):
     """What a request is."""
 
     kind: RequestKind
-    since: float  # since the first attempt of the same client came
-    beside: int | None  # the one that it stands beside
+    since_first_s: float  # since the first attempt of the same client came
+    open_request: int | None  # the one that it stands beside
+
+    @property
+    def is_retry(self) -> bool:
+        """Whether it follows one that was not served."""
+        return self.kind is RequestKind.RETRY
 
 
 _NEW_REQUEST = Recognition(RequestKind.NEW, 0.0, None)
@@ -85,13 +102,15 @@
         else:
             self._connections.pop(address, None)
 
-    def who(self, address: Hashable, connection: int) -> ClientIdentity:
+    def identify(self, address: Hashable, connection: int) -> ClientIdentity:
         """What the client behind a connection is known by."""
         if self._connections.get(address, 0) > MAX_CONNECTIONS_OF_CLIENT:
-            return ClientIdentity("connection", connection)
-        return ClientIdentity("address", address)
+            return ClientIdentity(IdentityKind.CONNECTION, connection)
+        return ClientIdentity(IdentityKind.ADDRESS, address)
 
-    def asked(self, now: float, request: int, address: Hashable, connection: int, name: tuple) -> Recognition:
+    def recognize(
+        self, now: float, request: int, address: Hashable, connection: int, name: tuple
+    ) -> Recognition:
         """Tell what a request is, and remember it unless it stands beside an open one.
 
         Args:
@@ -101,7 +120,7 @@
             connection: Of its client.
             name: Class, object and part.
         """
-        key = (self.who(address, connection), name)
+        key = (self.identify(address, connection), name)
         known = self.attempts.get(key)
         if known is None:
             self._remember(key, _Attempt(now, now, request))
@@ -126,19 +145,13 @@
         _, oldest = self.attempts.popitem(last=False)
         self.key_of_request.pop(oldest.request, None)
 
-    def ended(self, now: float, request: int, outcome: str | None) -> None:
-        """Note the end of a request.
-
-        Args:
-            now: The time.
-            request: Its number.
-            outcome: None if it was served; else how it ended, and it may be retried.
-        """
+    def end(self, now: float, request: int, *, was_served: bool) -> None:
+        """Note the end of a request; one that was not served may be retried."""
         key = self.key_of_request.pop(request, None)
         known = self.attempts.get(key)
         if known is None or known.request != request:
             return
-        if outcome is None:
+        if was_served:
             del self.attempts[key]
         else:
             known.is_open = False
--- a/tests/overload/test_retry_lineage.py
+++ b/tests/overload/test_retry_lineage.py
@@ -116,19 +116,19 @@
     lineage, trace = RetryLineage(memory_s=5.0), []
 
     def ask(now, query):
-        seen = lineage.asked(now, query, A, 1, NAME)
-        trace.append((seen.kind, round(seen.since, 3)))
+        seen = lineage.recognize(now, query, A, 1, NAME)
+        trace.append((seen.kind, round(seen.since_first_s, 3)))
 
     ask(0.0, 1)
-    lineage.ended(0.5, 1, "refused")
+    lineage.end(0.5, 1, was_served=False)
     ask(0.75, 2)
-    lineage.ended(1.0, 2, "forgotten")
+    lineage.end(1.0, 2, was_served=False)
     ask(5.9, 3)
-    lineage.ended(6.0, 3, "failed")
+    lineage.end(6.0, 3, was_served=False)
     ask(11.1, 4)
-    lineage.ended(11.2, 4, None)
+    lineage.end(11.2, 4, was_served=True)
     ask(11.3, 5)
-    lineage.ended(11.4, 5, "refused")
+    lineage.end(11.4, 5, was_served=False)
     ask(3.0, 6)  # the clock stepped back
     assert trace == [("new", 0.0), ("again", 0.75), ("again", 5.9), ("new", 0.0), ("new", 0.0), ("new", 0.0)]
 
@@ -136,9 +136,9 @@
 def test_memory_is_bounded():
     lineage = RetryLineage(max_attempts=100)
     for n in range(5000):
-        lineage.asked(n * 0.001, n, f"a{n % 777}", n, (0, n, 0))
+        lineage.recognize(n * 0.001, n, f"a{n % 777}", n, (0, n, 0))
         if n % 2:
-            lineage.ended(n * 0.001, n, "refused")
+            lineage.end(n * 0.001, n, was_served=False)
     assert len(lineage.attempts) == 100 and len(lineage.key_of_request) <= 100
 
 
