--- /dev/null
+++ b/brookhinge/simulator_adapter/__main__.py
@@ -0,0 +1,8 @@
+"""The decisions on the simulator's wire, on standard input and output."""
+
+import sys
+
+from brookhinge.simulator_adapter.host import main
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/tests/test_wire.py
+++ b/tests/test_simulator_adapter.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from brookhinge import wirehost
-from brookhinge.wire.codec import WireError
+from brookhinge.simulator_adapter import host as adapter
+from brookhinge.simulator_adapter.lines import WireError
 
 OPTIONS = json.dumps(
     {
@@ -31,18 +31,18 @@
 
 
 def test_start_query_answer_and_empty_batches():
-    host = wirehost.Host()
+    host = adapter.Host()
     assert host.batch(1000, []) == []
     assert host.batch(1000, START + [ASK.format("a")]) == [
         "CONTEXT 3",
         "FETCH_THROUGH r-a 21 1999001000 9 1 0 0",
     ]
     assert host.batch(2000, ["ABOUT 3", "OUTCOME r-a 0 21 OK 1000 1", "CLIENT_LEFT r-a", "RING old"]) == []
-    assert host.instances[3].tid == host.instances[3].out == {}
+    assert host.instances[3].codec.wire_ids == host.instances[3].codec.attempts_out == {}
 
 
 def test_restart_in_one_batch_keeps_nothing():
-    host = wirehost.Host()
+    host = adapter.Host()
     host.batch(1000, START + [ASK.format("a")])
     host.batch(2000, ["ABOUT 3", "DESTROY"] + START[1:])
     assert host.instances[3].router.requests == {}
@@ -50,7 +50,7 @@
 
 
 def test_a_list_number_means_what_it_meant_at_that_line():
-    host = wirehost.Host()
+    host = adapter.Host()
     host.batch(1000, START)
     lists = [
         "ABOUT 3",
@@ -66,7 +66,7 @@
 
 
 def test_instances_share_nothing():
-    alone, both = wirehost.Host(), wirehost.Host()
+    alone, both = adapter.Host(), adapter.Host()
     other = ["ABOUT 5"] + START[1:] + [ASK.format("z")]
     one = alone.batch(1000, START + [ASK.format("a")])
     assert both.batch(1000, other + START + [ASK.format("a")])[2:] == one
@@ -82,7 +82,7 @@
     ],
 )
 def test_a_line_that_cannot_be_read_is_named(line, expected):
-    host = wirehost.Host()
+    host = adapter.Host()
     host.batch(1000, START + [ASK.format("a")])
     with pytest.raises(WireError) as fault:
         host.batch(2000, ["ABOUT 3", line])
@@ -91,10 +91,10 @@
 
 def test_bad_stream_ends_with_a_message_and_a_fault_of_the_decisions_panics(capsys, monkeypatch):
     out = io.StringIO()
-    assert wirehost.main(io.StringIO("BEGIN_BATCH 1\nEOB\nnonsense\n"), out) == 2
+    assert adapter.main(io.StringIO("BEGIN_BATCH 1\nEOB\nnonsense\n"), out) == 2
     assert out.getvalue() == "ACK\n"
     assert capsys.readouterr().err == "brookhinge: line 'nonsense': expected BEGIN_BATCH\n"
-    host = wirehost.Host()
+    host = adapter.Host()
     host.batch(1000, START)
     monkeypatch.setattr(host.instances[3].router, "route", lambda *_: 1 / 0)
     assert host.batch(2000, ["ABOUT 3", ASK.format("a")])[1].startswith(
