--- a/brookhinge/decisions/beacon_rings.py
+++ b/brookhinge/decisions/beacon_rings.py
@@ -24,6 +24,7 @@
 
     def __init__(self) -> None:
         self.rings: list[BeaconRing] = []
+        self._others: dict[int, list[int]] = {}  # of each cache: all others, in the order of the rings
 
     def assign(self, caches: list[int]) -> None:
         """Pair the caches; a ring with the same points keeps its sub-ranges.
@@ -37,6 +38,8 @@
             points = caches[2 * k :] if k == count - 1 else caches[2 * k : 2 * k + 2]
             ends = [IRH_VALUES * (i + 1) // len(points) for i in range(len(points))]
             self.rings.append(old.get(tuple(points)) or BeaconRing(points, ends, [0.0] * IRH_VALUES))
+        in_order = [c for ring in self.rings for c in ring.points]
+        self._others = {home: [c for c in in_order if c != home] for home in in_order}
 
     def beacon_order(self, code: int) -> list[int]:
         """Return the beacon point of an object, then the others in the order in which they stand in."""
@@ -44,10 +47,10 @@
             return []
         irh = code % IRH_VALUES
         points, ends, _ = self.rings[code % len(self.rings)]
-        i = next(i for i, end in enumerate(ends) if irh < end)
-        rest = [c for ring in self.rings for c in ring.points if c != points[i]]
-        start = irh % max(1, len(rest))  # what an ejected home leaves spreads over all
-        return [points[i], *rest[start:], *rest[:start]]
+        home = next(c for c, end in zip(points, ends, strict=True) if irh < end)
+        others = self._others[home]
+        start = irh % max(1, len(others))  # what an ejected home leaves spreads over all
+        return [home, *others[start:], *others[:start]]
 
     def record_load(self, code: int, load: float) -> None:
         """Count a request for an object."""
--- a/brookhinge/decisions/eligibility.py
+++ b/brookhinge/decisions/eligibility.py
@@ -53,7 +53,7 @@
             c not in request.failed_servers
             and rules.may_send_to(self._endpoints.state[c])
             and self._cache_outliers.is_eligible(c, now)
-            and self.may_repeat(c, request, now)
+            and (request.may_have_run is None or self.may_repeat(c, request, now))
         )
 
     def is_warming_up(self, c: int, now: float) -> bool:
--- a/brookhinge/decisions/rules.py
+++ b/brookhinge/decisions/rules.py
@@ -131,7 +131,7 @@
 
 
 def may_send_to(state: str) -> bool:
-    """Whether a server in that state, as last told, takes new work or may be named as the source of a fill."""
+    """Whether a server in that state, as last told, takes new work or may be the source of a fill."""
     return state == SEND_STATE
 
 
--- a/brookhinge/decisions/server_selection.py
+++ b/brookhinge/decisions/server_selection.py
@@ -86,11 +86,13 @@
         if not request.is_uncacheable:  # what runs at the origin is held by nobody
             known = self._eligibility.current_holders(request.object, now)
             holders = [c for c in known if c in beacon_order and c not in request.failed_servers]
-        load = {
-            c: (endpoints.in_flight[c] / (endpoints.weight[c] or 1.0), self._chance.random()) for c in holders
-        }
-        order = sorted(holders, key=load.get)
-        order += [c for c in beacon_order if c not in load]
+        order = beacon_order
+        if holders:
+            load = {
+                c: (endpoints.in_flight[c] / (endpoints.weight[c] or 1.0), self._chance.random())
+                for c in holders
+            }
+            order = sorted(holders, key=load.get) + [c for c in beacon_order if c not in load]
         return holders, [c for c in order if self._eligibility.is_open(c, request, now)]
 
     def _with_capacity(
