--- a/brookhinge/membership/memory.py
+++ b/brookhinge/membership/memory.py
@@ -1,6 +1,10 @@
-"""The decisions of a router that is told warm-start state: see warm_start.py."""
+"""The decisions of a router that tells warm-start state and is told it (`warm_start.py`).
 
-from brookhinge.decisions.messages import WarmStartReceived
+What is told loosens nothing: a cache is asked for what it holds with the oldest copy that will do as ever,
+and a wrong hint costs a miss.
+"""
+
+from brookhinge.decisions.messages import RouterMessage, WarmStartReceived
 from brookhinge.membership.warm_start import MAX_ROWS
 
 LONGEST_KEY = 64  # of objects whose holders are told
@@ -13,8 +17,8 @@
 class Remembering:
     """Goes before Router: it also takes `WarmStartReceived`, and `memory` tells what a peer may want."""
 
-    def handle(self, message):
-        """Handles one message."""
+    def handle(self, message: RouterMessage) -> None:
+        """Handle one message; what the router has learnt itself goes before what it is told."""
         if isinstance(message, WarmStartReceived):
             for kind, *row in message.rows:
                 if kind == RING:
@@ -26,8 +30,8 @@
         else:
             super().handle(message)
 
-    def memory(self):
-        """Returns rows of what this router knows: (kind, text, number, text, number, number) each."""
+    def memory(self) -> list[tuple]:
+        """Return rows of what this router knows: (kind, text, number, text, number, number) each."""
         ids = self.endpoints.ids
         rows = [
             (RING, ids[ring.points[0]], len(ring.points), "", ring.range_ends[0], ring.range_ends[1])
@@ -37,7 +41,7 @@
         rows += [
             (TRANSFER_TIME, one.name, 0, "", mean_s, samples)
             for one, mean_s, samples in zip(
-                self.request_classes, self.statistics.transfer_s, self.statistics.samples
+                self.request_classes, self.statistics.transfer_s, self.statistics.samples, strict=True
             )
         ]
         wanted = sorted(
@@ -48,29 +52,30 @@
             ),
             key=lambda state: -state.count,
         )
-        return rows + [
+        rows += [
             (HOLDER, state.key, state.part, ids[c], state.group, state.count)
             for state in wanted[:MAX_ROWS]
             for c in state.holders
         ]
+        return rows
 
-    def _learn_ring(self, first, points, _, one, two):
-        """Takes over the sub-ranges of a ring that has the same points here."""
+    def _learn_ring(self, first: int | str, points: int, _: str, first_end: int, second_end: int) -> None:
+        """Take over the sub-ranges of a ring that has the same points here."""
         for ring in self.rings.rings:
             is_same = self.endpoints.ids[ring.points[0]] == first and len(ring.points) == points
-            if is_same and 0 < one <= two <= ring.range_ends[-1]:
-                ring.range_ends[:-1] = [one, two][: points - 1]
+            if is_same and 0 < first_end <= second_end <= ring.range_ends[-1]:
+                ring.range_ends[:-1] = [first_end, second_end][: points - 1]
 
-    def _learn_transfer_time(self, name, _, __, mean_s, samples):
-        """Takes over a class's mean transfer time where the peer has counted more requests."""
+    def _learn_transfer_time(self, name: str, _: int, __: str, mean_s: float, samples: float) -> None:
+        """Take over a class's mean transfer time where the peer has counted more requests."""
         statistics = self.statistics
         for i, one in enumerate(self.request_classes):
             if one.name == name and samples > statistics.samples[i] and mean_s > 0.0:
                 statistics.transfer_s[i] = mean_s
                 statistics.samples[i] = samples
 
-    def _learn_holder(self, key, part, server, group, count):
-        """Takes over a holder of an object, unless that was purged lately."""
+    def _learn_holder(self, key: str, part: int, server: int | str, group: int, count: float) -> None:
+        """Take over a holder of an object, unless that was purged lately."""
         c = self.endpoints.index.get(server)
         objects = self.objects
         was_purged = self.purges.is_known(key) or self.purges.is_known(group)
