--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -16,7 +16,7 @@
     from brookhinge.engine.invariants import Invariants
     from brookhinge.net.write_guard import WriteGuard
 
-    Invariants.of_attempt = lambda self, now, query, track, attempt: None
+    Invariants.check_attempt = lambda self, now, request, request_class, attempt: None
     WriteGuard.hold_reason = lambda self, decided: None
 
 
@@ -73,25 +73,23 @@
 
 
 def body_wrong():
-    from msgspec import structs
-
     from brookhinge.net.client_connections import ClientConnections
 
     real = ClientConnections.respond
     ClientConnections.respond = lambda self, effect: real(
         self,
-        structs.replace(effect, body=effect.body[:-1] if chance.random() < 0.01 else effect.body),
+        effect._replace(body=effect.body[:-1] if chance.random() < 0.01 else effect.body),
     )
 
 
 def sent_after_end():
     """A cancel, and a client's end, are not heeded."""
-    from brookhinge.engine.reducer import Reducer
+    from brookhinge.engine.client_events import ClientEvents
     from brookhinge.net.client_connections import ClientConnections
 
     ClientConnections.hold_reason = lambda self, client, number: None
-    Reducer.forgotten = lambda self, client, number: None
-    Reducer.client_gone = lambda self, client: None
+    ClientEvents.on_request_cancelled = lambda self, event: None
+    ClientEvents.on_disconnected = lambda self, event: None
 
 
 def effect_twice():
@@ -200,7 +198,7 @@
     """Spans are those of the wall clock, as they were before."""
     from brookhinge.net.service import Service
 
-    Service.now = lambda self: time.time() - self.start
+    Service.now = lambda self: time.time() - self.started_at
 
 
 def backlog():
--- a/brookhinge/decisions/final_responses.py
+++ b/brookhinge/decisions/final_responses.py
@@ -44,7 +44,7 @@
             random_s = RETRY_AFTER_BASE_S + RETRY_AFTER_SPREAD_S * self.chance.random()
             return min(self.limits.max_retry_after_s, random_s)
         highest = max(one.utility for one in self.request_classes)
-        return self.retry_schedule.place(
+        return self.retry_schedule.reserve(
             self.now,
             request.retry_client,
             self.schedule_name(request),
--- a/brookhinge/net/client_calls.py
+++ b/brookhinge/net/client_calls.py
@@ -9,11 +9,12 @@
 from tornado.iostream import StreamClosedError
 
 from brookhinge.decisions.rules import CloseReason
-from brookhinge.engine.events import Event, RequestCancelled, RequestReceived
+from brookhinge.engine.events import Event, RequestCancelled
 from brookhinge.net import client_protocol, thrift
 from brookhinge.net.client_connection import ClientConnection, Ending, ReceivedCall
+from brookhinge.net.errors import InvalidCallError, RefusedCallError, UnreadableError
 from brookhinge.net.receive_times import ReceiveTimes
-from brookhinge.net.request_validation import validate_request
+from brookhinge.net.request_validation import read_request
 
 if TYPE_CHECKING:
     from brookhinge.net.client_connections import ClientConnections
@@ -132,7 +133,7 @@
                 and self._connections.is_open(client)
             ):
                 self._carry_out(client, client.next_call())
-        except thrift.UnreadableError as error:
+        except UnreadableError as error:
             client.ending = Ending(CloseReason.UNREADABLE, f"unreadable: {error}")
             client.clear_calls()
         if client.queued_bytes <= MAX_QUEUED_BYTES:
@@ -142,7 +143,7 @@
     def _carry_out(self, client: ClientConnection, received: ReceivedCall) -> None:
         try:
             call = client_protocol.read_call(received.frame)
-        except client_protocol.CallError as error:
+        except RefusedCallError as error:
             self.refuse(client, error.reply)
             return
         match call.method:
@@ -152,7 +153,7 @@
             case client_protocol.SERVE:
                 try:
                     self._post_request(client, call, received.received_at)
-                except thrift.InvalidCallError as error:
+                except InvalidCallError as error:
                     reply = client_protocol.invalid_call(call.method, call.sequence_number, error)
                     self.refuse(client, reply)
                     return
@@ -163,26 +164,8 @@
         client.used_at = received.received_at
 
     def _post_request(self, client: ClientConnection, call: client_protocol.Call, received_at: float) -> None:
-        fields = call.arguments.get(client_protocol.FIELDS_ARGUMENT, {})
-        body = call.arguments.get(client_protocol.BODY_ARGUMENT, b"")
-        request = validate_request(fields, body, self._max_timeout_s)
+        event = read_request(client.number, call, received_at, self._max_timeout_s)
         client.unanswered.add(call.sequence_number)
-        event = RequestReceived(
-            client=client.number,
-            number=call.sequence_number,
-            client_request_id=request.request_id,
-            class_name=request.request_class,
-            object_key=request.object_key,
-            part=request.part,
-            part_number=request.part_number,
-            purge_group=request.purge_group,
-            size_kb=request.size_kb,
-            timeout_s=request.timeout_s,
-            known_version=request.known_version,
-            body=request.body,
-            received_at=received_at,
-            idempotency_key=request.idempotency_key,
-        )
         self.post(event)
 
     def _take_cancels(self, client: ClientConnection) -> None:
--- a/brookhinge/net/thrift.py
+++ b/brookhinge/net/thrift.py
@@ -4,8 +4,11 @@
 from collections.abc import Iterator, Mapping
 from typing import NamedTuple
 
+from brookhinge.net.errors import InvalidCallError, UnreadableError
+
 MAX_FRAME_BYTES = 256 * 1024
 MAX_DEPTH = 8  # of nested values in an argument that is skipped
+CUT_OFF = "a frame that is cut off"
 VERSION_1 = 0x8001  # upper half of the first word of a strict message
 
 # Kinds of messages.
@@ -39,22 +42,6 @@
 FIELD_HEADER = struct.Struct(">Bh")  # type, number
 
 
-class UnreadableError(Exception):
-    """Bytes that can't be read as this protocol; the connection they came on is closed."""
-
-
-class InvalidCallError(Exception):
-    """A call that can be read and not be carried out; it is answered under its sequence number.
-
-    Attributes:
-        code: Of the TApplicationException that answers it.
-    """
-
-    def __init__(self, code: int, reason: str) -> None:
-        super().__init__(reason)
-        self.code = code
-
-
 class MessageHeader(NamedTuple):
     """What every message begins with."""
 
@@ -119,12 +106,16 @@
         begin = self.position
         self.position = begin + count
         if count < 0 or self.position > len(self.frame):
-            raise UnreadableError("a frame that is cut off")
+            raise UnreadableError(CUT_OFF)
         return self.frame[begin : self.position]
 
     def read_int32(self) -> int:
         """Read a signed integer of four bytes."""
-        return INT32.unpack(self.take(INT32.size))[0]
+        begin = self.position
+        self.position = begin + INT32.size
+        if self.position > len(self.frame):
+            raise UnreadableError(CUT_OFF)
+        return INT32.unpack_from(self.frame, begin)[0]
 
     def read_string(self) -> bytes:
         """Read a string, as bytes."""
--- a/tests/test_reducer.py
+++ b/tests/engine/test_router_state.py
@@ -1,4 +1,4 @@
-"""The reducer: events in, effects out, as printed traces."""
+"""The router's state: events in, effects out, as printed traces."""
 
 from helpers import Desk, host, listed
 
@@ -17,15 +17,19 @@
     return read_commands({"cursor": 0, "cmds": list(told)}, start)[1]
 
 
-def test_a_query_its_push_and_its_answer(tmp_path):
+def test_a_request_its_attempts_and_its_response(tmp_path):
     d = Desk(tmp_path)
     assert d.ask() == ["pull q0.1 r1 s-21 from s-12 rank 1 for 0.999"]
     assert d.end(0, 1, "full") == ["pull q0.2 r1 s-21 from s-11 rank 1 for 0.989"]
     assert d.end(0, 2, "satisfied", b"all of it") == ["satisfy 1 1 b'all of it' False"]
-    assert (d.reducer.queries, d.reducer.names, d.reducer.clients) == ({}, {}, {})
+    assert (d.state.requests.open, d.state.requests.by_client_request_id, d.state.clients.requests) == (
+        {},
+        {},
+        {},
+    )
 
 
-def test_a_push_whose_time_is_over_is_killed_before_the_next(tmp_path):
+def test_an_attempt_whose_time_is_over_is_cancelled_before_the_next(tmp_path):
     """Never two pushes out: KILL comes first, and an answer that crossed it counts for nothing."""
     d = Desk(tmp_path)
     d.ask(allow=2.0)
@@ -36,7 +40,7 @@
     assert d.end(0, 2, "satisfied", b"late") == []
 
 
-def test_an_answer_of_an_earlier_push_does_not_pass_for_a_later_one(tmp_path):
+def test_a_response_to_an_earlier_attempt_does_not_pass_for_a_later_one(tmp_path):
     d = Desk(tmp_path)
     d.router.retry_budget.tokens = 10.0
     d.ask()
@@ -45,25 +49,25 @@
     assert d.end(0, 2, "satisfied", b"of the second") == ["satisfy 1 1 b'of the second' False"]
 
 
-def test_next_time_is_that_of_a_push_still_out(tmp_path):
+def test_the_next_timer_is_that_of_an_attempt_still_out(tmp_path):
     d = Desk(tmp_path)
     d.ask(allow=0.5)
-    assert abs(d.reducer.next_at() - d.now - 0.499) < 1e-6
+    assert abs(d.state.next_at() - d.now - 0.499) < 1e-6
     d.end(0, 1, "satisfied")
-    assert d.reducer.next_at() is None
+    assert d.state.next_at() is None
 
 
-def test_a_client_that_forgets_or_goes_is_owed_nothing(tmp_path):
+def test_a_client_that_cancels_or_disconnects_is_owed_nothing(tmp_path):
     d = Desk(tmp_path)
     d.ask(), d.ask(), d.ask(client=2)
     assert d.hear(RequestCancelled(1, 1)) == ["kill q0.1"]
     assert d.hear(RequestCancelled(1, 1)) == []
     assert d.hear(ClientDisconnected(1)) == ["kill q1.1"]
     assert d.end(0, 1, "satisfied") + d.end(1, 1, "satisfied") == []
-    assert list(d.reducer.queries) == [2] and list(d.router.requests) == [2]
+    assert list(d.state.requests.open) == [2] and list(d.router.requests) == [2]
 
 
-def test_a_client_that_goes_in_the_pass_of_its_query_or_of_a_failed_push(tmp_path):
+def test_a_client_that_disconnects_in_the_round_of_its_request_or_of_a_failed_attempt(tmp_path):
     """The decisions must not send for a query that is over when their round begins."""
     d = Desk(tmp_path)
     asked = RequestReceived(1, 1, b"r", b"page", b"aa", b"0", 0, 4, 100.0, 1.0, None, b"", 0.0)
@@ -82,11 +86,11 @@
     assert d.ask(kind=b"tune") == ["reject 1 3 service: no such class"]
     assert d.end(0, 1, "satisfied", b"all of it") == ["satisfy 1 1 b'all of it' False"]
     assert d.ask(name=b"r") == ["reject 1 4 ref: used before"]
-    assert d.reducer.queries == {} and d.router.requests == {}
+    assert d.state.requests.open == {} and d.router.requests == {}
 
 
 def test_a_connection_that_breaks_the_protocol_ends_with_all_that_is_open_on_it(tmp_path):
-    """Two queries under one number can't be told apart in the answers: neither is satisfied. Others notice nothing."""
+    """Responses to two requests under one number can't be told apart. Others notice nothing."""
 
     def call(number, name=b"", client=1):
         return RequestReceived(
@@ -107,17 +111,17 @@
         assert d.hear(call(1, b"other", 2)) == ["pull q0.1 other s-21 from s-12 rank 1 for 0.979"]
         assert d.hear(*bad) == [f"shut 1 {why}"]
         assert (
-            list(d.reducer.queries) == list(d.router.requests) == [0]
+            list(d.state.requests.open) == list(d.router.requests) == [0]
             and sum(d.router.endpoints.in_flight) == 1
         )
-        assert list(d.reducer.numbers) == [2] and d.reducer.withdrawn == {}
+        assert list(d.state.clients.last_numbers) == [2] and d.state.clients.withdrawn == {}
 
 
-def test_what_is_open_at_the_end_gets_its_error(tmp_path):
+def test_what_is_open_at_shutdown_fails(tmp_path):
     d = Desk(tmp_path)
     d.ask(), d.ask()
     assert d.hear(ShutdownBegan()) == ["kill q0.1", "error 1 1", "kill q1.1", "error 1 2"]
-    assert d.reducer.queries == {} and sum(d.router.endpoints.in_flight) == 0
+    assert d.state.requests.open == {} and sum(d.router.endpoints.in_flight) == 0
 
 
 def test_unchanged_only_where_a_tag_was_passed_on(tmp_path):
@@ -129,16 +133,16 @@
     assert d.end(1, 1, "satisfied", same=True) == ["nack 1 2 0.0"]
 
 
-def test_a_copy_in_memory_is_the_answer_or_tells_that_the_clients_copy_holds(tmp_path):
+def test_a_copy_in_memory_is_the_response_or_tells_that_the_clients_copy_holds(tmp_path):
     d = Desk(tmp_path, flow_bytes_per_s=1e5, link_bytes_per_s=1e6)
     d.ask()
     assert d.end(0, 1, "satisfied", b"all of it", came=0.0, tag=b"4be0") == ["satisfy 1 1 b'all of it' False"]
     assert d.ask(allow=0.15) == ["satisfy 1 2 b'all of it' False"]
     assert d.ask(allow=0.15, tag=b"4be0") == ["satisfy 1 3 b'' True"]
-    assert d.hear(ObjectsPurged(4, 4, 0.05, "aa")) == [] and d.reducer.copies == {}
+    assert d.hear(ObjectsPurged(4, 4, 0.05, "aa")) == [] and d.state.sink.copies == {}
 
 
-def test_single_use_that_may_have_run_ends_in_error(tmp_path):
+def test_a_single_use_request_that_may_have_run_fails(tmp_path):
     d = Desk(tmp_path)
     d.ask(kind=b"order")
     assert d.end(0, 1, "broken") == ["error 1 1"]
@@ -155,16 +159,16 @@
     assert d.hear(*commands({"cursor": 5, "play": 1})) == [
         "say command skipped {'cursor': 5, 'why': \"KeyError 'drop': {'cursor': 5, 'play': 1}\"}"
     ]
-    assert d.reducer.cursor == 5
+    assert d.state.commands.cursor == 5
 
 
 def test_a_start_or_an_address_makes_another_server(tmp_path):
-    """A machine that restarted or a newcomer under its old address must not get what was meant for the first."""
+    """A machine that restarted, or a newcomer at its address, must not get what was meant for the first."""
     d = Desk(tmp_path)
     assert d.hear(*commands(listed(4, [host("s-21", born_ms=5000)], whole=False), start=3.0)) == [
         "retire s-21"
     ]
-    assert d.reducer.dials["s-21"] == (("127.0.0.1", 9), 2.0)
+    assert d.state.endpoints.instances["s-21"][1:] == (("127.0.0.1", 9), 2.0)
     assert d.hear(*commands(listed(5, [host("s-21", health="removed")], whole=False))) == ["retire s-21"]
     assert d.hear(*commands(listed(6, [host("s-22")]))) == [
         "retire s-01",
@@ -172,10 +176,10 @@
         "retire s-12",
         "retire s-23",
     ]
-    assert list(d.reducer.dials) == ["s-22"]
+    assert list(d.state.endpoints.instances) == ["s-22"]
 
 
-def test_a_purge_is_told_with_its_age(tmp_path):
+def test_a_purge_reaches_the_decisions_with_its_age(tmp_path):
     d = Desk(tmp_path)
     d.ask(), d.end(0, 1, "satisfied")
     d.hear(*commands({"cursor": 4, "drop": {"id": "aa", "when": 1000}}), at=1.5)
@@ -184,7 +188,7 @@
     assert d.router.purges.purged_at == {4: 2.0, "aa": 1.0}
 
 
-def test_a_fault_of_the_decisions_costs_its_query_alone(tmp_path):
+def test_an_exception_in_the_decisions_costs_its_request_alone(tmp_path):
     d = Desk(tmp_path)
     route, d.router.route = d.router.route, lambda request: route(request) if request.request_id else 1 / 0
     told = [
--- a/tests/membership/test_warm_start.py
+++ b/tests/membership/test_warm_start.py
@@ -8,6 +8,7 @@
 from brookhinge.decisions.router import Router
 from brookhinge.engine import events
 from brookhinge.membership.claims import Claim, MemberState
+from brookhinge.membership.core import CoreContext
 from brookhinge.membership.memory import Remembering
 from brookhinge.membership.messages import CoreMessage, WarmStartRequest, WarmStartState
 from brookhinge.membership.view import MembershipView
@@ -23,7 +24,7 @@
         self.router.__class__ = type("Router", (Remembering, Router), {})
 
 
-def told(old, new):
+def hand_over(old, new):
     new.router.process(new.now, [WarmStartReceived(old.router.memory())], new.trace)
 
 
@@ -32,7 +33,7 @@
     for i in range(30):
         old.serve("abc"[i % 3])
     old.router.rings.rings[0][1][0] = 300
-    told(old, new)
+    hand_over(old, new)
     assert (
         new.router.rings.rings[0][1] == old.router.rings.rings[0][1]
         and new.router.statistics.transfer_s == old.router.statistics.transfer_s
@@ -44,7 +45,7 @@
     assert target in [str(old.router.endpoints.ids[c]) for c in old.router.objects.states["a", 0].holders]
 
 
-def test_own_experience_and_purges_go_before_what_is_told():
+def test_own_experience_and_purges_go_before_warm_start_state():
     old, new = Taught(), Taught()
     for _ in range(3):
         old.serve("a")
@@ -54,7 +55,7 @@
     mean = new.router.statistics.transfer_s[0]
     new.call(ObjectsPurged(5, 0.0, ""))
     new.call(ObjectsPurged(-1, 0.0, "a"))
-    told(old, new)
+    hand_over(old, new)
     assert (
         new.router.statistics.transfer_s[0] == mean
         and ("a", 0) not in new.router.objects.states
@@ -91,7 +92,8 @@
     view = MembershipView(600.0)
     for n, state in enumerate(states):
         view.apply(0.0, Claim(f"n{n}", n + 1, 1, 1, state, "h", n + 1, "z", 1, 0.0), "n0")
-    return WarmStart(view, "n0", "z", 1, lambda: [("takes", "page", 0, "", 0.1, 9.0)] * 23, 0.0), Writer()
+    context = CoreContext(view, "n0", "z", 1)
+    return WarmStart(context, known_rows=lambda: [("takes", "page", 0, "", 0.1, 9.0)] * 23, now=0.0), Writer()
 
 
 def test_one_peer_after_another_is_asked_until_one_answers():
--- a/tests/net/test_wire_bytes.py
+++ b/tests/net/test_wire_bytes.py
@@ -1,7 +1,6 @@
 """The exact bytes that the router writes on each wire, as literals."""
 
 import pytest
-from msgspec import structs
 
 from brookhinge.engine.effects import SendAttempt
 from brookhinge.engine.endpoints import ServerInstance
@@ -122,8 +121,7 @@
     [
         (
             cachewire.encode_pull(
-                structs.replace(
-                    PLAIN_ATTEMPT,
+                PLAIN_ATTEMPT._replace(
                     part=b"03",
                     fill_from="s-11",
                     retention=2,
@@ -145,18 +143,14 @@
         ),
         (
             cachewire.encode_pull(
-                structs.replace(
-                    PLAIN_ATTEMPT, class_name=b"order", max_age_s=0.0001, idempotency_key=b"1ff975"
-                ),
+                PLAIN_ATTEMPT._replace(class_name=b"order", max_age_s=0.0001, idempotency_key=b"1ff975"),
                 3.0,
             ),
             b"PULL a1 sort=order,asset=7f3a,slice=3,patience=3000,accept=1,op=1ff975 0\r\n\r\n",
         ),
         (
             cachewire.encode_pull(
-                structs.replace(
-                    PLAIN_ATTEMPT, fill_from="s-01", retention=1, cached_only=True, skips_cache=True
-                ),
+                PLAIN_ATTEMPT._replace(fill_from="s-01", retention=1, cached_only=True, skips_cache=True),
                 0.05,
             ),
             b"PULL a1 sort=page,asset=7f3a,slice=3,patience=50,parent=s-01,shelf=1,hints=local+skip 0\r\n"
--- a/tests/standstill/test_held_back.py
+++ b/tests/standstill/test_held_back.py
@@ -1,12 +1,11 @@
 """Each reason for which an attempt is not written at the moment at which it could be."""
 
 import asyncio
-import dataclasses
 import time
 
 from brookhinge.decisions.rules import HeldBack
 from brookhinge.engine.effects import SendAttempt
-from brookhinge.engine.endpoints import ListedEndpoint, ServerInstance
+from brookhinge.engine.endpoints import ListedEndpoint
 from brookhinge.engine.events import EndpointsListed, ObjectsPurged
 from brookhinge.net.upstream_connection import PendingAttempt
 from tests.crossings.test_sockets import Raw
@@ -17,16 +16,16 @@
 async def one_out(t):
     """A query that is out at a silent server, its client's socket, and its attempt as it was decided."""
     raw = Raw(t.address).asks(1).send()
-    await until(lambda: t.service.reducer.queries)
-    (query, q), now = next(iter(t.service.reducer.queries.items())), t.service.now()
+    await until(lambda: t.service.state.requests.open)
+    (query, q), now = next(iter(t.service.state.requests.open.items())), t.service.now()
     await asyncio.sleep(0.05)  # its connection was read empty longer ago than a moment
     t.service.watch.tick()
-    server = ServerInstance(q.server, *t.service.reducer.dials[q.server])
+    server = t.service.state.endpoints.instances[q.server]
     attempt = SendAttempt(
         request_id=query,
-        attempt=q.pushes,
+        attempt=q.attempts,
         server=server,
-        client_request_id=q.name,
+        client_request_id=q.call.client_request_id,
         class_name=b"page",
         object_key=b"ab" * 8,
         part=b"0",
@@ -50,8 +49,8 @@
         raw, decided = await one_out(t)
         await until(t.service.scheduler.is_caught_up)
         before = t.service.write_guard.hold_reason(decided)
-        t.service.client_connections.clients[2].emptied_at = t.service.command_channel.empty_at = float(
-            "-inf"
+        t.service.client_connections.clients[2].emptied_at = t.service.command_channel.checked_empty_at = (
+            float("-inf")
         )
         return before, t.service.write_guard.hold_reason(change(t, raw, decided) or decided)
 
@@ -86,8 +85,8 @@
 
 def test_the_command_channel_has_sent_something(tmp_path):
     def answered(t, raw, decided):
-        t.service.command_channel.received = asyncio.get_running_loop().create_future()
-        t.service.command_channel.received.set_result(b"")
+        t.service.command_channel.pending_read = asyncio.get_running_loop().create_future()
+        t.service.command_channel.pending_read.set_result(b"")
 
     assert reason_after(tmp_path, answered) is HeldBack.LIST_UNREAD
 
@@ -99,7 +98,7 @@
 def test_its_server_drains_by_now(tmp_path):
     def drain(t, raw, decided):
         row = host(decided.server[0], health="draining")
-        t.service.reducer.reduce(
+        t.service.state.reduce(
             t.service.now(),
             [
                 EndpointsListed(
@@ -115,7 +114,7 @@
 
 def test_its_time_is_over(tmp_path):
     assert (
-        reason_after(tmp_path, lambda t, raw, decided: dataclasses.replace(decided, deadline=t.service.now()))
+        reason_after(tmp_path, lambda t, raw, decided: decided._replace(deadline=t.service.now()))
         is HeldBack.NO_TIME
     )
 
@@ -124,7 +123,7 @@
     async def scene(t):
         _, decided = await one_out(t)
         line = next(line for line in t.service.upstream_connections.pool.connections if line.in_flight)
-        other = dataclasses.replace(decided, client_request_id=b"other", attempt=9)
+        other = decided._replace(client_request_id=b"other", attempt=9)
         queued_at = t.service.now() - 1.0
         t.service.upstream_connections.place(line, PendingAttempt(other, queued_at))
         return dict(t.service.upstream_connections.holds)
