--- a/brookhinge/cache_server/cache_policy.py
+++ b/brookhinge/cache_server/cache_policy.py
@@ -35,6 +35,16 @@
     note: str
 
 
+_SERVE_HIT = Decision(Action.SERVE, "hit")
+_SERVE_STALE = Decision(Action.SERVE, "stale")
+_SERVE_STALE_AND_REVALIDATE = Decision(Action.SERVE_AND_REVALIDATE, "stale")
+_FILL = Decision(Action.FILL, "")
+_JOIN_FILL = Decision(Action.JOIN_FILL, "joined")
+_ABSENT = Decision(Action.ABSENT, "")
+_SOURCE_NOT_READY = Decision(Action.FULL, "src_refused")
+_NO_FILL_LEFT = Decision(Action.FULL, "no_slot")
+
+
 class Freshness(NamedTuple):
     """How long copies of a request class are fresh, in seconds."""
 
@@ -42,6 +52,9 @@
     stale_s: float = 0.0  # how much older they may be
 
 
+FRESH_UNTIL_PURGED = Freshness()
+
+
 class CachedCopy(NamedTuple):
     """What matters of a stored copy."""
 
@@ -72,24 +85,24 @@
         if copy.age_s <= max_age_s:
             return _serve(request, freshness, copy, fills)
     if not request.source:
-        return Decision(Action.ABSENT, "")
+        return _ABSENT
     if request.joins_fill and fills.can_join:
-        return Decision(Action.JOIN_FILL, "joined")
+        return _JOIN_FILL
     if not fills.source_is_ready:
-        return Decision(Action.FULL, "src_refused")
+        return _SOURCE_NOT_READY
     if fills.running >= fills.limit:
-        return Decision(Action.FULL, "no_slot")
-    return Decision(Action.FILL, "")
+        return _NO_FILL_LEFT
+    return _FILL
 
 
 def _serve(request: Request, freshness: Freshness, copy: CachedCopy, fills: FillState) -> Decision:
     if not freshness.fresh_s or copy.age_s <= freshness.fresh_s:
-        return Decision(Action.SERVE, "hit")
+        return _SERVE_HIT
     # a revalidation must not cost anybody a fill: it takes a place only while half of them are free
     has_spare_fills = 2 * fills.running < fills.limit
     if request.revalidate and fills.source_is_ready and has_spare_fills:
-        return Decision(Action.SERVE_AND_REVALIDATE, "stale")
-    return Decision(Action.SERVE, "stale")
+        return _SERVE_STALE_AND_REVALIDATE
+    return _SERVE_STALE
 
 
 def max_fill_age_s(
--- a/brookhinge/cache_server/service.py
+++ b/brookhinge/cache_server/service.py
@@ -7,6 +7,7 @@
 from brookhinge.cache_server import cache_policy, protocol
 from brookhinge.cache_server.answers import AnswerEncoder
 from brookhinge.cache_server.cache_policy import (
+    FRESH_UNTIL_PURGED,
     SERVER_READY,
     Action,
     CachedCopy,
@@ -188,7 +189,7 @@
         request = protocol.decode_request(fields)
         self.counters["queries"] += 1
         received_at = self.clocks.now()
-        freshness = self._freshness.get(request.request_class, Freshness())
+        freshness = self._freshness.get(request.request_class, FRESH_UNTIL_PURGED)
         copy = await self._read_copy(request)
         max_age_s = self._max_fill_age_s(request, freshness, copy)
         fill = self.fills.joinable(request.object_key, request.part, max_age_s)
@@ -226,12 +227,8 @@
         if copy is not None:
             age_s = max(0.0, self.clocks.wall_now() - copy.dated)
             cached_copy = CachedCopy(age_s, copy.needs_revalidation)
-        fill_state = FillState(
-            source_is_ready=self.servers.health_of(request.source) == SERVER_READY,
-            can_join=fill is not None,
-            running=self.fills.running(),
-            limit=self.fills.limit,
-        )
+        source_is_ready = self.servers.health_of(request.source) == SERVER_READY
+        fill_state = FillState(source_is_ready, fill is not None, self.fills.running(), self.fills.limit)
         return cache_policy.decide(request, freshness, cached_copy, fill_state)
 
     def _max_fill_age_s(self, request: Request, freshness: Freshness, copy: ReadResult | None) -> float:
--- a/brookhinge/store/health.py
+++ b/brookhinge/store/health.py
@@ -67,7 +67,7 @@
     @property
     def is_on(self) -> bool:
         """Whether the disk may be used."""
-        return self.state == DiskState.ON
+        return self.state is DiskState.ON
 
     def record_fault(self, now: float, kind: FaultKind, reason: str) -> bool:
         """Note a fault; True if the disk was turned off by it."""
