--- a/brookhinge/__main__.py
+++ b/brookhinge/__main__.py
@@ -14,6 +14,7 @@
 
         return command_line()
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # it would end a router that has not read its file yet
+    sys.modules["curses"] = None  # tornado would load it to colour logs: half a megabyte of a small limit
     from brookhinge.net.program import main as router
 
     return router()
