--- a/tests/crossings/test_sockets.py
+++ b/tests/crossings/test_sockets.py
@@ -1,5 +1,5 @@
-"""Two events that cross on real sockets, each order forced: a peer that holds, half-closes, resets or sends at a named
-point. The pairs stand in docs/design/crossings.md."""
+"""Two events that cross on real sockets, each order forced: a peer that holds, half-closes, resets or sends
+at a named point. The pairs stand in docs/design/crossings.md."""
 
 import asyncio
 import gc
@@ -470,7 +470,7 @@
 
 
 def test_idle_clients_at_the_systems_bound_starve_neither_discovery_nor_servers(tmp_path):
-    """The command channel is down while they come; the configuration allows more descriptors than the system."""
+    """The command channel is down while they come; the settings allow more descriptors than the system."""
 
     async def scene(t):
         spare = socket.create_server(("127.0.0.1", 0))
@@ -517,7 +517,7 @@
     monkeypatch.setattr(program.resource, "getrlimit", lambda what: (256, 256))
     assert program.limit_descriptors(site).bounds.sockets == 256
     monkeypatch.setattr(program.resource, "getrlimit", lambda what: (16, 16))
-    with pytest.raises(program.StartError, match="limits.sockets: .* gives 16"):
+    with pytest.raises(program.StartError, match=r"limits.sockets: .* gives 16"):
         program.limit_descriptors(site)
 
 
@@ -566,7 +566,7 @@
 
 
 def test_a_client_that_is_gone_leaves_nothing_behind(tmp_path):
-    """Its connection's fault held the frame that held it: a cycle a client, for the collector to find, 9 MB on a long day."""
+    """Its connection's error held the frame that held it: a cycle a client, for the collector to find."""
 
     async def scene(t):
         gc.collect()
@@ -589,7 +589,8 @@
 def test_the_command_line_leaves_the_word_to_hang_up_as_it_found_it():
     """Under nohup it is ignored: `brookhinge box` must outlive its terminal."""
     script = (
-        "import signal, sys\nsignal.signal(signal.SIGHUP, signal.SIG_IGN)\nsys.argv = ['brookhinge', '--help']\n"
+        "import signal, sys\nsignal.signal(signal.SIGHUP, signal.SIG_IGN)\n"
+        "sys.argv = ['brookhinge', '--help']\n"
         "from brookhinge.__main__ import main\ntry:\n    main()\nexcept SystemExit:\n    pass\n"
         "print(signal.getsignal(signal.SIGHUP) == signal.SIG_IGN)"
     )
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""Stamps of wall clocks that were set: what is told by them binds at least as strictly as by the right time."""
+"""Stamps of wall clocks that were set: they bind at least as strictly as the right time would."""
 
 import pytest
 
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("knows_all, answer", [(True, "satisfy"), (False, "pull")])
 def test_a_copy_of_its_own_is_no_answer_while_a_purge_may_have_been_told_unread(tmp_path, knows_all, answer):
-    """After a stall, until the command channel has answered: the copy may be from before a purge of long ago."""
+    """After a stall, until the command channel has answered: the copy may be older than a purge."""
     desk = Desk(
         tmp_path, limits={"memory_mb": 192, "sockets": 1024}, flow_bytes_per_s=1e6, link_bytes_per_s=1e7
     )
@@ -107,7 +107,7 @@
 
 
 def test_a_purge_known_at_the_start_binds_also_if_the_router_started_with_its_clock_ahead(tmp_path):
-    """The newest event that is known cannot be later than now; by how much earlier it was, a clock that is ahead cannot tell."""
+    """The newest known event cannot be later than now; by how much earlier, a clock ahead cannot tell."""
     desk, asked = starting_desk(tmp_path)
     desk.hear(ObjectsPurged(4, 0, desk.now - 7.5, "aa"))  # 2.5 s ago by its sender's clock
     desk.ask()
@@ -115,7 +115,10 @@
 
 
 def test_a_purge_known_at_the_start_binds_also_if_all_clocks_went_back_before_it(tmp_path):
-    """One known before it has a stamp of an hour later; by their numbers that one came first. The router's own clock was right."""
+    """One known before it has a stamp of an hour later; by their numbers that one came first.
+
+    The router's own clock was right.
+    """
     desk, asked = starting_desk(tmp_path)
     stamps = [(-20.0, "bb"), (-HOUR_S - 2.0, "aa")]
     desk.hear(*[ObjectsPurged(4 + n, 0, stamp, key) for n, (stamp, key) in enumerate(stamps)])
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -46,9 +46,9 @@
         t.machines["s-21"].act = t.machines["s-22"].act = t.machines["s-23"].act = lambda line: (
             "unchanged" if "got=4be0" in line[2] else "data"
         )
-        return asked, sorted([await t.caller.hear() for _ in asked])
+        return sorted([await t.caller.hear() for _ in asked])
 
-    asked, heard = played(scene, tmp_path)
+    heard = played(scene, tmp_path)
     assert heard == [(1, "satisfied 19"), (2, "well True"), (3, "satisfied 0 unchanged")]
 
 
@@ -117,7 +117,7 @@
             other.writer.write(bad)
             heard.append(await other.hear())
         t.caller.ask(1)
-        return heard + [await t.caller.hear()]
+        return [*heard, await t.caller.hear()]
 
     assert played(scene, tmp_path) == [(1, "exception no method sing"), None, None, None, (2, "satisfied 19")]
 
@@ -147,7 +147,7 @@
 
 
 def test_a_silent_server_is_found_by_echo_and_delays_no_other(tmp_path):
-    """Open connections of a machine that vanished stay open: its pushes must not wait for their whole time."""
+    """Connections of a machine that vanished stay open: its attempts must not wait for their whole time."""
 
     async def scene(t):
         t.service.state.decisions.retry_budget.tokens = 10.0
@@ -219,8 +219,10 @@
     ids=range(7),
 )
 def test_a_spoilt_answer_ends_its_connection_and_its_queries_go_on(tmp_path, spoilt):
-    """Whether it can't be read, can't be so, stops short or never comes: what is open there goes elsewhere in time,
-    also while new pushes go on being written."""
+    """Whether it can't be read, can't be so, stops short or never comes: what is open there goes elsewhere.
+
+    That happens in time, also while new attempts go on being written.
+    """
 
     async def scene(t):
         t.service.state.decisions.retry_budget.tokens = 10.0
@@ -255,8 +257,7 @@
 
 
 def test_a_size_that_is_not_told_is_not_made_up(tmp_path):
-    """market-tiles tells none: each query passed for 1 KB, every answer for thousands of times too slow, and a quarter of
-    a calm day was nacked."""
+    """A client that tells none: its request passed for 1 KB, and every answer for far too slow."""
 
     async def scene(t):
         router, sizes = t.service.state.decisions, []
@@ -290,7 +291,7 @@
         t.caller.ask(1)
         heard = [await t.caller.hear()]
         t.caller.ask(2)
-        return heard + [await t.caller.hear()], len(lines), t.service.upstream_connections.placements
+        return [*heard, await t.caller.hear()], len(lines), t.service.upstream_connections.placements
 
     assert played(scene, tmp_path) == ([(1, "satisfied 3"), (2, "satisfied 3")], 3, {})
 
@@ -403,7 +404,7 @@
         port = t.machines["s-21"].port
         rest = [host(s, t.machines[s].port) for s in ("s-01", "s-11", "s-12")]
         made = t.machines["s-21"].made
-        t.commands.answers.append(Commands.reply(4, listed(4, rest + [host("s-22", port)])))
+        t.commands.answers.append(Commands.reply(4, listed(4, [*rest, host("s-22", port)])))
         await until(lambda: t.service.state.commands.cursor == 4)
         t.caller.ask(2)
         return (
@@ -588,7 +589,7 @@
         t.caller.ask(2)
         heard.append(await t.caller.hear())
         monkeypatch.setattr(client_connections, "IDLE_TIMEOUT_S", 0.2)
-        return heard + [await t.caller.hear()]
+        return [*heard, await t.caller.hear()]
 
     assert played(scene, tmp_path) == [(1, "satisfied 19"), None, None, (2, "satisfied 19"), None]
 
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -39,7 +39,8 @@
         ({"known": {"cursor": 1}}, "known.cmds: missing, expected a list"),
         (
             {"known": {"cursor": 1, "cmds": [{"cursor": 1, "nodes": {"hosts": [{"host": "s-1"}]}}]}},
-            "known.cmds[0]: expected a command, cannot read KeyError 'dial': {'cursor': 1, 'nodes': {'hosts': [{'host': 's-1'}]}}",
+            "known.cmds[0]: expected a command, cannot read KeyError 'dial': "
+            "{'cursor': 1, 'nodes': {'hosts': [{'host': 's-1'}]}}",
         ),
         ({"limits": {"memory_mb": 0}}, "limits.memory_mb: expected more than 0, got 0"),
         ({"limits": {"sockets": "many"}}, "limits.sockets: expected a whole number, got 'many'"),
@@ -110,10 +111,10 @@
 
 def test_no_file_no_json_no_object(tmp_path):
     with pytest.raises(
-        StartError, match="^BALANCER_CONFIG: expected a file that can be read, got '/no/such'"
+        StartError, match=r"^BALANCER_CONFIG: expected a file that can be read, got '/no/such'"
     ):
         read_site({"BALANCER_CONFIG": "/no/such"})
-    with pytest.raises(StartError, match="^BALANCER_CONFIG: expected JSON, got "):
+    with pytest.raises(StartError, match=r"^BALANCER_CONFIG: expected JSON, got "):
         read("{", tmp_path)
-    with pytest.raises(StartError, match="^BALANCER_CONFIG: expected an object, got "):
+    with pytest.raises(StartError, match=r"^BALANCER_CONFIG: expected an object, got "):
         read("[]", tmp_path)
