--- a/brookhinge/decisions/beacon_rings.py
+++ b/brookhinge/decisions/beacon_rings.py
@@ -38,8 +38,8 @@
             points = caches[2 * k :] if k == count - 1 else caches[2 * k : 2 * k + 2]
             ends = [IRH_VALUES * (i + 1) // len(points) for i in range(len(points))]
             self.rings.append(old.get(tuple(points)) or BeaconRing(points, ends, [0.0] * IRH_VALUES))
-        in_order = [c for ring in self.rings for c in ring.points]
-        self._others = {home: [c for c in in_order if c != home] for home in in_order}
+        in_order = [server for ring in self.rings for server in ring.points]
+        self._others = {home: [server for server in in_order if server != home] for home in in_order}
 
     def beacon_order(self, code: int) -> list[int]:
         """Return the beacon point of an object, then the others in the order in which they stand in."""
@@ -47,7 +47,7 @@
             return []
         irh = code % IRH_VALUES
         points, ends, _ = self.rings[code % len(self.rings)]
-        home = next(c for c, end in zip(points, ends, strict=True) if irh < end)
+        home = next(server for server, end in zip(points, ends, strict=True) if irh < end)
         others = self._others[home]
         start = irh % max(1, len(others))  # what an ejected home leaves spreads over all
         return [home, *others[start:], *others[:start]]
@@ -64,11 +64,11 @@
         """
         for ring in self.rings:
             total = sum(ring.loads)
-            total_capability = sum(capability(c) for c in ring.points)
+            total_capability = sum(capability(server) for server in ring.points)
             start = 0
-            for i, c in enumerate(ring.points[:-1]):
+            for i, server in enumerate(ring.points[:-1]):
                 load = sum(ring.loads[start : ring.range_ends[i]])
-                surplus = load - capability(c) / total_capability * total
+                surplus = load - capability(server) / total_capability * total
                 _move_end(ring, i, start, surplus)
                 start = ring.range_ends[i]
             ring.loads[:] = [0.0] * IRH_VALUES
--- a/brookhinge/decisions/eligibility.py
+++ b/brookhinge/decisions/eligibility.py
@@ -41,59 +41,59 @@
         self._statistics = statistics
         self._chance = chance
 
-    def may_repeat(self, c: int, request: RequestState, now: float) -> bool:
+    def may_repeat(self, server: int, request: RequestState, now: float) -> bool:
         """Whether an attempt at a server could not be a second effect."""
-        zone = self._endpoints.zone[c]
-        cell = self._endpoints.cell[c]
+        zone = self._endpoints.zone[server]
+        cell = self._endpoints.cell[server]
         return rules.may_repeat(request.request_class, request.may_have_run, zone, cell, now)
 
-    def is_open(self, c: int, request: RequestState, now: float) -> bool:
+    def is_open(self, server: int, request: RequestState, now: float) -> bool:
         """Whether a cache is ready, not ejected, and has not failed the request."""
         return (
-            c not in request.failed_servers
-            and rules.may_send_to(self._endpoints.state[c])
-            and self._cache_outliers.is_eligible(c, now)
-            and (request.may_have_run is None or self.may_repeat(c, request, now))
+            server not in request.failed_servers
+            and rules.may_send_to(self._endpoints.state[server])
+            and self._cache_outliers.is_eligible(server, now)
+            and (request.may_have_run is None or self.may_repeat(server, request, now))
         )
 
-    def is_warming_up(self, c: int, now: float) -> bool:
+    def is_warming_up(self, server: int, now: float) -> bool:
         """Whether a cache or parent is in slow start."""
-        budget = self._slow_start[self._endpoints.role[c]]
-        return budget.is_warming_up(now, self._endpoints.warming_since[c])
+        budget = self._slow_start[self._endpoints.role[server]]
+        return budget.is_warming_up(now, self._endpoints.warming_since[server])
 
-    def admits_work(self, c: int, work: float, request: RequestState, now: float) -> bool:
+    def admits_work(self, server: int, work: float, request: RequestState, now: float) -> bool:
         """Whether a server is warm, or has budget for so many seconds of transfer; take them from it if so.
 
         Late retries leave half of it to others; who comes when told may borrow.
         """
-        budget = self._slow_start[self._endpoints.role[c]]
-        started_at = self._endpoints.warming_since[c]
+        budget = self._slow_start[self._endpoints.role[server]]
+        started_at = self._endpoints.warming_since[server]
         is_admitted = True
         if budget.is_limited(now, started_at):
             reserve = LATE_RETRY_RESERVE * (1.0 - request.priority_weight)
             is_admitted = budget.admits(
-                c,
+                server,
                 now=now,
                 started_at=started_at,
-                power=self._throughput.power(c, now),
+                power=self._throughput.power(server, now),
                 work=work,
                 largest_s=self._statistics.largest_transfer_s(),
                 chance=self._chance,
                 reserve=-SCHEDULED_BORROWING if request.is_scheduled else reserve,
             )
-        budget.record_demand(c, now, work, is_admitted)
+        budget.record_demand(server, now, work, is_admitted)
         return is_admitted
 
-    def has_capacity(self, c: int, share: float, now: float) -> bool:
+    def has_capacity(self, server: int, share: float, now: float) -> bool:
         """Whether a cache can take one more for who has that share of its limit.
 
         One always goes where none is out, or nobody would see congestion end.
         """
-        in_flight = self._endpoints.in_flight[c]
-        weight = self._throughput.known_weight(c)
-        if not self._concurrency.has_capacity(c, in_flight, share, weight):
+        in_flight = self._endpoints.in_flight[server]
+        weight = self._throughput.known_weight(server)
+        if not self._concurrency.has_capacity(server, in_flight, share, weight):
             return False
-        return not in_flight or self._concurrency.admits(c, now, share, self._chance)
+        return not in_flight or self._concurrency.admits(server, now, share, self._chance)
 
     def current_holders(self, state: ObjectState, now: float) -> list[int]:
         """Return the caches remembered serving a kept copy.
@@ -103,22 +103,24 @@
         emptied_at = self._endpoints.emptied_at
         health = self._endpoints.state
         state.holders = {
-            c: at
-            for c, at in state.holders.items()
-            if now - at <= HOLDER_TIMEOUT_S and at > emptied_at[c] and rules.may_send_to(health[c])
+            server: at
+            for server, at in state.holders.items()
+            if now - at <= HOLDER_TIMEOUT_S and at > emptied_at[server] and rules.may_send_to(health[server])
         }
         return list(state.holders)
 
     def first_upstream(self, request: RequestState, work: float, now: float) -> int | None:
         """Return the first usable parent in the object's own order, else the origin, else None."""
         failed = request.failed_servers | request.failed_sources
-        for c in self._parent_order(request.object) + self._endpoints.origins:
-            if not rules.may_send_to(self._endpoints.state[c]) or c in failed:
+        for server in self._parent_order(request.object) + self._endpoints.origins:
+            if not rules.may_send_to(self._endpoints.state[server]) or server in failed:
                 continue
-            if self._endpoints.role[c] is ServerRole.ORIGIN:
-                return c
-            if self._parent_outliers.is_eligible(c, now) and self.admits_work(c, work, request, now):
-                return c
+            if self._endpoints.role[server] is ServerRole.ORIGIN:
+                return server
+            if self._parent_outliers.is_eligible(server, now) and self.admits_work(
+                server, work, request, now
+            ):
+                return server
         return None
 
     def local_capacity(self, at: float, now: float) -> float:
@@ -126,13 +128,13 @@
         budget = self._slow_start[ServerRole.CACHE]
         largest_s = self._statistics.largest_transfer_s()
         total = 0.0
-        for c in self._endpoints.local_caches:
-            started_at = self._endpoints.warming_since[c]
-            limit = self._concurrency.current_limit(c)
+        for server in self._endpoints.local_caches:
+            started_at = self._endpoints.warming_since[server]
+            limit = self._concurrency.current_limit(server)
             if budget.is_limited(at, started_at):
-                power = self._throughput.power(c, now)
+                power = self._throughput.power(server, now)
                 rate = budget.fleet_rate(at, started_at, power, largest_s)
-                limit = min(limit, rate * budget.share(c, started_at))
+                limit = min(limit, rate * budget.share(server, started_at))
             total += limit
         return total
 
@@ -141,5 +143,5 @@
         if state.ordered_parents is not parents:
             state.ordered_parents = parents
             ids = self._endpoints.ids
-            state.parent_order = sorted(parents, key=lambda c: digest(f"{state.key_code} {ids[c]}"))
+            state.parent_order = sorted(parents, key=lambda server: digest(f"{state.key_code} {ids[server]}"))
         return state.parent_order
--- a/brookhinge/decisions/endpoints.py
+++ b/brookhinge/decisions/endpoints.py
@@ -79,32 +79,32 @@
             self._newest_start = max([self._newest_start, *starts])
         listed = {self._take(now, row) for row in endpoints}
         if is_complete:
-            for c, state in enumerate(self.state):
-                if c not in listed and state != GONE:
-                    self.state[c] = GONE
-                    self.emptied_at[c] = now
+            for server, state in enumerate(self.state):
+                if server not in listed and state != GONE:
+                    self.state[server] = GONE
+                    self.emptied_at[server] = now
         self._group_by_role()
 
-    def is_ready_local_cache(self, c: int) -> bool:
+    def is_ready_local_cache(self, server: int) -> bool:
         """Whether it is a ready cache of this router's zone."""
-        is_local = self.role[c] is ServerRole.CACHE and self.zone[c] == self.own_zone
-        return is_local and self.state[c] == SEND_STATE
+        is_local = self.role[server] is ServerRole.CACHE and self.zone[server] == self.own_zone
+        return is_local and self.state[server] == SEND_STATE
 
     def _take(self, now: float, row: Endpoint) -> int:
         """Take one row; return its index."""
-        c = self._index_of(now, row.server)
-        is_other_start = self.started_at[c] != row.started_at
+        server = self._index_of(now, row.server)
+        is_other_start = self.started_at[server] != row.started_at
         if row.state != SEND_STATE or is_other_start:  # left, drained or restarted: what it held is gone
-            self.emptied_at[c] = now
-        if is_other_start or c in self.newly_indexed:
-            self.warming_since[c] = self._effective_start(now, row.started_at)
-        self.state[c] = row.state
-        self.weight[c] = row.weight
-        self.started_at[c] = row.started_at
-        self.cell[c] = row.cell
-        self.zone[c] = row.zone
-        self.role[c] = self._role_of(row.kind)
-        return c
+            self.emptied_at[server] = now
+        if is_other_start or server in self.newly_indexed:
+            self.warming_since[server] = self._effective_start(now, row.started_at)
+        self.state[server] = row.state
+        self.weight[server] = row.weight
+        self.started_at[server] = row.started_at
+        self.cell[server] = row.cell
+        self.zone[server] = row.zone
+        self.role[server] = self._role_of(row.kind)
+        return server
 
     def _role_of(self, kind: str) -> ServerRole:
         if kind == self.parent_kind:
@@ -113,21 +113,28 @@
 
     def _index_of(self, now: float, server: int | str) -> int:
         """Return a server's index; a newcomer takes that of one long gone, or the arrays would grow."""
-        c = self.index.get(server)
-        if c is None:
-            c = next((c for c in range(len(self.ids)) if self._is_reusable(c, now)), len(self.ids))
-            if c < len(self.ids):
-                self.index.pop(self.ids[c], None)
-            self._reset(c, server)
-            self.index[server] = c
-            self.newly_indexed.append(c)
-        return c
-
-    def _is_reusable(self, c: int, now: float) -> bool:
-        is_unused = self.state[c] == GONE and not self.in_flight[c]
-        return is_unused and now - self.emptied_at[c] > REUSE_AFTER_S
-
-    def _reset(self, c: int, server: int | str) -> None:
+        server_index = self.index.get(server)
+        if server_index is None:
+            server_index = next(
+                (
+                    server_index
+                    for server_index in range(len(self.ids))
+                    if self._is_reusable(server_index, now)
+                ),
+                len(self.ids),
+            )
+            if server_index < len(self.ids):
+                self.index.pop(self.ids[server_index], None)
+            self._reset(server_index, server)
+            self.index[server] = server_index
+            self.newly_indexed.append(server_index)
+        return server_index
+
+    def _is_reusable(self, server: int, now: float) -> bool:
+        is_unused = self.state[server] == GONE and not self.in_flight[server]
+        return is_unused and now - self.emptied_at[server] > REUSE_AFTER_S
+
+    def _reset(self, server_index: int, server: int | str) -> None:
         """Give an index, maybe one past the last, to a server of which nothing is known."""
         for array, first in (
             (self.ids, server),
@@ -141,7 +148,7 @@
             (self.in_flight, 0),
             (self.emptied_at, NEVER),
         ):
-            array[c : c + 1] = [first]
+            array[server_index : server_index + 1] = [first]
 
     def _effective_start(self, now: float, started_at: float | None) -> float | None:
         """Since when a server counts as started that was listed just now.
@@ -156,8 +163,8 @@
         return event_time(now, started_at)
 
     def _group_by_role(self) -> None:
-        listed = [c for c, state in enumerate(self.state) if state != GONE]
+        listed = [server for server, state in enumerate(self.state) if state != GONE]
         listed.sort(key=self.ids.__getitem__)
-        self.local_caches = [c for c in listed if self.is_ready_local_cache(c)]
-        self.parents = [c for c in listed if self.role[c] is ServerRole.PARENT]
-        self.origins = [c for c in listed if self.role[c] is ServerRole.ORIGIN]
+        self.local_caches = [server for server in listed if self.is_ready_local_cache(server)]
+        self.parents = [server for server in listed if self.role[server] is ServerRole.PARENT]
+        self.origins = [server for server in listed if self.role[server] is ServerRole.ORIGIN]
--- a/brookhinge/decisions/fault_attribution.py
+++ b/brookhinge/decisions/fault_attribution.py
@@ -52,24 +52,24 @@
         self._tells_fault = notes is NoteDetail.ALL
         self._heard_at: dict[int, float] = {}  # of each server: its last good response
 
-    def forget(self, c: int) -> None:
+    def forget(self, server: int) -> None:
         """Drop what is known of a server: its index belongs to another from here on."""
-        self._heard_at.pop(c, None)
+        self._heard_at.pop(server, None)
 
     def judge(self, outcome: AttemptOutcome, is_lagging: bool, sink: DecisionSink) -> None:
         """Count an outcome for or against the servers that took part.
 
         `is_lagging` speaks against the cache.
         """
-        request, c, result, _, _, _, now, _, is_fill = outcome
-        is_parent = self._endpoints.role[c] is _PARENT
-        source = c if is_parent else request.source
+        request, server, result, _, _, _, now, _, is_fill = outcome
+        is_parent = self._endpoints.role[server] is _PARENT
+        source = server if is_parent else request.source
         is_satisfied = result == _SATISFIED
         if is_satisfied:
-            self._heard_at[c] = now
-            self._heard_at[source if is_fill else c] = now
+            self._heard_at[server] = now
+            self._heard_at[source if is_fill else server] = now
         is_timeout = result == _TIMEOUT
-        cache_is_silent = is_timeout and self._is_silent(c, now)
+        cache_is_silent = is_timeout and self._is_silent(server, now)
         source_is_silent = is_timeout and is_fill and self._is_silent(source, now)
         is_shed_fill = is_fill and result == _FULL
         failed = is_lagging or cache_is_silent or source_is_silent or is_shed_fill or result in FAILURES
@@ -85,16 +85,16 @@
             outcome, source, is_slow or source_is_silent or (is_good and is_fill), is_shared
         )
         if cache_counts and self._cache_outliers.observe(
-            c, now, failed, weight, self._endpoints.local_caches
+            server, now, failed, weight, self._endpoints.local_caches
         ):
-            sink.log(f"resting cache {self._endpoints.ids[c]}: {result}")
+            sink.log(f"resting cache {self._endpoints.ids[server]}: {result}")
         if parent_counts and self._parent_outliers.observe(
             source, now, failed or is_slow, weight, self._endpoints.parents
         ):
             sink.log(f"resting parent {self._endpoints.ids[source]}: {result}")
 
-    def _is_silent(self, c: int, now: float) -> bool:
-        return now - self._heard_at.get(c, NEVER) > SILENCE_S
+    def _is_silent(self, server: int, now: float) -> bool:
+        return now - self._heard_at.get(server, NEVER) > SILENCE_S
 
     def _is_slow_fill(self, outcome: AttemptOutcome, source: int) -> bool:
         """Whether a fill came from a parent that is far slower than its peers."""
--- a/brookhinge/decisions/feedback.py
+++ b/brookhinge/decisions/feedback.py
@@ -88,21 +88,21 @@
         return is_lagging
 
     def _learn_from_response(self, outcome: AttemptOutcome) -> None:
-        request, c, _, took_s, note, _, now, _, was_filled = outcome
+        request, server, _, took_s, note, _, now, _, was_filled = outcome
         state = request.object
         statistics = self._statistics
         class_index = request.class_index
         group_purged_at = self._purges.group_purged_at(state.group, 0)
         is_after_purge = request.sent_at >= max(state.purged_at, group_purged_at)
-        if request.retention and self._endpoints.emptied_at[c] < request.sent_at and is_after_purge:
-            state.holders.pop(c, None)  # the latest stands last
-            state.holders[c] = now
+        if request.retention and self._endpoints.emptied_at[server] < request.sent_at and is_after_purge:
+            state.holders.pop(server, None)  # the latest stands last
+            state.holders[server] = now
         if request.fill.is_upstream:
             state.filled_at = now
         statistics.record_response(class_index, took_s)
         # Not what was sent: in a jam the last warm servers get it all.
         transfer_s = statistics.transfer_s[class_index]
-        self._throughput.record_work(c, now, transfer_s)
+        self._throughput.record_work(server, now, transfer_s)
         if was_filled:
             is_mostly_hit = self._tells_nothing and not request.lookup_missed
             self._throughput.record_work(
@@ -115,7 +115,7 @@
 
     def _update_limits(self, outcome: AttemptOutcome) -> bool:
         """Update congestion and limits; return whether a cache lags behind its peers."""
-        request, c, result, took_s, note, _, now, fills_in_flight, _ = outcome
+        request, server, result, took_s, note, _, now, fills_in_flight, _ = outcome
         state = request.object
         is_timeout = result == _TIMEOUT
         transfer_s = self._statistics.transfer_s[request.class_index]
@@ -127,19 +127,19 @@
         if request.fill.is_upstream:
             self._concurrency.update_limit(UPLINK, now, ratio, fills_in_flight)
         elif request.is_held and note < _FILLED:
-            self._concurrency.update_limit(c, now, ratio, self._endpoints.in_flight[c])
+            self._concurrency.update_limit(server, now, ratio, self._endpoints.in_flight[server])
             peers = self._endpoints.local_caches
             return ratio < SLOW_RESPONSE_RATIO and self._concurrency.is_slower_than_peers(
-                c, now, peers, SLOW_CACHE_MARGIN
+                server, now, peers, SLOW_CACHE_MARGIN
             )
         return False
 
     def _record_congestion(self, outcome: AttemptOutcome, shortest_s: float) -> None:
         """Count what a response took beyond its shortest time, at the cache or on the way from upstream."""
-        request, c, result, took_s, note, waited_s, now, _, _ = outcome
+        request, server, result, took_s, note, waited_s, now, _, _ = outcome
         is_fill = request.fill.is_upstream
         if note < _FILLED and (self._tells_nothing or not is_fill or note == _HIT):
-            self._concurrency.record_time(c, now, shortest_s, took_s - shortest_s)
+            self._concurrency.record_time(server, now, shortest_s, took_s - shortest_s)
         if not is_fill:
             return
         is_untold_fill = result == _TIMEOUT and (
--- a/brookhinge/decisions/mechanisms.py
+++ b/brookhinge/decisions/mechanisms.py
@@ -156,13 +156,13 @@
 
         None for a server that is warm, or that nothing overloads.
         """
-        c = self.endpoints.index.get(server)
-        budget = self.slow_start.get(self.endpoints.role[c]) if c is not None else None
-        if budget is None or not budget.is_limited(now, self.endpoints.warming_since[c]):
+        server_index = self.endpoints.index.get(server)
+        budget = self.slow_start.get(self.endpoints.role[server_index]) if server_index is not None else None
+        if budget is None or not budget.is_limited(now, self.endpoints.warming_since[server_index]):
             return None
         mean_s = self.statistics.mean_transfer_s()
-        power = self.throughput.power(c, self.now)
-        capacity = budget.capacity(now, self.endpoints.warming_since[c], power)
+        power = self.throughput.power(server_index, self.now)
+        capacity = budget.capacity(now, self.endpoints.warming_since[server_index], power)
         calls = budget.overload_work(capacity) / mean_s
         return rules.slow_start_bound(calls) * mean_s, budget.start.window_s
 
--- a/brookhinge/decisions/router.py
+++ b/brookhinge/decisions/router.py
@@ -93,10 +93,10 @@
         endpoints = self.endpoints
         local_caches = endpoints.local_caches
         endpoints.update(self.now, listed.is_complete, listed.endpoints)
-        for c, emptied_at in enumerate(endpoints.emptied_at):
-            if emptied_at == self.now and endpoints.role[c] in self.slow_start:
-                self.slow_start[endpoints.role[c]].forget_credit(c, self.now)
-        for c in endpoints.newly_indexed:
+        for server, emptied_at in enumerate(endpoints.emptied_at):
+            if emptied_at == self.now and endpoints.role[server] in self.slow_start:
+                self.slow_start[endpoints.role[server]].forget_credit(server, self.now)
+        for server in endpoints.newly_indexed:
             for mechanism in (
                 *self.slow_start.values(),
                 self.cache_outliers,
@@ -104,7 +104,7 @@
                 self.concurrency,
                 self.fault_attribution,
             ):
-                mechanism.forget(c)
+                mechanism.forget(server)
         if endpoints.local_caches != local_caches or not self.rings.rings:
             self.rings.assign(endpoints.local_caches)
 
@@ -167,11 +167,11 @@
     def on_attempt_ended(self, end: AttemptEnded) -> None:
         """Learn from the end of an attempt, and retry or answer a request that still waits."""
         request = self.requests.get(end.request_id)
-        c = self.endpoints.index.get(end.server)
+        server = self.endpoints.index.get(end.server)
         due_at = self.origin_breaker.fill_ended(end.request_id)
-        if c is not None:
-            self.endpoints.in_flight[c] = max(0, self.endpoints.in_flight[c] - 1)
-        if request is None or c is None:
+        if server is not None:
+            self.endpoints.in_flight[server] = max(0, self.endpoints.in_flight[server] - 1)
+        if request is None or server is None:
             return
         self.fills_in_flight -= request.fill.is_upstream
         if due_at is not None:
@@ -180,7 +180,7 @@
             was_filled = request.fill.is_upstream and end.note != _HIT
             outcome = AttemptOutcome(
                 request,
-                c,
+                server,
                 end.result,
                 end.took_s,
                 end.note,
@@ -204,7 +204,9 @@
             self.route(request)
         else:
             if end.result not in rules.NEVER_RAN and request.may_have_run is None:
-                request.may_have_run = Ran(self.endpoints.zone[c], self.endpoints.cell[c], request.sent_at)
+                request.may_have_run = Ran(
+                    self.endpoints.zone[server], self.endpoints.cell[server], request.sent_at
+                )
             self.retry(request, end.result)
 
     def _record_fill_end(self, end: AttemptEnded, due_at: float) -> None:
@@ -385,7 +387,7 @@
         """Sub-ranges follow the load; object counts are halved."""
         self._rebalance_at = self.now + REBALANCE_S
         self.requests_counted = 0
-        self.rings.rebalance(lambda c: self.endpoints.weight[c] or 1.0)
+        self.rings.rebalance(lambda server: self.endpoints.weight[server] or 1.0)
         self.objects.halve_counts()
 
 
--- a/brookhinge/decisions/server_selection.py
+++ b/brookhinge/decisions/server_selection.py
@@ -60,7 +60,14 @@
         """Return the cache for a request that has that share of a limit; None if no cache may take it."""
         work = self._statistics.transfer_s[request.class_index]
         holders, candidates = self._candidates(request, now)
-        home = next((c for c in candidates if self._eligibility.admits_work(c, work, request, now)), None)
+        home = next(
+            (
+                server_index
+                for server_index in candidates
+                if self._eligibility.admits_work(server_index, work, request, now)
+            ),
+            None,
+        )
         if home is None:
             return None
         server, has_capacity = self._with_capacity(home, request, holders, candidates, share, now)
@@ -85,15 +92,20 @@
         holders: list[int] = []
         if not request.is_uncacheable:  # what runs at the origin is held by nobody
             known = self._eligibility.current_holders(request.object, now)
-            holders = [c for c in known if c in beacon_order and c not in request.failed_servers]
+            holders = [
+                server for server in known if server in beacon_order and server not in request.failed_servers
+            ]
         order = beacon_order
         if holders:
             load = {
-                c: (endpoints.in_flight[c] / (endpoints.weight[c] or 1.0), self._chance.random())
-                for c in holders
+                server: (
+                    endpoints.in_flight[server] / (endpoints.weight[server] or 1.0),
+                    self._chance.random(),
+                )
+                for server in holders
             }
-            order = sorted(holders, key=load.get) + [c for c in beacon_order if c not in load]
-        return holders, [c for c in order if self._eligibility.is_open(c, request, now)]
+            order = sorted(holders, key=load.get) + [server for server in beacon_order if server not in load]
+        return holders, [server for server in order if self._eligibility.is_open(server, request, now)]
 
     def _with_capacity(
         self,
@@ -117,11 +129,15 @@
             return home, False
         work = self._statistics.transfer_s[request.class_index]
         others = [
-            c
-            for c in candidates
-            if (is_slow or c in holders) and c != home and self._eligibility.has_capacity(c, share, now)
+            server
+            for server in candidates
+            if (is_slow or server in holders)
+            and server != home
+            and self._eligibility.has_capacity(server, share, now)
         ]
-        other = next((c for c in others if self._eligibility.admits_work(c, work, request, now)), None)
+        other = next(
+            (server for server in others if self._eligibility.admits_work(server, work, request, now)), None
+        )
         return (home, False) if other is None else (other, True)
 
     def _new_replica(
@@ -135,7 +151,9 @@
         if self._objects.replication_utility(request.object, len(holders), now) <= 1.0:
             return None
         last = caches.index(holders[-1])
-        replica = next((c for c in caches[last + 1 :] + caches[:last] if c not in holders), None)
+        replica = next(
+            (server for server in caches[last + 1 :] + caches[:last] if server not in holders), None
+        )
         if replica is None or self._siblings is SiblingFills.NONE:
             return None
         work = self._statistics.transfer_s[request.class_index]
--- a/brookhinge/decisions/slow_start.py
+++ b/brookhinge/decisions/slow_start.py
@@ -33,10 +33,10 @@
             int, dict[int, float]
         ] = {}  # of each server: work times chance of going, by slice of a window
 
-    def forget(self, c: int) -> None:
+    def forget(self, server: int) -> None:
         """Drop what is known of a server: its index belongs to another from here on."""
         for figures in (self.credit, self.credited_at, self.debt, self.risked):
-            figures.pop(c, None)
+            figures.pop(server, None)
 
     def is_warming_up(self, now: float, started_at: float | None) -> bool:
         """Whether a server that started then is still in slow start."""
@@ -46,7 +46,7 @@
         """Whether a server is warming up and can be overloaded meanwhile."""
         return self.start.overload_multiple > 0 and self.is_warming_up(now, started_at)
 
-    def share(self, c: int, started_at: float | None) -> float:
+    def share(self, server: int, started_at: float | None) -> float:
         """Return this router's part of what all may send to a server."""
         return 1.0 / self.routers
 
@@ -82,14 +82,14 @@
         """Return the seconds of transfer a second that all routers together may send to a server."""
         return self.fleet_limits(now, started_at, power, largest_s)[0]
 
-    def forget_credit(self, c: int, now: float) -> None:
+    def forget_credit(self, server: int, now: float) -> None:
         """Begin anew for a server that has just lost what it held: nothing is saved from before."""
-        self.credited_at[c] = now
-        self.credit[c] = 0.0
+        self.credited_at[server] = now
+        self.credit[server] = 0.0
 
     def admits(
         self,
-        c: int,
+        server: int,
         *,
         now: float,
         started_at: float | None,
@@ -106,50 +106,50 @@
         """
         if not self.is_limited(now, started_at):
             return True
-        rate, window_work = self._own_limits(c, now, started_at, power, largest_s)
+        rate, window_work = self._own_limits(server, now, started_at, power, largest_s)
         max_credit = MAX_CREDIT_WINDOWS * rate * self.start.window_s
-        credit = self._collect(c, now, rate, max_credit)
+        credit = self._collect(server, now, rate, max_credit)
         if reserve > 0.0 and credit < reserve * max_credit:
-            self.credit[c] = credit
+            self.credit[server] = credit
             return False
-        risked, current = self._risked_lately(c, now)
-        if reserve < 0.0 and self.debt[c] < -reserve * max_credit:
+        risked, current = self._risked_lately(server, now)
+        if reserve < 0.0 and self.debt[server] < -reserve * max_credit:
             risked[current] = risked.get(current, 0.0) + work
-            self.debt[c] += work
-            self.credit[c] = credit
+            self.debt[server] += work
+            self.credit[server] = credit
             return True
         risk = max(0.0, min(work, credit, window_work - sum(risked.values())))
         risked[current] = risked.get(current, 0.0) + risk
-        self.credit[c] = credit - risk
+        self.credit[server] = credit - risk
         return chance.random() * work < risk
 
-    def record_demand(self, c: int, now: float, work: float, is_admitted: bool) -> None:
+    def record_demand(self, server: int, now: float, work: float, is_admitted: bool) -> None:
         """Take note of work that was wanted of a server, admitted or not.
 
         A budget that is not shared has no use for it.
         """
 
     def _own_limits(
-        self, c: int, now: float, started_at: float, power: float, largest_s: float
+        self, server: int, now: float, started_at: float, power: float, largest_s: float
     ) -> tuple[float, float]:
         """This router's part of the fleet's limits."""
-        share = self.share(c, started_at)
+        share = self.share(server, started_at)
         rate, window_work = self.fleet_limits(now, started_at, power, largest_s)
         return share * rate, share * window_work
 
-    def _collect(self, c: int, now: float, rate: float, max_credit: float) -> float:
+    def _collect(self, server: int, now: float, rate: float, max_credit: float) -> float:
         """Add what has come in since the last call; return the credit, and keeps what is still owed."""
-        debt = self.debt.get(c, 0.0)
-        income = rate * (now - self.credited_at.get(c, now))
+        debt = self.debt.get(server, 0.0)
+        income = rate * (now - self.credited_at.get(server, now))
         repaid = max(0.0, min(debt, REPAYMENT_SHARE * income))
-        self.credited_at[c] = now
-        self.debt[c] = debt - repaid
-        return min(max_credit, self.credit.get(c, 0.0) + income - repaid)
+        self.credited_at[server] = now
+        self.debt[server] = debt - repaid
+        return min(max_credit, self.credit.get(server, 0.0) + income - repaid)
 
-    def _risked_lately(self, c: int, now: float) -> tuple[dict[int, float], int]:
+    def _risked_lately(self, server: int, now: float) -> tuple[dict[int, float], int]:
         """The work risked in each slice of the last window, and the number of the present slice."""
         current = int(now / self.start.window_s * WINDOW_SLICES)
-        risked = self.risked.setdefault(c, {})
+        risked = self.risked.setdefault(server, {})
         for old in [number for number in risked if number < current - WINDOW_SLICES]:
             del risked[old]
         return risked, current
--- a/brookhinge/decisions/throughput.py
+++ b/brookhinge/decisions/throughput.py
@@ -29,24 +29,24 @@
             ServerRole, tuple[float, float, float]
         ] = {}  # (when, seconds of transfer, server-seconds)
 
-    def record_work(self, c: int, now: float, work: float) -> None:
+    def record_work(self, server: int, now: float, work: float) -> None:
         """Count seconds of transfer done by a server, if it is warm."""
-        role = self._endpoints.role[c]
+        role = self._endpoints.role[server]
         budget = self._slow_start.get(role)
-        if budget is not None and not budget.is_warming_up(now, self._endpoints.warming_since[c]):
+        if budget is not None and not budget.is_warming_up(now, self._endpoints.warming_since[server]):
             total, server_seconds, _ = self._lately(role, now)
             self._work[role] = now, total + work, server_seconds
 
-    def known_weight(self, c: int) -> float:
+    def known_weight(self, server: int) -> float:
         """Return a server's weight; 0 where weights say nothing."""
-        return self._weights_known * self._endpoints.weight[c]
+        return self._weights_known * self._endpoints.weight[server]
 
-    def power(self, c: int, now: float) -> float:
+    def power(self, server: int, now: float) -> float:
         """Return how many transfers at once a server does when warm: told, or a low guess from its peers."""
-        weight = self._endpoints.weight[c]
+        weight = self._endpoints.weight[server]
         if self._weights_known and weight > 0:
             return weight
-        role = self._endpoints.role[c]
+        role = self._endpoints.role[server]
         # What many did that are gone is not what the few left can do.
         total, server_seconds, present_server_seconds = self._lately(role, now)
         return max(
@@ -69,4 +69,4 @@
     def _warm_local_caches(self, role: ServerRole, now: float) -> int:
         budget = self._slow_start[role]
         since = self._endpoints.warming_since
-        return sum(not budget.is_warming_up(now, since[c]) for c in self._endpoints.local_caches)
+        return sum(not budget.is_warming_up(now, since[server]) for server in self._endpoints.local_caches)
--- a/brookhinge/limits/shared.py
+++ b/brookhinge/limits/shared.py
@@ -33,30 +33,30 @@
         self.own_share = 0.0
         self._refused_at: float | None = None
 
-    def forget(self, c: int) -> None:
+    def forget(self, server: int) -> None:
         """Drop what is known of a server."""
-        super().forget(c)
-        self.quotas.pop(c, None)
-        self.asked.pop(c, None)
+        super().forget(server)
+        self.quotas.pop(server, None)
+        self.asked.pop(server, None)
 
-    def share(self, c: int, started_at: float | None) -> float:
+    def share(self, server: int, started_at: float | None) -> float:
         """Return the quota for that start of a server, else the router's own part."""
-        quota = self.quotas.get(c)
+        quota = self.quotas.get(server)
         return quota[1] if quota and quota[0] == started_at else self.own_share / self.routers
 
-    def record_demand(self, c: int, now: float, work: float, is_admitted: bool) -> None:
+    def record_demand(self, server: int, now: float, work: float, is_admitted: bool) -> None:
         """Count the demand. What a server refuses is wanting there, not at those asked in its place."""
         if is_admitted or self._refused_at != now:
-            self.asked[c] = self.asked.get(c, 0.0) + work
+            self.asked[server] = self.asked.get(server, 0.0) + work
         self._refused_at = None if is_admitted else now
 
-    def settle(self, c: int, *, now: float, started_at: float, power: float, largest_s: float) -> None:
+    def settle(self, server: int, *, now: float, started_at: float, power: float, largest_s: float) -> None:
         """Save what came up to now, at the quota that held till now."""
-        if c in self.credited_at:
-            rate = self.fleet_rate(now, started_at, power, largest_s) * self.share(c, started_at)
-            income = rate * (now - self.credited_at[c])
-            self.credit[c] = self.credit.get(c, 0.0) + income
-            self.credited_at[c] = now
+        if server in self.credited_at:
+            rate = self.fleet_rate(now, started_at, power, largest_s) * self.share(server, started_at)
+            income = rate * (now - self.credited_at[server])
+            self.credit[server] = self.credit.get(server, 0.0) + income
+            self.credited_at[server] = now
 
 
 class SharedConcurrencyLimiter(ConcurrencyLimiter):
@@ -69,22 +69,22 @@
         self.peaks: dict[int, float] = {}  # of each server: the share that was wanted at most
         self.own_share = 0.0
 
-    def forget(self, c: int) -> None:
+    def forget(self, server: int) -> None:
         """Drop what is known of a server."""
-        super().forget(c)
-        self.quotas.pop(c, None)
-        self.peaks.pop(c, None)
+        super().forget(server)
+        self.quotas.pop(server, None)
+        self.peaks.pop(server, None)
 
-    def share(self, c: int) -> float:
+    def share(self, server: int) -> float:
         """Return the quota for a server, else the router's own part."""
-        return self.quotas[c][1] if c in self.quotas else self.own_share / self.routers
+        return self.quotas[server][1] if server in self.quotas else self.own_share / self.routers
 
-    def has_capacity(self, c: int, in_flight: int, share: float, weight: float = 0.0) -> bool:
+    def has_capacity(self, server: int, in_flight: int, share: float, weight: float = 0.0) -> bool:
         """As the plain limiter, and notes the share that is wanted."""
         if weight:
             wanted = ((in_flight + 1) / weight - MIN_WEIGHT_SHARE) / WEIGHT_SHARE_RANGE
-            self.peaks[c] = max(self.peaks.get(c, 0.0), wanted)
-        return super().has_capacity(c, in_flight, share, weight)
+            self.peaks[server] = max(self.peaks.get(server, 0.0), wanted)
+        return super().has_capacity(server, in_flight, share, weight)
 
 
 class Sharing:
@@ -121,18 +121,18 @@
             for limit in (self.concurrency, *self.slow_start.values()):
                 limit.own_share = quota
             return
-        c = self.endpoints.index.get(server)
+        server_index = self.endpoints.index.get(server)
         limit = self.concurrency if kind == CONCURRENCY else self.slow_start[kind]
-        if c is not None and kind != CONCURRENCY:
-            since = self.endpoints.warming_since[c]
+        if server_index is not None and kind != CONCURRENCY:
+            since = self.endpoints.warming_since[server_index]
             if limit.is_warming_up(self.now, since):
-                power = self.throughput.power(c, self.now)
+                power = self.throughput.power(server_index, self.now)
                 largest_s = self.statistics.largest_transfer_s()
-                limit.settle(c, now=self.now, started_at=since, power=power, largest_s=largest_s)
-        if c is not None and quota is not None:
-            limit.quotas[c] = started_at, quota
+                limit.settle(server_index, now=self.now, started_at=since, power=power, largest_s=largest_s)
+        if server_index is not None and quota is not None:
+            limit.quotas[server_index] = started_at, quota
         else:
-            limit.quotas.pop(c, None)
+            limit.quotas.pop(server_index, None)
 
     def demand(self, now: float) -> list[tuple]:
         """Return (kind, server, started_at, rate, fleet rate) of each limit asked for since the last call.
@@ -145,25 +145,31 @@
         rows = []
         for role, budget in self.slow_start.items():
             local = endpoints.local_caches if role is ServerRole.CACHE else endpoints.parents
-            idle = [c for c in local if c not in budget.asked and self._is_limited(budget, c, now)]
-            for c, work in [*budget.asked.items(), *((c, 0.0) for c in idle)]:
+            idle = [
+                server
+                for server in local
+                if server not in budget.asked and self._is_limited(budget, server, now)
+            ]
+            for server, work in [*budget.asked.items(), *((server, 0.0) for server in idle)]:
                 rate = work / elapsed_s
-                fleet_rate = self._fleet_rate(budget, c, now)
-                rows.append((role.value, endpoints.ids[c], endpoints.started_at[c], rate, fleet_rate))
+                fleet_rate = self._fleet_rate(budget, server, now)
+                rows.append(
+                    (role.value, endpoints.ids[server], endpoints.started_at[server], rate, fleet_rate)
+                )
             budget.asked.clear()
-        for c, peak in self.concurrency.peaks.items():
-            if endpoints.state[c] == SEND_STATE and peak > 0.0:
-                rows.append((CONCURRENCY, endpoints.ids[c], endpoints.started_at[c], peak, 1.0))
+        for server, peak in self.concurrency.peaks.items():
+            if endpoints.state[server] == SEND_STATE and peak > 0.0:
+                rows.append((CONCURRENCY, endpoints.ids[server], endpoints.started_at[server], peak, 1.0))
         self.concurrency.peaks.clear()
         self._demand_told_at = now
         return rows
 
-    def _is_limited(self, budget: SlowStartBudget, c: int, now: float) -> bool:
-        return budget.is_limited(now, self.endpoints.warming_since[c])
+    def _is_limited(self, budget: SlowStartBudget, server: int, now: float) -> bool:
+        return budget.is_limited(now, self.endpoints.warming_since[server])
 
-    def _fleet_rate(self, budget: SlowStartBudget, c: int, now: float) -> float:
-        if not self._is_limited(budget, c, now):
+    def _fleet_rate(self, budget: SlowStartBudget, server: int, now: float) -> float:
+        if not self._is_limited(budget, server, now):
             return 0.0
-        power = self.throughput.power(c, self.now)
-        since = self.endpoints.warming_since[c]
+        power = self.throughput.power(server, self.now)
+        since = self.endpoints.warming_since[server]
         return budget.fleet_rate(now, since, power, self.statistics.largest_transfer_s())
--- a/brookhinge/membership/memory.py
+++ b/brookhinge/membership/memory.py
@@ -53,9 +53,9 @@
             key=lambda state: -state.count,
         )
         rows += [
-            (HOLDER, state.key, state.part, ids[c], state.group, state.count)
+            (HOLDER, state.key, state.part, ids[server], state.group, state.count)
             for state in wanted[:MAX_ROWS]
-            for c in state.holders
+            for server in state.holders
         ]
         return rows
 
@@ -76,10 +76,14 @@
 
     def _learn_holder(self, key: str, part: int, server: int | str, group: int, count: float) -> None:
         """Take over a holder of an object, unless that was purged lately."""
-        c = self.endpoints.index.get(server)
+        server_index = self.endpoints.index.get(server)
         objects = self.objects
         was_purged = self.purges.is_known(key) or self.purges.is_known(group)
-        if c in self.endpoints.local_caches and len(objects.states) < objects.max_objects and not was_purged:
+        if (
+            server_index in self.endpoints.local_caches
+            and len(objects.states) < objects.max_objects
+            and not was_purged
+        ):
             state = objects.get_or_add(key, part, group)
-            state.holders.setdefault(c, self.now)
+            state.holders.setdefault(server_index, self.now)
             state.count = max(state.count, count / 2.0)
--- a/brookhinge/verdicts/shared.py
+++ b/brookhinge/verdicts/shared.py
@@ -34,40 +34,40 @@
         self._chance = chance
         self._turns_used: dict[int, float] = {}  # the end of the turn in which a server was tried
 
-    def forget(self, c: int) -> None:
+    def forget(self, server: int) -> None:
         """Drop what is known of a server."""
-        super().forget(c)
+        super().forget(server)
         for figures in (self.counts, self.verdicts, self._turns_used):
-            figures.pop(c, None)
+            figures.pop(server, None)
 
-    def observe(self, c: int, now: float, failed: bool, weight: float, peers: Sequence[int]) -> bool:
+    def observe(self, server: int, now: float, failed: bool, weight: float, peers: Sequence[int]) -> bool:
         """As the plain ejector, and counts the evidence."""
-        tries, failures = self.counts.get(c, (0, 0.0))
-        self.counts[c] = tries + 1, failures + (weight if failed and not self.is_late_response else 0.0)
-        if c in self.verdicts:
-            self._turns_used[c] = self.verdicts[c][1]
-        return super().observe(c, now, failed, weight, peers)
+        tries, failures = self.counts.get(server, (0, 0.0))
+        self.counts[server] = tries + 1, failures + (weight if failed and not self.is_late_response else 0.0)
+        if server in self.verdicts:
+            self._turns_used[server] = self.verdicts[server][1]
+        return super().observe(server, now, failed, weight, peers)
 
-    def apply(self, c: int, verdict: str, now: float, until: float) -> None:
+    def apply(self, server: int, verdict: str, now: float, until: float) -> None:
         """Take a verdict on a server."""
         if verdict == WELL:
-            self.verdicts.pop(c, None)
-            self.ejected_until.pop(c, None)
+            self.verdicts.pop(server, None)
+            self.ejected_until.pop(server, None)
         elif verdict == ALONE:
-            self.verdicts.pop(c, None)
-            self.ejected_until[c] = now
+            self.verdicts.pop(server, None)
+            self.ejected_until[server] = now
         else:
-            self.verdicts[c] = verdict, until
-            self.ejected_until.setdefault(c, now)
+            self.verdicts[server] = verdict, until
+            self.ejected_until.setdefault(server, now)
 
-    def is_eligible(self, c: int, now: float) -> bool:
+    def is_eligible(self, server: int, now: float) -> bool:
         """Whether a server may be asked, by the fleet's verdict or else as the plain ejector."""
-        verdict, until = self.verdicts.get(c, (None, 0.0))
+        verdict, until = self.verdicts.get(server, (None, 0.0))
         if verdict is None or now >= until:
-            return super().is_eligible(c, now)
+            return super().is_eligible(server, now)
         if verdict == TRIAL:
-            is_probe_due = now - self.probed_at.get(c, NEVER) >= EJECTION_S
-            return self._turns_used.get(c) != until and is_probe_due
+            is_probe_due = now - self.probed_at.get(server, NEVER) >= EJECTION_S
+            return self._turns_used.get(server) != until and is_probe_due
         return verdict == RAMP_UP and self._chance.random() < max(FIRST_SHARE, 1.0 - (until - now) / RAMP_S)
 
 
@@ -82,9 +82,9 @@
         """Handle one message."""
         if isinstance(message, OutlierVerdictsChanged):
             for server, verdict, seconds in message.verdicts:
-                c = self.endpoints.index.get(server)
-                if c is not None:
-                    self.cache_outliers.apply(c, verdict, self.now, self.now + seconds)
+                server_index = self.endpoints.index.get(server)
+                if server_index is not None:
+                    self.cache_outliers.apply(server_index, verdict, self.now, self.now + seconds)
         else:
             super().handle(message)
 
@@ -96,7 +96,7 @@
     def seen(self) -> list[tuple]:
         """Return (server, started_at, tries, failures) of caches, since they were last entered."""
         return [
-            (self.endpoints.ids[c], self.endpoints.started_at[c], *counts)
-            for c, counts in self.cache_outliers.counts.items()
-            if self.endpoints.state[c] == SEND_STATE
+            (self.endpoints.ids[server], self.endpoints.started_at[server], *counts)
+            for server, counts in self.cache_outliers.counts.items()
+            if self.endpoints.state[server] == SEND_STATE
         ]
