--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -6,7 +6,7 @@
     python -m benchmarks.capacity --page                  docs/CAPACITY.md from what is kept
 
 Hollow routers, the control path of a router as in service, on loopback sockets and in virtual time (simulated): see
-brookhinge/standin/capacity. Bytes are those of UDP datagrams with 28 for IP and UDP headers, sent and received. Last line:
+brookhinge/emulator/capacity. Bytes are those of UDP datagrams with 28 for IP and UDP headers, sent and received. Last line:
 one JSON object; docs/operators/capacity.md says how to read it."""
 
 import argparse
@@ -16,10 +16,10 @@
 import sys
 from pathlib import Path
 
+from brookhinge.emulator.capacity.driver import LOG, PEERS, ProcessFailed, TooLarge
+from brookhinge.emulator.capacity.layout import read_layout
+from brookhinge.emulator.capacity.runs import Plan, long_run, router_run, short_run, single_run
 from brookhinge.operator import OperatorError
-from brookhinge.standin.capacity.driver import LOG, PEERS, ProcessFailed, TooLarge
-from brookhinge.standin.capacity.layout import read_layout
-from brookhinge.standin.capacity.runs import Plan, long_run, router_run, short_run, single_run
 
 LAYOUT = Path(__file__).parents[1] / "deploy" / "capacity.hcl"
 
@@ -52,8 +52,8 @@
 def write_page_and_chart():
     """docs/CAPACITY.md and the chart, from what is kept; 0."""
     from benchmarks.capacity_chart import write_chart
-    from brookhinge.standin.capacity import results
-    from brookhinge.standin.capacity.page import write_page
+    from brookhinge.emulator.capacity import results
+    from brookhinge.emulator.capacity.page import write_page
 
     write_chart(results.load(), results.KEPT.with_suffix(".png"))
     return write_page()
--- a/benchmarks/capacity_chart.py
+++ b/benchmarks/capacity_chart.py
@@ -1,7 +1,7 @@
 """The chart of kept capacity figures: what a router and a control machine spend, and how soon a purge is in force everywhere."""
 
-from brookhinge.standin.capacity import results
-from brookhinge.standin.capacity.driver import LOG, PEERS
+from brookhinge.emulator.capacity import results
+from brookhinge.emulator.capacity.driver import LOG, PEERS
 
 PANELS = (
     ("bytes_s", "bytes a second of the worst router, sent and received", 4000),
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -17,12 +17,12 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from benchmarks import kept
+from brookhinge.emulator.process_cluster import ProcessCluster
+from brookhinge.emulator.simulated_membership import Net
 from brookhinge.membership.claims import PRESENT_STATES, MemberState
 from brookhinge.membership.local_member import Identity
 from brookhinge.membership.messages import Announcement, Received
 from brookhinge.membership.peer import Peer
-from brookhinge.standin.rig import Rig
-from brookhinge.standin.virtual import Net
 
 CUT_S = 60.0
 
@@ -179,7 +179,7 @@
     """The same among real routers; where rules are those of the rig's wires."""
     told = {}
     with tempfile.TemporaryDirectory(prefix="brookhinge-") as folder:
-        async with Rig(folder, routers=count, boxes=1) as rig:
+        async with ProcessCluster(folder, routers=count, boxes=1) as rig:
             told["one_view_at_start"] = await rig.until(rig.one_view, 60.0)
             await asyncio.sleep(3.0)
             rig.channels["n2"].list("s-1", health="draining")
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -16,10 +16,10 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from benchmarks import kept
+from brookhinge.emulator.load_generator import Load, uneven
+from brookhinge.emulator.process_cluster import ProcessCluster
+from brookhinge.emulator.simulated_fleet import COLD, Fleet
 from brookhinge.limits.lease_terms import START_S
-from brookhinge.standin.load import Load, uneven
-from brookhinge.standin.rig import Rig
-from brookhinge.standin.sharing import COLD, Fleet
 
 CALM, SPAN = 8.0, 10.0  # seconds before anything happens, and of what is measured after
 
@@ -127,7 +127,7 @@
     takes till nine in ten routers leave a box that fails two answers in five."""
     flags = f"share_limits = {str(share).lower()}\nshare_verdicts = {str(share).lower()}"
     with tempfile.TemporaryDirectory(prefix="brookhinge-") as folder:
-        async with Rig(
+        async with ProcessCluster(
             folder,
             routers=routers,
             boxes=3,
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -18,6 +18,8 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from benchmarks import kept
+from brookhinge.emulator.load_generator import Load
+from brookhinge.emulator.rollout_cluster import RolloutCluster
 from brookhinge.rollout.canary_analysis import (
     CanaryAnalysis,
     MetricDelta,
@@ -26,8 +28,6 @@
     difference,
 )
 from brookhinge.rollout.plan import Metric
-from brookhinge.standin.load import Load
-from brookhinge.standin.rollout_cluster import RolloutCluster
 
 ROUTERS = 10
 QUERIES = 40
--- a/benchmarks/soak/driver.py
+++ b/benchmarks/soak/driver.py
@@ -15,7 +15,7 @@
 from benchmarks.soak.records import Recorder
 from benchmarks.soak.schedule import Trouble
 from brookhinge.client.client import Connection
-from brookhinge.standin.ports import free_port
+from brookhinge.emulator.ports import free_port
 
 ROUTERS = 6
 CACHES = 8
--- a/benchmarks/soak/world.py
+++ b/benchmarks/soak/world.py
@@ -4,7 +4,7 @@
 import zlib
 from dataclasses import dataclass, replace
 
-from brookhinge.standin.ports import own_host
+from brookhinge.emulator.ports import own_host
 
 # A loopback address that no other soak uses: the driver chooses it, its processes find it in their environment.
 HOST = os.environ.setdefault("SOAK_HOST", own_host())
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -389,12 +389,12 @@
 async def town_after_a_kill(folder, disk, seed, seconds):
     """Service of a town of three boxes in the time after one is killed and comes back. The parent holds less than half of
     the objects, so that what it lacks comes from the origin, which is too late for the contract time."""
-    from brookhinge.standin.origin import body_of, group_of
-    from brookhinge.standin.town import Town
+    from brookhinge.emulator.local_deployment import LocalDeployment
+    from brookhinge.emulator.origin import body_of, group_of
 
     chance = random.Random(seed)
     objects = [f"{chance.getrandbits(64):016x}" for _ in range(200)]
-    async with Town(
+    async with LocalDeployment(
         folder,
         boxes=3,
         disk=disk,
--- a/benchmarks/store_kills.py
+++ b/benchmarks/store_kills.py
@@ -15,9 +15,9 @@
 import time
 from pathlib import Path
 
-from brookhinge.standin.caller import LineCaller
-from brookhinge.standin.origin import body_of, group_of
-from brookhinge.standin.town import Town
+from brookhinge.emulator.local_deployment import LocalDeployment
+from brookhinge.emulator.origin import body_of, group_of
+from brookhinge.emulator.thrift_caller import LineCaller
 from brookhinge.store.file_format import FILE_HEADER_BYTES
 from brookhinge.store.purge_ledger import PurgeLedger
 
@@ -110,7 +110,7 @@
 
 async def play(folder, kills, seed, slowest_s=0.8):
     chance = random.Random(seed)
-    async with Town(
+    async with LocalDeployment(
         folder,
         boxes=1,
         router=False,
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -26,11 +26,11 @@
     SiblingFills,
     SlowStart,
 )
+from brookhinge.emulator.model import Model
 from brookhinge.engine.events import ClientConnected, ClientDisconnected, RequestCancelled, RequestReceived
 from brookhinge.engine.router_state import RouterState
 from brookhinge.overload.retry_lineage import RetryLineage
 from brookhinge.overload.retry_schedule import RetrySchedule
-from brookhinge.standin.model import Model
 
 ROUTERS, BOXES, CORES, WORK, OBJECTS = 3, 6, 4, 0.1, 400
 COLD = SlowStart(0.3, 6.0, 3.0, 1.0)
--- a/benchmarks/view_traffic.py
+++ b/benchmarks/view_traffic.py
@@ -12,9 +12,9 @@
 import statistics
 from concurrent.futures import ProcessPoolExecutor
 
+from brookhinge.emulator.simulated_membership import Net
 from brookhinge.limits.lease_terms import SILENT_S
 from brookhinge.membership.claims import PRESENT_STATES
-from brookhinge.standin.virtual import Net
 
 SITE_ROUTERS = 16
 LEASE_S = 10.0
--- a/brookhinge/cli/__init__.py
+++ b/brookhinge/cli/__init__.py
@@ -35,11 +35,11 @@
         "brookhinge.cli.demo",
         "Origin, parent, three boxes, channel and a router on loopback, for a minute.",
     ),
-    "standin": ("brookhinge.cli.standin", "Scripted peers for trying things out."),
+    "emulator": ("brookhinge.cli.emulator", "Scripted peers for trying things out."),
 }
 
 # Names that commands had before; they work, and help does not list them.
-ALIASES = {"box": "cache-server", "keep": "agent", "roll": "rollout"}
+ALIASES = {"standin": "emulator", "box": "cache-server", "keep": "agent", "roll": "rollout"}
 
 
 class LazyGroup(click.Group):
--- a/brookhinge/cli/ask.py
+++ b/brookhinge/cli/ask.py
@@ -8,7 +8,7 @@
 import click
 
 from brookhinge.cli import refuse
-from brookhinge.cli.standin import parse_address
+from brookhinge.cli.emulator import parse_address
 
 if TYPE_CHECKING:
     from brookhinge.client import Answer
--- a/brookhinge/cli/demo.py
+++ b/brookhinge/cli/demo.py
@@ -21,11 +21,11 @@
 
 
 async def _play() -> bool:
-    from brookhinge.standin.origin import body_of, group_of
-    from brookhinge.standin.town import Town
+    from brookhinge.emulator.local_deployment import LocalDeployment
+    from brookhinge.emulator.origin import body_of, group_of
 
     with tempfile.TemporaryDirectory(prefix="brookhinge-") as folder:
-        async with Town(folder) as town:
+        async with LocalDeployment(folder) as town:
             click.echo(
                 f"up: origin, parent, boxes {', '.join(town.names)}, command channel, router at "
                 f"{town.router_address[0]}:{town.router_address[1]}"
--- a/brookhinge/cli/standin.py
+++ b/brookhinge/cli/emulator.py
@@ -1,4 +1,4 @@
-"""The commands `brookhinge standin origin`, `channel` and `fleet`."""
+"""The commands `brookhinge emulator origin`, `channel` and `fleet`."""
 
 import asyncio
 import contextlib
@@ -21,7 +21,7 @@
         raise click.BadParameter(f"expected {error}, got {value!r}") from None
 
 
-@click.group("standin")
+@click.group("emulator")
 def command() -> None:
     """Scripted peers for trying things out; no part of a service."""
 
@@ -39,7 +39,7 @@
 
     On standard input: `change OBJECT`, `change-group N`.
     """
-    from brookhinge.standin.origin import Origin
+    from brookhinge.emulator.origin import Origin
 
     async def run() -> None:
         peer = Origin((2000, largest), delay_ms / 1000)
@@ -67,7 +67,7 @@
 
     On standard input: `drain NAME`, `remove NAME`, `purge OBJECT`, `purge-group N`.
     """
-    from brookhinge.standin.channel import CommandChannel
+    from brookhinge.emulator.command_channel import CommandChannel
 
     hosts = []
     if hosts_file:
@@ -105,8 +105,8 @@
     """Play SCRIPT (HCL): several real routers on loopback, killed, frozen, cut off; then a table."""
     import tempfile
 
+    from brookhinge.emulator.fleet_scenario import play
     from brookhinge.operator import OperatorError
-    from brookhinge.standin.script import play
 
     try:
         with (
--- a/brookhinge/standin/capacity/driver.py
+++ b/brookhinge/emulator/capacity/driver.py
@@ -6,7 +6,7 @@
 import sys
 from pathlib import Path
 
-from brookhinge.standin.capacity.messages import (
+from brookhinge.emulator.capacity.messages import (
     Arrivals,
     Begin,
     Collect,
@@ -173,7 +173,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "brookhinge.standin.capacity.worker",
+            "brookhinge.emulator.capacity.worker",
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             limit=LONGEST_ANSWER,
--- a/brookhinge/standin/capacity/hollow.py
+++ b/brookhinge/emulator/capacity/hollow.py
@@ -6,14 +6,14 @@
 import random
 import time
 
+from brookhinge.emulator.capacity.links import LinkedTransport, Links, Traffic
+from brookhinge.emulator.capacity.messages import RouterSample
 from brookhinge.engine.events import PeerNoticeReceived, PurgeLogEntryRead
 from brookhinge.limits.limits import Limits
 from brookhinge.membership.udp_transport import UdpTransport
 from brookhinge.operator.schema import FLEET as FLEET_SETTINGS
 from brookhinge.operator.schema import MUST
 from brookhinge.operator.settings import Fleet
-from brookhinge.standin.capacity.links import LinkedTransport, Links, Traffic
-from brookhinge.standin.capacity.messages import RouterSample
 from brookhinge.verdicts.outlier_detection import OutlierDetection
 
 FLEET, KEY = "capacity", bytes.fromhex("0123456789abcdef" * 2)
--- a/brookhinge/standin/capacity/hour.py
+++ b/brookhinge/emulator/capacity/hour.py
@@ -2,11 +2,11 @@
 each other site; what a router spends does not depend on how many others there are (see the slopes), membership is left out
 and its idle cost to be added."""
 
+from brookhinge.emulator.capacity import measure
+from brookhinge.emulator.capacity.purge_log_processes import purge_entry
+from brookhinge.emulator.capacity.virtual_log import LogFleet
+from brookhinge.emulator.capacity.work import Work
 from brookhinge.operator.capacity import inside
-from brookhinge.standin.capacity import measure
-from brookhinge.standin.capacity.logged import purge_entry
-from brookhinge.standin.capacity.virtual_log import LogFleet
-from brookhinge.standin.capacity.work import Work
 
 SETTLE_S = 5.0
 HOUR_S = 3600.0
--- a/brookhinge/standin/capacity/page.py
+++ b/brookhinge/emulator/capacity/page.py
@@ -2,10 +2,10 @@
 
 from typing import NamedTuple
 
-from brookhinge.standin.capacity import results
-from brookhinge.standin.capacity.driver import LOG, PEERS
-from brookhinge.standin.capacity.fit import CURVES, fit
-from brookhinge.standin.capacity.layout import read_layout
+from brookhinge.emulator.capacity import results
+from brookhinge.emulator.capacity.driver import LOG, PEERS
+from brookhinge.emulator.capacity.fit import CURVES, fit
+from brookhinge.emulator.capacity.layout import read_layout
 
 PAGE = results.ROOT / "docs" / "CAPACITY.md"
 LAYOUT = results.ROOT / "deploy" / "capacity.hcl"
--- a/brookhinge/standin/capacity/logged.py
+++ b/brookhinge/emulator/capacity/purge_log_processes.py
@@ -5,22 +5,15 @@
 import time
 
 from brookhinge.clock import steady
-from brookhinge.operator.capacity import Cut
-from brookhinge.operator.schema import CONTROL, MUST
-from brookhinge.operator.settings import Control
-from brookhinge.purgelog.client import LogClient
-from brookhinge.purgelog.messages import Entry, Kind
-from brookhinge.purgelog.progress import Outcome
-from brookhinge.purgelog.server import ControlServer
-from brookhinge.standin.capacity.hollow import (
+from brookhinge.emulator.capacity.hollow import (
     FLEET,
     GROUP_OF_OBJECTS,
     KEY,
     fleet_settings,
 )
-from brookhinge.standin.capacity.layout import Layout
-from brookhinge.standin.capacity.links import LinkedTransport, Links, Traffic
-from brookhinge.standin.capacity.messages import (
+from brookhinge.emulator.capacity.layout import Layout
+from brookhinge.emulator.capacity.links import LinkedTransport, Links, Traffic
+from brookhinge.emulator.capacity.messages import (
     Arrivals,
     Collect,
     Done,
@@ -31,7 +24,14 @@
     SetCuts,
     StartControl,
 )
-from brookhinge.standin.capacity.process_gauges import LoopLag, resident_bytes
+from brookhinge.emulator.capacity.process_gauges import LoopLag, resident_bytes
+from brookhinge.operator.capacity import Cut
+from brookhinge.operator.schema import CONTROL, MUST
+from brookhinge.operator.settings import Control
+from brookhinge.purgelog.client import LogClient
+from brookhinge.purgelog.messages import Entry, Kind
+from brookhinge.purgelog.progress import Outcome
+from brookhinge.purgelog.server import ControlServer
 
 PROOF_S = 3.0  # as the operator's file has it by default
 KNOWN_S = 1.2  # by then a source knows that a purge is in force everywhere, or names who is missing
--- a/brookhinge/standin/capacity/router.py
+++ b/brookhinge/emulator/capacity/router.py
@@ -8,8 +8,8 @@
 import tempfile
 import time
 
-from brookhinge.standin.origin import Origin
-from brookhinge.standin.rig import Rig
+from brookhinge.emulator.origin import Origin
+from brookhinge.emulator.process_cluster import ProcessCluster
 
 # connections, and queries open on each
 CALLERS = 4
@@ -93,7 +93,7 @@
 async def throughput(size):
     """Cost of queries for objects of one size that the cache servers hold."""
     with tempfile.TemporaryDirectory(prefix="capacity-") as folder:
-        rig = Rig(folder, routers=1, boxes=2)
+        rig = ProcessCluster(folder, routers=1, boxes=2)
         rig.origin = Origin(size, 0.005)
         async with rig:
             process = RouterProcess(rig.processes["n1"].pid)
@@ -121,7 +121,7 @@
 async def memory_and_descriptors(servers):
     """Memory a remembered object, and descriptors before so many cache servers."""
     with tempfile.TemporaryDirectory(prefix="capacity-") as folder:
-        async with Rig(folder, routers=1, boxes=servers) as rig:
+        async with ProcessCluster(folder, routers=1, boxes=servers) as rig:
             process = RouterProcess(rig.processes["n1"].pid)
             at_ready = process.memory_bytes()
             descriptors = process.descriptors()
--- a/brookhinge/standin/capacity/runs.py
+++ b/brookhinge/emulator/capacity/runs.py
@@ -11,15 +11,15 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import NamedTuple
 
-from brookhinge.standin.capacity import results
-from brookhinge.standin.capacity.driver import LOG, PEERS
-from brookhinge.standin.capacity.hour import HourOfCut
-from brookhinge.standin.capacity.layout import Layout, read_layout
-from brookhinge.standin.capacity.router import measure_router
-from brookhinge.standin.capacity.scenario import Durations, Scenario
-from brookhinge.standin.capacity.stage import SocketStage, VirtualStage
-from brookhinge.standin.capacity.virtual import PeerFleet
-from brookhinge.standin.capacity.virtual_log import LogFleet
+from brookhinge.emulator.capacity import results
+from brookhinge.emulator.capacity.driver import LOG, PEERS
+from brookhinge.emulator.capacity.hour import HourOfCut
+from brookhinge.emulator.capacity.layout import Layout, read_layout
+from brookhinge.emulator.capacity.router import measure_router
+from brookhinge.emulator.capacity.scenario import Durations, Scenario
+from brookhinge.emulator.capacity.stage import SocketStage, VirtualStage
+from brookhinge.emulator.capacity.virtual import PeerFleet
+from brookhinge.emulator.capacity.virtual_log import LogFleet
 
 MECHANISMS = (PEERS, LOG)  # the one before first
 SIZES = (66, 132, 265, 530, 1060)
--- a/brookhinge/standin/capacity/scenario.py
+++ b/brookhinge/emulator/capacity/scenario.py
@@ -2,11 +2,11 @@
 
 import dataclasses
 
+from brookhinge.emulator.capacity import measure
+from brookhinge.emulator.capacity.driver import PEERS
+from brookhinge.emulator.capacity.stage import wait_until
+from brookhinge.emulator.capacity.work import Work
 from brookhinge.operator.capacity import inside
-from brookhinge.standin.capacity import measure
-from brookhinge.standin.capacity.driver import PEERS
-from brookhinge.standin.capacity.stage import wait_until
-from brookhinge.standin.capacity.work import Work
 
 ARRIVAL_S = 2.0  # after the last purge of a phase before it is asked who has none
 PURGE_BOUND_S = 10.0  # a purge that came later counts as missed
--- a/brookhinge/standin/capacity/stage.py
+++ b/brookhinge/emulator/capacity/stage.py
@@ -4,9 +4,9 @@
 import time
 from typing import NamedTuple
 
-from brookhinge.standin.capacity.driver import FleetProcesses
-from brookhinge.standin.capacity.measure import PurgeRecord, counters_of_samples
-from brookhinge.standin.capacity.messages import Drain, Kill, Restart, SetDemand
+from brookhinge.emulator.capacity.driver import FleetProcesses
+from brookhinge.emulator.capacity.measure import PurgeRecord, counters_of_samples
+from brookhinge.emulator.capacity.messages import Drain, Kill, Restart, SetDemand
 
 POLL_S = 0.25  # between two looks for something that is waited for
 
--- a/brookhinge/standin/capacity/virtual.py
+++ b/brookhinge/emulator/capacity/virtual.py
@@ -6,12 +6,12 @@
 import time
 from typing import NamedTuple
 
+from brookhinge.emulator.capacity.hollow import FLEET, GROUP_OF_OBJECTS, KEY
+from brookhinge.emulator.capacity.links import HEADERS, Links, Traffic
+from brookhinge.emulator.capacity.measure import Counters, PurgeRecord
 from brookhinge.membership.codec import VERSION, Codec
 from brookhinge.membership.local_member import Identity
 from brookhinge.membership.peer import Peer
-from brookhinge.standin.capacity.hollow import FLEET, GROUP_OF_OBJECTS, KEY
-from brookhinge.standin.capacity.links import HEADERS, Links, Traffic
-from brookhinge.standin.capacity.measure import Counters, PurgeRecord
 
 MEMBERSHIP_PORT = 1
 LEAST_WAIT_S = 0.001  # of a timer, as on sockets
--- a/brookhinge/standin/capacity/virtual_log.py
+++ b/brookhinge/emulator/capacity/virtual_log.py
@@ -3,14 +3,14 @@
 import random
 from typing import NamedTuple
 
+from brookhinge.emulator.capacity.hollow import FLEET, KEY
+from brookhinge.emulator.capacity.links import Links, Traffic
+from brookhinge.emulator.capacity.measure import Counters
+from brookhinge.emulator.capacity.purge_log_processes import LOOK_S, PROOF_S, PurgeSource
+from brookhinge.emulator.capacity.virtual import Address, Endpoint, PeerFleet
 from brookhinge.purgelog.codec import Codec
 from brookhinge.purgelog.control import ControlNode, Machine
 from brookhinge.purgelog.subscriber import Subscriber
-from brookhinge.standin.capacity.hollow import FLEET, KEY
-from brookhinge.standin.capacity.links import Links, Traffic
-from brookhinge.standin.capacity.logged import LOOK_S, PROOF_S, PurgeSource
-from brookhinge.standin.capacity.measure import Counters
-from brookhinge.standin.capacity.virtual import Address, Endpoint, PeerFleet
 
 LOG_PORT = 2
 CONTROL_PORT = 3
--- a/brookhinge/standin/capacity/worker.py
+++ b/brookhinge/emulator/capacity/worker.py
@@ -1,4 +1,4 @@
-"""The process of one site, or of one control machine: `python -m brookhinge.standin.capacity.worker`, started by driver.py.
+"""The process of one site, or of one control machine: `python -m brookhinge.emulator.capacity.worker`, started by driver.py.
 
 It reads commands from standard input, answers on standard output, and ends when its input closes: so none outlives the
 driver. An interrupt at the terminal reaches the driver alone, which ends its processes."""
@@ -13,10 +13,9 @@
 import sys
 import time
 
-from brookhinge.operator.capacity import Cut
-from brookhinge.standin.capacity.hollow import HollowRouter
-from brookhinge.standin.capacity.layout import Layout
-from brookhinge.standin.capacity.messages import (
+from brookhinge.emulator.capacity.hollow import HollowRouter
+from brookhinge.emulator.capacity.layout import Layout
+from brookhinge.emulator.capacity.messages import (
     Arrivals,
     Begin,
     Collect,
@@ -37,7 +36,8 @@
     read_command,
     write,
 )
-from brookhinge.standin.capacity.process_gauges import LoopLag, resident_bytes
+from brookhinge.emulator.capacity.process_gauges import LoopLag, resident_bytes
+from brookhinge.operator.capacity import Cut
 
 LONGEST_COMMAND = 64 << 20
 PR_SET_PDEATHSIG = 1  # of Linux: a signal to this process when its parent dies, also while it is stopped
@@ -204,7 +204,7 @@
     if not setup.controls:
         return None
 
-    from brookhinge.standin.capacity.logged import CountedClient, control_blocks
+    from brookhinge.emulator.capacity.purge_log_processes import CountedClient, control_blocks
 
     return functools.partial(CountedClient, control_blocks(layout, setup.controls))
 
@@ -214,7 +214,7 @@
     if setup.control < 0:
         return SiteProcess(setup)
 
-    from brookhinge.standin.capacity.logged import ControlProcess
+    from brookhinge.emulator.capacity.purge_log_processes import ControlProcess
 
     return ControlProcess(setup)
 
--- a/brookhinge/standin/script.py
+++ b/brookhinge/emulator/fleet_scenario.py
@@ -14,10 +14,10 @@
 import asyncio
 import time
 
+from brookhinge.emulator.process_cluster import ProcessCluster
 from brookhinge.operator.hcl import OperatorError, parse
 from brookhinge.operator.schema import take
 from brookhinge.operator.value_checks import number, text, whole
-from brookhinge.standin.rig import Rig
 
 LIMIT_S = 600.0  # of a whole script
 RIG = {
@@ -106,7 +106,7 @@
     def line(what):
         say(f"{time.monotonic() - began:7.2f} s  {what}")
 
-    async with Rig(folder, **settings) as rig:
+    async with ProcessCluster(folder, **settings) as rig:
         line(f"{settings['routers']} routers up")
         for step in steps:
             await asyncio.sleep(step["after_s"])
--- a/brookhinge/standin/town.py
+++ b/brookhinge/emulator/local_deployment.py
@@ -10,11 +10,11 @@
 from pathlib import Path
 
 from brookhinge.cache_server import CacheServer
+from brookhinge.emulator.command_channel import CommandChannel
+from brookhinge.emulator.origin import Origin
+from brookhinge.emulator.ports import free_port
+from brookhinge.emulator.thrift_caller import ThriftCaller
 from brookhinge.operator.settings import CacheServerSettings, StoreSettings
-from brookhinge.standin.caller import ThriftCaller
-from brookhinge.standin.channel import CommandChannel
-from brookhinge.standin.origin import Origin
-from brookhinge.standin.ports import free_port
 
 BOX = """box "{name}" {{
   listen  = "127.0.0.1:{port}"
@@ -91,8 +91,8 @@
     )
 
 
-class Town:
-    """async with Town(folder) as town: town.boxes, town.origin, town.channel, town.router_address."""
+class LocalDeployment:
+    """async with LocalDeployment(folder) as town: town.boxes, town.origin, town.channel, town.router_address."""
 
     def __init__(
         self,
--- a/brookhinge/standin/rig.py
+++ b/brookhinge/emulator/process_cluster.py
@@ -2,7 +2,7 @@
 datagrams by a seed, processes killed, frozen, thawed, ended, restarted, started with a clock that is off. Boxes, origin and
 a command channel for each router stand in this process. Ends only what it started, by id.
 
-    async with Rig(folder, routers=6) as rig:
+    async with ProcessCluster(folder, routers=6) as rig:
         await rig.until(rig.one_view, 10)
         rig.kill("n3"); rig.wires.cut = lambda a, b: {a, b} == {"n1", "n2"}
 
@@ -19,13 +19,13 @@
 from pathlib import Path
 
 from brookhinge.cache_server import CacheServer, protocol
+from brookhinge.emulator.command_channel import CommandChannel
+from brookhinge.emulator.local_deployment import end_all, memory_stand, settings
+from brookhinge.emulator.origin import Origin
+from brookhinge.emulator.ports import free_port, own_host
+from brookhinge.emulator.thrift_caller import ThriftCaller
 from brookhinge.membership.messages import StatusTopic
 from brookhinge.membership.status_query import query_status
-from brookhinge.standin.caller import ThriftCaller
-from brookhinge.standin.channel import CommandChannel
-from brookhinge.standin.origin import Origin
-from brookhinge.standin.ports import free_port, own_host
-from brookhinge.standin.town import end_all, memory_stand, settings
 
 KEY = "0123456789abcdef" * 2
 BLOCK = """fleet "{name}" {{
@@ -128,7 +128,7 @@
             way.transport.close()
 
 
-class Watched(CacheServer):
+class ObservedCacheServer(CacheServer):
     """A box that notes when each query came, and fails some: all kinds alike, by a seed."""
 
     def __init__(self, stand, seed):
@@ -191,7 +191,7 @@
             writer.transport.abort()
 
 
-class Rig:
+class ProcessCluster:
     """more: lines that each router's block of the operator's file has beside the usual ones; piped: names of routers that
     reach the boxes over ways of their own (`rig.pipes[router, box]`); first: Python that each router runs first; controls:
     so many control machines of the purge log, c1 and so on, in two regions as the routers are: the first half stands west,
@@ -329,7 +329,7 @@
         """Starts a box, or starts it anew, with nothing in its memory."""
         if name in self.boxes:
             await self.boxes[name].stop()
-        self.boxes[name] = Watched(
+        self.boxes[name] = ObservedCacheServer(
             memory_stand(name, self.box_ports[name], self.feed_port, BOX_MB),
             self.seed,
         )
--- a/brookhinge/standin/rollout_cluster.py
+++ b/brookhinge/emulator/rollout_cluster.py
@@ -8,10 +8,10 @@
 import signal
 import sys
 
+from brookhinge.emulator.ports import free_port
+from brookhinge.emulator.process_cluster import KEY, MAIN, ProcessCluster
 from brookhinge.rollout.coordinator_service import leave_request, read_status
 from brookhinge.rollout.messages import OperatorRequest
-from brookhinge.standin.ports import free_port
-from brookhinge.standin.rig import KEY, MAIN, Rig
 
 PLAN = """rollout "test" {{
   old      = "v1"
@@ -48,7 +48,7 @@
 NEVER_READY = "import time; time.sleep(3600)"
 
 
-class RolloutCluster(Rig):
+class RolloutCluster(ProcessCluster):
     """version: a line of Python that the new program runs first; spoil(config) -> config of the new one."""
 
     def __init__(
--- a/brookhinge/standin/sharing.py
+++ b/brookhinge/emulator/simulated_fleet.py
@@ -13,6 +13,7 @@
     SiblingFills,
     SlowStart,
 )
+from brookhinge.emulator.model import Model
 from brookhinge.engine.events import ClientDisconnected, RequestReceived
 from brookhinge.engine.router_state import RouterState
 from brookhinge.limits.limits import Limits
@@ -22,7 +23,6 @@
 from brookhinge.membership.messages import CoreMessage
 from brookhinge.membership.safety_notices import SafetyNotices
 from brookhinge.membership.view import MembershipView
-from brookhinge.standin.model import Model
 from brookhinge.verdicts.outlier_detection import OutlierDetection
 from brookhinge.verdicts.shared import Judging
 
--- a/examples/fleet.hcl
+++ b/examples/fleet.hcl
@@ -1,4 +1,4 @@
-# Six routers on loopback: one killed, halves cut apart and healed. Play it: brookhinge standin fleet examples/fleet.hcl
+# Six routers on loopback: one killed, halves cut apart and healed. Play it: brookhinge emulator fleet examples/fleet.hcl
 rig {
   routers = 6
   boxes   = 1
--- a/tests/cache_server/test_cache_server.py
+++ b/tests/cache_server/test_cache_server.py
@@ -7,11 +7,11 @@
 import pytest
 
 from brookhinge.cache_server import CacheServer, protocol
+from brookhinge.emulator.command_channel import CommandChannel
+from brookhinge.emulator.origin import Origin, body_of, group_of
+from brookhinge.emulator.thrift_caller import LineCaller
 from brookhinge.net.errors import UnreadableError
 from brookhinge.operator.settings import CacheServerSettings, StoreSettings
-from brookhinge.standin.caller import LineCaller
-from brookhinge.standin.channel import CommandChannel
-from brookhinge.standin.origin import Origin, body_of, group_of
 
 X, Y = "00ab" * 4, "17cd" * 4
 
--- a/tests/capacity/small.py
+++ b/tests/capacity/small.py
@@ -1,7 +1,7 @@
 """A small layout for tests: two regions, three zones, four sites, three control machines."""
 
+from brookhinge.emulator.capacity.layout import Layout
 from brookhinge.operator import read_text
-from brookhinge.standin.capacity.layout import Layout
 
 SMALL = """
 capacity {
--- a/tests/capacity/test_fit.py
+++ b/tests/capacity/test_fit.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from brookhinge.standin.capacity.fit import CURVES, fit
+from brookhinge.emulator.capacity.fit import CURVES, fit
 
 SIZES = (66, 132, 265, 530, 1060)
 
--- a/tests/capacity/test_hollow.py
+++ b/tests/capacity/test_hollow.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from brookhinge.standin.capacity.driver import PEERS, ProcessFailed
-from brookhinge.standin.capacity.messages import Mark
-from brookhinge.standin.capacity.scenario import Durations, Scenario
-from brookhinge.standin.capacity.stage import SocketStage, VirtualStage, wait_until
-from brookhinge.standin.capacity.virtual import PeerFleet
-from brookhinge.standin.capacity.work import Work
+from brookhinge.emulator.capacity.driver import PEERS, ProcessFailed
+from brookhinge.emulator.capacity.messages import Mark
+from brookhinge.emulator.capacity.scenario import Durations, Scenario
+from brookhinge.emulator.capacity.stage import SocketStage, VirtualStage, wait_until
+from brookhinge.emulator.capacity.virtual import PeerFleet
+from brookhinge.emulator.capacity.work import Work
 from tests.capacity.small import SMALL, small_layout
 
 ROOT = Path(__file__).parents[2]
--- a/tests/capacity/test_layout.py
+++ b/tests/capacity/test_layout.py
@@ -6,9 +6,9 @@
 
 import pytest
 
+from brookhinge.emulator.capacity.driver import TooLarge, check_size
+from brookhinge.emulator.capacity.layout import Layout, read_layout
 from brookhinge.operator import OperatorError, read_text
-from brookhinge.standin.capacity.driver import TooLarge, check_size
-from brookhinge.standin.capacity.layout import Layout, read_layout
 from tests.capacity.small import SMALL, small_layout
 
 FILE = Path(__file__).parents[2] / "deploy" / "capacity.hcl"
--- a/tests/capacity/test_links.py
+++ b/tests/capacity/test_links.py
@@ -1,7 +1,7 @@
 """Links: the same seed gives the same fate of each datagram; loss, doubling, delay and cuts are as the layout says."""
 
+from brookhinge.emulator.capacity.links import Links, cuts_link
 from brookhinge.operator.capacity import Cut
-from brookhinge.standin.capacity.links import Links, cuts_link
 from tests.capacity.small import small_layout
 
 DATAGRAMS = 20_000
--- a/tests/capacity/test_log.py
+++ b/tests/capacity/test_log.py
@@ -2,12 +2,12 @@
 
 import asyncio
 
-from brookhinge.standin.capacity.driver import LOG
-from brookhinge.standin.capacity.hour import HourOfCut
-from brookhinge.standin.capacity.scenario import Durations, Scenario
-from brookhinge.standin.capacity.stage import SocketStage, VirtualStage, wait_until
-from brookhinge.standin.capacity.virtual_log import LogFleet
-from brookhinge.standin.capacity.work import Work
+from brookhinge.emulator.capacity.driver import LOG
+from brookhinge.emulator.capacity.hour import HourOfCut
+from brookhinge.emulator.capacity.scenario import Durations, Scenario
+from brookhinge.emulator.capacity.stage import SocketStage, VirtualStage, wait_until
+from brookhinge.emulator.capacity.virtual_log import LogFleet
+from brookhinge.emulator.capacity.work import Work
 from tests.capacity.small import small_layout
 from tests.capacity.test_hollow import LONG_S, all_in_force, quiet
 
--- a/tests/capacity/test_measure.py
+++ b/tests/capacity/test_measure.py
@@ -1,6 +1,6 @@
 """Figures of a phase: rates by router, which purges count as missed, what was caught up with after a cut."""
 
-from brookhinge.standin.capacity.measure import Counters, PurgeRecord, bound_at, catch_up, cost, purges
+from brookhinge.emulator.capacity.measure import Counters, PurgeRecord, bound_at, catch_up, cost, purges
 
 
 def test_cost_is_median_and_worst_a_second():
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -1,9 +1,9 @@
 """docs/CAPACITY.md is what the kept data says, and says `not measured` where there is no run."""
 
-from brookhinge.standin.capacity import results
-from brookhinge.standin.capacity.driver import LOG, PEERS
-from brookhinge.standin.capacity.fit import fit
-from brookhinge.standin.capacity.page import NOT_MEASURED, PAGE, Page, breaking_size
+from brookhinge.emulator.capacity import results
+from brookhinge.emulator.capacity.driver import LOG, PEERS
+from brookhinge.emulator.capacity.fit import fit
+from brookhinge.emulator.capacity.page import NOT_MEASURED, PAGE, Page, breaking_size
 
 
 def row(**changes):
--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -7,7 +7,7 @@
 import sys
 import time
 
-from helpers import Machine, Town
+from helpers import LocalDeployment, Machine
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -20,7 +20,7 @@
 
 def played(scene, folder, machines=None):
     async def run():
-        async with Town(folder, machines) as town:
+        async with LocalDeployment(folder, machines) as town:
             return await scene(town)
 
     return asyncio.run(run())
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -457,7 +457,7 @@
         ] or same else f"well {bool(reader.frame[-3])}"
 
 
-class Town:
+class LocalDeployment:
     """A service among its stand-ins, for `async with`."""
 
     def __init__(self, folder, machines=None, commands=None, **other):
--- a/tests/limits/test_bound.py
+++ b/tests/limits/test_bound.py
@@ -7,12 +7,12 @@
 
 import pytest
 
+from brookhinge.emulator.simulated_limits import COLD, World
 from brookhinge.limits import lessor
 from brookhinge.limits.lease_terms import GRANT_TERM_S, LEASE_TERM_S, MAX_CLOCK_DRIFT, START_S
 from brookhinge.limits.lessee import Lessee
 from brookhinge.limits.lessor import Lessor
 from brookhinge.membership.claims import MemberState
-from brookhinge.standin.lending import COLD, World
 
 STEPS = ("pass", "drop", "double", "late", "beat", "lease", "restart 1", "restart 2", "freeze 1", "turn")
 DEPTH = 4
--- a/tests/limits/test_rig.py
+++ b/tests/limits/test_rig.py
@@ -5,9 +5,9 @@
 
 import pytest
 
+from brookhinge.emulator.load_generator import Load, uneven
+from brookhinge.emulator.process_cluster import ProcessCluster
 from brookhinge.limits.lease_terms import LEASE_TERM_S, START_S
-from brookhinge.standin.load import Load, uneven
-from brookhinge.standin.rig import Rig
 
 LONG = 60.0
 WINDOW_S, WORK_S = 1.0, 0.1  # by the rig's settings, and what each query below is expected to take
@@ -17,7 +17,7 @@
 
 def play(script, folder, routers=8, first=""):
     async def run():
-        async with Rig(
+        async with ProcessCluster(
             folder,
             routers=routers,
             boxes=3,
--- a/tests/membership/test_cli.py
+++ b/tests/membership/test_cli.py
@@ -6,7 +6,7 @@
 import sys
 import urllib.request
 
-from brookhinge.standin.rig import Rig
+from brookhinge.emulator.process_cluster import ProcessCluster
 
 
 def run(*args):
@@ -18,7 +18,7 @@
 
 def test_show_watch_and_what_cannot_be_shown(tmp_path):
     async def script():
-        async with Rig(tmp_path, routers=3, boxes=1) as rig:
+        async with ProcessCluster(tmp_path, routers=3, boxes=1) as rig:
             assert await rig.until(rig.one_view, 60.0)
             await rig.kill("n3")
             assert await rig.until(rig.one_view, 60.0)
@@ -78,21 +78,21 @@
         'rig {\n  routers = 3\n}\nstep {\n  until = "one view"\n  within_s = 60\n}\nstep {\n  kill = ["n3"]\n}\n'
         'step {\n  until = "one view"\n  within_s = 60\n}\n'
     )
-    code, out, err = run("standin", "fleet", str(script))
+    code, out, err = run("emulator", "fleet", str(script))
     assert code == 0 and "kill n3" in out and out.count("one view after") == 2, out + err
     assert out.splitlines()[-1].split()[:4] == ["n3", "False", "0", "0"]
     script.write_text('step {\n  kill = ["n9"]\n}\n')
-    assert run("standin", "fleet", str(script))[::2] == (
+    assert run("emulator", "fleet", str(script))[::2] == (
         2,
         f"brookhinge: {script}: line 1: step: no router n9\n",
     )
     script.write_text('step {\n  kill = ["n1"]\n  heal = true\n}\n')
-    assert "expected one of wires, kill" in run("standin", "fleet", str(script))[2]
+    assert "expected one of wires, kill" in run("emulator", "fleet", str(script))[2]
 
 
 def test_figures_are_served_where_they_are_asked_for(tmp_path):
     async def script():
-        async with Rig(tmp_path, routers=2, boxes=1, more='metrics = "127.0.0.1:0"') as rig:
+        async with ProcessCluster(tmp_path, routers=2, boxes=1, more='metrics = "127.0.0.1:0"') as rig:
             assert await rig.until(rig.one_view, 60.0)
             port = next(line["metrics"] for line in rig.log("n1", "fleet") if line["change"] == "listening")
             return await asyncio.to_thread(
@@ -109,7 +109,7 @@
 
 def test_limits_and_verdicts_are_shown(tmp_path):
     async def script():
-        async with Rig(
+        async with ProcessCluster(
             tmp_path, routers=2, boxes=1, more="share_limits = true\nshare_verdicts = true"
         ) as rig:
             assert await rig.until(rig.one_view, 60.0)
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -2,9 +2,9 @@
 
 import pytest
 
+from brookhinge.emulator.simulated_membership import Net
 from brookhinge.membership import timing
 from brookhinge.membership.claims import MemberState
-from brookhinge.standin.virtual import Net
 
 SETTLE = 12.0  # seconds in which up to 64 peers hold one view again, by the note
 
--- a/tests/membership/test_rig.py
+++ b/tests/membership/test_rig.py
@@ -3,14 +3,14 @@
 
 import asyncio
 
-from brookhinge.standin.rig import OFF, OTHER_VERSION, Rig
+from brookhinge.emulator.process_cluster import OFF, OTHER_VERSION, ProcessCluster
 
 LONG = 60.0  # for a slow machine; the note's bounds are a fraction of it
 
 
 def play(script, folder, **rig_):
     async def run():
-        async with Rig(folder, **rig_) as rig:
+        async with ProcessCluster(folder, **rig_) as rig:
             assert await rig.until(rig.one_view, LONG)
             await script(rig)
 
--- a/tests/membership/test_rig_ports.py
+++ b/tests/membership/test_rig_ports.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from brookhinge.standin import rig as rig_module
-from brookhinge.standin.ports import LOCALHOST, free_port, own_host
-from brookhinge.standin.rig import Rig
+from brookhinge.emulator import process_cluster as rig_module
+from brookhinge.emulator.ports import LOCALHOST, free_port, own_host
+from brookhinge.emulator.process_cluster import ProcessCluster
 
 
 def datagram_socket(host, port):
@@ -44,7 +44,7 @@
     async def run():
         monkeypatch.setattr(rig_module, "free_port", port_in_use)
         with pytest.raises(RuntimeError, match="n1 is not up.*Address already in use"):
-            async with Rig(tmp_path, routers=1, boxes=0):
+            async with ProcessCluster(tmp_path, routers=1, boxes=0):
                 pass
 
     try:
--- a/tests/membership/test_warm_start.py
+++ b/tests/membership/test_warm_start.py
@@ -6,6 +6,7 @@
 
 from brookhinge.decisions.messages import ObjectsPurged, WarmStartReceived
 from brookhinge.decisions.router import Router
+from brookhinge.emulator.process_cluster import ProcessCluster
 from brookhinge.engine import events
 from brookhinge.membership.claims import Claim, MemberState
 from brookhinge.membership.core import CoreContext
@@ -13,7 +14,6 @@
 from brookhinge.membership.messages import CoreMessage, WarmStartRequest, WarmStartState
 from brookhinge.membership.view import MembershipView
 from brookhinge.membership.warm_start import WarmStart
-from brookhinge.standin.rig import Rig
 
 
 class Taught(Bench):
@@ -123,7 +123,7 @@
 
 def test_a_router_that_starts_among_processes_knows_what_its_peer_knew(tmp_path):
     async def script():
-        async with Rig(tmp_path, routers=3, boxes=3, more="share_memory = true") as rig:
+        async with ProcessCluster(tmp_path, routers=3, boxes=3, more="share_memory = true") as rig:
             assert await rig.until(rig.one_view, 60.0)
             await asyncio.sleep(3.5)  # those who began together have done asking
             caller = await rig.caller("n1")
--- a/tests/membership/test_wire_bytes.py
+++ b/tests/membership/test_wire_bytes.py
@@ -7,11 +7,11 @@
 
 import pytest
 
+from brookhinge.emulator.simulated_fleet import Fleet
+from brookhinge.emulator.simulated_limits import COLD, World
+from brookhinge.emulator.simulated_membership import Net
 from brookhinge.membership.claims import Claim
 from brookhinge.membership.codec import MESSAGE_TYPES, Codec
-from brookhinge.standin.lending import COLD, World
-from brookhinge.standin.sharing import Fleet
-from brookhinge.standin.virtual import Net
 
 SITE = "s"
 KEY = b"k" * 16
--- a/tests/overload/test_daemon.py
+++ b/tests/overload/test_daemon.py
@@ -8,7 +8,7 @@
 import pytest
 from test_service import *
 
-from brookhinge.standin.town import Town as Processes
+from brookhinge.emulator.local_deployment import LocalDeployment as Processes
 
 del test_a_slow_transfer_does_not_hold_up_the_rest
 
--- a/tests/purgelog/checked.py
+++ b/tests/purgelog/checked.py
@@ -2,9 +2,9 @@
 
 import math
 
+from brookhinge.emulator.simulated_purge_log import LogNet
 from brookhinge.purgelog.progress import MARGIN_S, Outcome
 from brookhinge.purgelog.subscriber import CopyRule
-from brookhinge.standin.lognet import LogNet
 
 
 class Broken(AssertionError):
--- a/tests/purgelog/test_command_channel.py
+++ b/tests/purgelog/test_command_channel.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
+from brookhinge.emulator.command_channel import CommandChannel
+from brookhinge.emulator.ports import free_port
 from brookhinge.operator import read_text
 from brookhinge.purgelog.messages import Entry, Kind
 from brookhinge.purgelog.server import ControlServer
-from brookhinge.standin.channel import CommandChannel
-from brookhinge.standin.ports import free_port
 from tests.purgelog.test_settings import control
 
 WITHIN_S = 20.0
--- a/tests/purgelog/test_figures.py
+++ b/tests/purgelog/test_figures.py
@@ -6,8 +6,8 @@
 import urllib.request
 from pathlib import Path
 
-from brookhinge.standin.ports import free_port
-from brookhinge.standin.rig import Rig
+from brookhinge.emulator.ports import free_port
+from brookhinge.emulator.process_cluster import ProcessCluster
 
 ROOT = Path(__file__).parents[2]
 LONG = 60.0
@@ -27,7 +27,7 @@
     port = free_port()
 
     async def run():
-        async with Rig(
+        async with ProcessCluster(
             tmp_path, routers=1, controls=3, proof_s=1.0, more=f'metrics = "127.0.0.1:{port}"'
         ) as rig:
             assert await rig.until(lambda: rig.last_rule("n1") == "proven", LONG)
@@ -73,7 +73,9 @@
         servers = [ControlServer(name, told.control, lambda event, **values: None) for name in told.control]
         for server in servers:
             await server.start()
-        assert await Rig.until(lambda: all(server.node.replication.epoch for server in servers), LONG)
+        assert await ProcessCluster.until(
+            lambda: all(server.node.replication.epoch for server in servers), LONG
+        )
         seen = await asyncio.to_thread(figures, ports["c1"][1])
         assert "brookhinge_purgelog_serving 1.0" in seen and "brookhinge_purgelog_epoch 1.0" in seen
         assert 'brookhinge_purgelog_head{source="c3"}' in seen
--- a/tests/purgelog/test_fleet.py
+++ b/tests/purgelog/test_fleet.py
@@ -5,10 +5,10 @@
 
 import pytest
 
+from brookhinge.emulator.simulated_purge_log import PROOF_S, LogNet
 from brookhinge.purgelog.messages import Entry, Kind
 from brookhinge.purgelog.progress import Outcome, Why
 from brookhinge.purgelog.subscriber import CopyRule
-from brookhinge.standin.lognet import PROOF_S, LogNet
 
 ROUTERS, REGIONS = 530, 6
 SETTLED_S = 6.0
--- a/tests/purgelog/test_rig.py
+++ b/tests/purgelog/test_rig.py
@@ -3,11 +3,11 @@
 import asyncio
 import time
 
+from brookhinge.emulator.origin import body_of, group_of
+from brookhinge.emulator.process_cluster import OFF, ProcessCluster
 from brookhinge.operator import read_file
 from brookhinge.purgelog.progress import Outcome
 from brookhinge.purgelog.submit import NotAppendedError, submit
-from brookhinge.standin.origin import body_of, group_of
-from brookhinge.standin.rig import OFF, Rig
 
 LONG = 60.0  # for a slow machine
 PROOF_S = 2.0
@@ -15,7 +15,9 @@
 
 def play(script, folder, routers=8, controls=5, **named):
     async def run():
-        async with Rig(folder, routers=routers, controls=controls, proof_s=PROOF_S, **named) as rig:
+        async with ProcessCluster(
+            folder, routers=routers, controls=controls, proof_s=PROOF_S, **named
+        ) as rig:
             assert await rig.until(lambda: all_proven(rig), LONG)
             await script(rig)
 
--- a/tests/rollout/playback.py
+++ b/tests/rollout/playback.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from brookhinge.standin.load import Load
-from brookhinge.standin.rollout_cluster import RolloutCluster
+from brookhinge.emulator.load_generator import Load
+from brookhinge.emulator.rollout_cluster import RolloutCluster
 
 LONG = 120.0
 
--- a/tests/rollout/test_plan.py
+++ b/tests/rollout/test_plan.py
@@ -171,7 +171,7 @@
         assert a.receive(line) == [message]
 
 
-@pytest.mark.parametrize("old", ["keep", "roll"])
+@pytest.mark.parametrize("old", ["keep", "roll", "box", "standin"])
 def test_old_names_of_commands_work_and_are_not_listed(old):
     assert run(old, "--help")[0] == 0
     assert f"  {old} " not in run("--help")[1]
--- a/tests/rollout/test_rig.py
+++ b/tests/rollout/test_rig.py
@@ -2,7 +2,7 @@
 
 import json
 
-from brookhinge.standin.channel import CommandChannel
+from brookhinge.emulator.command_channel import CommandChannel
 from tests.rollout.playback import LONG, play
 
 
--- a/tests/rollout/test_rig_worse.py
+++ b/tests/rollout/test_rig_worse.py
@@ -4,9 +4,9 @@
 
 import pytest
 
+from brookhinge.emulator import rollout_cluster
+from brookhinge.emulator.load_generator import Load
 from brookhinge.limits.lease_terms import START_S
-from brookhinge.standin import rollout_cluster
-from brookhinge.standin.load import Load
 from tests.limits.test_rig import ROOM, WINDOW_S, WORK_S
 from tests.rollout.playback import LONG, play
 
--- a/tests/standstill/test_every_point.py
+++ b/tests/standstill/test_every_point.py
@@ -12,7 +12,7 @@
 
 from brookhinge.net import client_connections
 from tests.crossings.test_sockets import Raw, warm
-from tests.helpers import Town
+from tests.helpers import LocalDeployment
 from tests.test_service import caches, until
 
 STOOD_STILL_S = (0.14, 0.3)  # one that no watch of the loop notices, and one that it does
@@ -129,7 +129,7 @@
         return found, steps.looked_at
 
     async def play():  # without a limit: the clock leaps by minutes
-        async with Town(folder, machines=caches()) as town:
+        async with LocalDeployment(folder, machines=caches()) as town:
             return await scene(town)
 
     return asyncio.run(play())
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import Caller, Commands, Machine, Town, host, listed
+from helpers import Caller, Commands, LocalDeployment, Machine, host, listed
 
 from brookhinge.net import client_connections, graceful_shutdown, thrift
 
@@ -21,7 +21,7 @@
 
 def played(scene, folder, **town):
     async def play():
-        async with Town(folder, **town) as t:
+        async with LocalDeployment(folder, **town) as t:
             return await asyncio.wait_for(scene(t), 20)
 
     return asyncio.run(play())
--- a/tests/verdicts/test_fleet.py
+++ b/tests/verdicts/test_fleet.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from brookhinge.standin.sharing import Fleet
+from brookhinge.emulator.simulated_fleet import Fleet
 
 
 def fleet(seed=1, routers=8, boxes=5, rate=50.0, until=8.0, **named):
--- a/tests/verdicts/test_rig.py
+++ b/tests/verdicts/test_rig.py
@@ -3,15 +3,15 @@
 
 import asyncio
 
-from brookhinge.standin.load import Load
-from brookhinge.standin.rig import Rig
+from brookhinge.emulator.load_generator import Load
+from brookhinge.emulator.process_cluster import ProcessCluster
 
 LONG = 60.0
 
 
 def play(script, folder, routers=8, more="share_verdicts = true", **rig_):
     async def run():
-        async with Rig(folder, routers=routers, boxes=3, more=more, patience_s=2.0, **rig_) as rig:
+        async with ProcessCluster(folder, routers=routers, boxes=3, more=more, patience_s=2.0, **rig_) as rig:
             assert await rig.until(rig.one_view, LONG)
             await script(rig)
 
