--- a/brookhinge/net/thrift.py
+++ b/brookhinge/net/thrift.py
@@ -118,8 +118,21 @@
         return INT32.unpack_from(self.frame, begin)[0]
 
     def read_string(self) -> bytes:
-        """Read a string, as bytes."""
-        return self.take(self.read_int32())
+        """Read a string, as bytes.
+
+        Raises:
+            UnreadableError: The frame ends before it.
+        """
+        frame = self.frame
+        begin = self.position + INT32.size
+        if begin > len(frame):
+            raise UnreadableError(CUT_OFF)
+        (count,) = INT32.unpack_from(frame, self.position)
+        end = begin + count
+        if count < 0 or end > len(frame):
+            raise UnreadableError(CUT_OFF)
+        self.position = end
+        return frame[begin:end]
 
     def skip(self, value_type: int, depth: int = 0) -> None:
         """Read past a value of any type.
