--- a/deploy/operator.hcl
+++ b/deploy/operator.hcl
@@ -42,7 +42,7 @@
 #   metrics = "127.0.0.1:9102"
 # }
 
-# A cache box: `brookhinge box --file deploy/operator.hcl --name s-1`. See docs/operators/store.md.
+# A cache server: `brookhinge cache-server --file deploy/operator.hcl --name s-1`. See docs/operators/store.md.
 box "s-1" {
   listen    = "127.0.0.1:9001"
   channel   = "127.0.0.1:8500"   # the command channel: list of servers and purges
