--- a/brookhinge/emulator/simulated_purge_log.py
+++ b/brookhinge/emulator/simulated_purge_log.py
@@ -15,7 +15,8 @@
 from brookhinge.purgelog.control import ControlNode, Machine
 from brookhinge.purgelog.messages import Entry, Kind
 from brookhinge.purgelog.progress import Outcome
-from brookhinge.purgelog.subscriber import CopyRule, Subscriber
+from brookhinge.purgelog.subscriber import Subscriber
+from brookhinge.purgelog.subscription import CopyRule
 
 PROOF_S = 3.0
 KEY = b"k" * 16
--- a/brookhinge/purgelog/client.py
+++ b/brookhinge/purgelog/client.py
@@ -12,7 +12,8 @@
 from brookhinge.engine.events import CopyRuleChanged, PurgeLogEntryRead
 from brookhinge.purgelog.control import Machine
 from brookhinge.purgelog.endpoint import Endpoint
-from brookhinge.purgelog.subscriber import CopyRule, Subscriber
+from brookhinge.purgelog.subscriber import Subscriber
+from brookhinge.purgelog.subscription import CopyRule
 
 if TYPE_CHECKING:
     from brookhinge.operator.settings import Control, Fleet
--- a/brookhinge/purgelog/control.py
+++ b/brookhinge/purgelog/control.py
@@ -9,11 +9,12 @@
 from typing import NamedTuple
 
 from brookhinge.purgelog import messages
-from brookhinge.purgelog.distributor import Distributor, Reader
+from brookhinge.purgelog.distributor import Distributor
 from brookhinge.purgelog.interfaces import Address, MessageWriter
 from brookhinge.purgelog.log import RECENT
 from brookhinge.purgelog.positions import START, Position, covers, flatten, sound_vector
 from brookhinge.purgelog.progress import MARGIN_S, Outcome, Progress, Tracker
+from brookhinge.purgelog.reader import Reader
 from brookhinge.purgelog.replication import Replication
 
 SYNC_S = 0.05  # between two syncs to each other machine
--- a/brookhinge/purgelog/copies.py
+++ b/brookhinge/purgelog/copies.py
@@ -12,7 +12,7 @@
 from brookhinge.decisions.object_state import ObjectState
 from brookhinge.decisions.request_state import RequestState
 from brookhinge.purgelog.backfill import PurgeSet
-from brookhinge.purgelog.subscriber import CopyRule
+from brookhinge.purgelog.subscription import CopyRule
 
 
 class ProvenCopies:
--- a/brookhinge/purgelog/subscriber.py
+++ b/brookhinge/purgelog/subscriber.py
@@ -14,19 +14,15 @@
 
 from __future__ import annotations
 
-import enum
 import math
 import random
 from collections.abc import Sequence
-from typing import TYPE_CHECKING, NamedTuple, Protocol
+from typing import TYPE_CHECKING
 
-import xxhash
-
-from brookhinge.purgelog.backfill import Backfill, PurgeSet
-from brookhinge.purgelog.interfaces import Address, MessageWriter
+from brookhinge.purgelog.backfill import Backfill
+from brookhinge.purgelog.interfaces import Address
 from brookhinge.purgelog.messages import (
     Batch,
-    Entry,
     Horizon,
     Kind,
     Leave,
@@ -46,6 +42,13 @@
     unflatten,
 )
 from brookhinge.purgelog.roundtrip import smoothed
+from brookhinge.purgelog.subscription import (
+    CopyRule,
+    Proof,
+    RefusalReason,
+    SubscriberOutput,
+    preference,
+)
 
 if TYPE_CHECKING:
     from brookhinge.purgelog.control import Machine
@@ -61,59 +64,6 @@
 NUMBERS_KEPT = 64  # messages whose sending time is remembered
 
 
-class Proof(NamedTuple):
-    """That all entries accepted before `moment` stand at or before `heads`.
-
-    Attributes:
-        moment: seconds of this router's own clock.
-        boots: process ids of the control machines that answered, 0 for the others.
-    """
-
-    moment: float
-    heads: list[Position]
-    boots: list[int]
-
-
-class SubscriberOutput(MessageWriter, Protocol):
-    """Carries out what the subscriber decides."""
-
-    def entry(self, entry: Entry) -> None:
-        """Apply a new entry at once."""
-
-    def copies(self, rule: CopyRule, purges: PurgeSet | None) -> None:
-        """Follow a rule for the router's own copies; `purges` comes with READMIT."""
-
-
-class CopyRule(enum.Enum):
-    """What the router may do with copies of answers that it holds itself."""
-
-    STALE = "no proof: none is used"
-    PROVEN = "used, but those set aside"
-    ASIDE = "those made up to now are set aside: purges may have been missed"
-    READMIT = "those set aside whose fingerprint is not among the missed are used again"
-    DROP = "those set aside are dropped"
-    RESET = "those made up to now are dropped"
-
-
-class RefusalReason(enum.Enum):
-    """Why a message was dropped, as counted in `refused`."""
-
-    UNSOUND = "unsound"
-    GAP = "gap"
-    OLD_EPOCH = "old epoch"
-
-
-def preference(name: str, region: str, machines: Sequence[Machine]) -> list[int]:
-    """Return the control machines as a router prefers them: its region's first, the rest by hash."""
-
-    def rank(number: int) -> tuple[bool, int]:
-        machine = machines[number]
-        near = region in (machine.region, *machine.serves)
-        return not near, xxhash.xxh64_intdigest(f"{name} {machine.name}".encode())
-
-    return sorted(range(len(machines)), key=rank)
-
-
 class Subscriber:
     """The state of one router as a reader."""
 
--- a/brookhinge/rollout/__init__.py
+++ b/brookhinge/rollout/__init__.py
@@ -8,6 +8,7 @@
     journal.py              decisions on disk before they take effect
     stages.py               which routers are changed in which stage; no I/O
     canary_analysis.py      new against old, valid at any time; no I/O
+    rollout_state.py        phases, outcomes and what is known of each router
     coordinator.py          stages: reports in, commands and records out; no I/O
     coordinator_service.py  joins a coordinator to agents, journal and operators
     reconciler.py           desired and actual state of one agent's routers; no I/O
--- a/brookhinge/rollout/coordinator.py
+++ b/brookhinge/rollout/coordinator.py
@@ -6,15 +6,12 @@
 run and may be repeated at any time. A command under a higher epoch supersedes this coordinator.
 """
 
-import dataclasses
-import enum
 import math
 from collections.abc import Iterable
-from typing import Any, Protocol
+from typing import Any
 
 from brookhinge.rollout.canary_analysis import (
     CanaryAnalysis,
-    MetricDelta,
     RouterWindow,
     Verdict,
     VerdictKind,
@@ -23,11 +20,20 @@
     AgentReport,
     CoordinatorEvent,
     EpochRejected,
-    MetricTotals,
     OperatorRequest,
     RouterStatus,
 )
 from brookhinge.rollout.plan import OnInconclusive, Plan
+from brookhinge.rollout.rollout_state import (
+    CoordinatorOutput,
+    Mode,
+    Outcome,
+    Phase,
+    RecordKind,
+    RouterView,
+    Status,
+    metric_deltas,
+)
 from brookhinge.rollout.stages import stages_of
 
 SILENT_AFTER_S = 6.0  # nothing is changed or judged while a router has not been heard of for so long
@@ -36,90 +42,6 @@
 )
 
 
-class RecordKind(enum.StrEnum):
-    """Kinds of the coordinator's journal records; the values are stored."""
-
-    EPOCH = "epoch"
-    STAGE = "stage"
-    CHANGE = "change"
-    PASSED = "passed"
-    ROLL_BACK = "back"
-    RETURNED = "returned"
-    MODE = "mode"
-    END = "end"
-
-
-class Phase(enum.StrEnum):
-    """What a stage is doing; the values are shown to operators."""
-
-    BASELINE = "before"  # comparing the groups while both run the old version
-    CHANGE = "change"  # changing one router after another
-    WARM_UP = "warm"  # new processes are left alone
-    ANALYSIS = "judge"  # comparing new with old
-
-
-class Mode(enum.StrEnum):
-    """Whether an operator has paused the rollout; the values are stored."""
-
-    RUNNING = "running"
-    PAUSED = "paused"
-
-
-class Outcome(enum.StrEnum):
-    """How a rollout ended; the values are stored and shown to operators."""
-
-    DONE = "done"  # all run the new version
-    ROLLED_BACK = "back"  # all run the old version
-    ABORTED = "left"  # stopped where it stands
-    SUPERSEDED = "superseded"  # another coordinator has a higher epoch
-
-
-class CoordinatorOutput(Protocol):
-    """Carries out what the coordinator decides.
-
-    Records are durable before any command of the same round goes out.
-    """
-
-    def record(self, **record: Any) -> None:  # noqa: ANN401 - JSON values
-        """Add a record to the journal."""
-
-    def command(self, router: str, version: str, is_confirmed: bool, serial: int) -> None:
-        """Send a `SetVersion` to the router's agent under this coordinator's epoch."""
-
-    def say(self, event: str, **values: Any) -> None:  # noqa: ANN401 - JSON values
-        """Write a log line."""
-
-
-@dataclasses.dataclass(slots=True)
-class RouterView:
-    """What was last reported of one router. `window` is its process and totals at the last window's end."""
-
-    version: str | None = None
-    state: str = RouterStatus.DOWN
-    process: int | None = None
-    crashes: int = 0
-    totals: MetricTotals = dataclasses.field(default_factory=dict)
-    heard_at: float = -math.inf
-    window: tuple[int | None, MetricTotals] | None = None
-    is_able: bool = True
-
-
-@dataclasses.dataclass(frozen=True, slots=True)
-class Status:
-    """Progress of a rollout for people.
-
-    Attributes:
-        stage: counted from 1.
-        changed: number of routers that were told the new version.
-    """
-
-    phase: str
-    stage: int
-    stages: int
-    changed: int
-    verdict: Verdict | None
-
-
 class Coordinator:
     """The state of one rollout.
 
@@ -296,7 +218,7 @@
             router.window = (router.process, router.totals)
             if previous is None or router.process is None or previous[0] != router.process:
                 continue
-            deltas = _deltas(previous[1], router.totals)
+            deltas = metric_deltas(previous[1], router.totals)
             rows.append(RouterWindow(self.agents[name], name in group, deltas))
         if self.phase in (Phase.BASELINE, Phase.ANALYSIS):
             self._analysis.add_window(self.phase == Phase.BASELINE, rows)
@@ -456,14 +378,3 @@
 
     def _runs_desired(self, name: str, router: RouterView) -> bool:
         return router.version == self.desired_version(name) and router.state == RouterStatus.READY
-
-
-def _deltas(before: MetricTotals, after: MetricTotals) -> dict[str, MetricDelta]:
-    """Return by how much each metric's totals grew; metrics without new samples are left out."""
-    deltas = {}
-    for metric, (samples, total) in after.items():
-        if metric in before:
-            samples_before, total_before = before[metric]
-            if samples > samples_before:
-                deltas[metric] = MetricDelta(samples - samples_before, total - total_before)
-    return deltas
--- a/brookhinge/rollout/coordinator_service.py
+++ b/brookhinge/rollout/coordinator_service.py
@@ -16,7 +16,7 @@
 
 from brookhinge.rollout.agent_protocol import AgentProtocol, ProtocolError
 from brookhinge.rollout.canary_analysis import Verdict
-from brookhinge.rollout.coordinator import Coordinator, Outcome, RecordKind
+from brookhinge.rollout.coordinator import Coordinator
 from brookhinge.rollout.journal import FORMAT_VERSION, Journal, JournalError, Record
 from brookhinge.rollout.messages import (
     AgentReport,
@@ -27,6 +27,7 @@
     SetVersion,
 )
 from brookhinge.rollout.plan import AgentSettings, Plan
+from brookhinge.rollout.rollout_state import Outcome, RecordKind
 
 RECONNECT_INTERVAL_S = 0.5
 ROUND_INTERVAL_S = 0.2
--- a/tests/purgelog/checked.py
+++ b/tests/purgelog/checked.py
@@ -4,7 +4,7 @@
 
 from brookhinge.emulator.simulated_purge_log import LogNet
 from brookhinge.purgelog.progress import MARGIN_S, Outcome
-from brookhinge.purgelog.subscriber import CopyRule
+from brookhinge.purgelog.subscription import CopyRule
 
 
 class Broken(AssertionError):
--- a/tests/purgelog/test_codec.py
+++ b/tests/purgelog/test_codec.py
@@ -9,7 +9,7 @@
 from brookhinge.emulator.simulated_purge_log import LogNet
 from brookhinge.purgelog.codec import CHECKSUM, MOST_BYTES, Codec, TooLongError
 from brookhinge.purgelog.messages import Append, Batch, Entry, Kind, Poll, Push, Subscribe
-from brookhinge.purgelog.subscriber import CopyRule, RefusalReason
+from brookhinge.purgelog.subscription import CopyRule, RefusalReason
 
 KEY, OTHER = b"k" * 16, b"o" * 16
 ENTRY = Entry(Kind.PURGE, "object", -1, 1)
--- a/tests/purgelog/test_copies.py
+++ b/tests/purgelog/test_copies.py
@@ -9,7 +9,7 @@
 from brookhinge.purgelog.copies import ProvenCopies
 from brookhinge.purgelog.log import fingerprint
 from brookhinge.purgelog.messages import Entry, Kind
-from brookhinge.purgelog.subscriber import CopyRule
+from brookhinge.purgelog.subscription import CopyRule
 
 
 class Doc:
--- a/tests/purgelog/test_fleet.py
+++ b/tests/purgelog/test_fleet.py
@@ -8,7 +8,7 @@
 from brookhinge.emulator.simulated_purge_log import PROOF_S, LogNet
 from brookhinge.purgelog.messages import Entry, Kind
 from brookhinge.purgelog.progress import Outcome, Why
-from brookhinge.purgelog.subscriber import CopyRule
+from brookhinge.purgelog.subscription import CopyRule
 
 ROUTERS, REGIONS = 530, 6
 SETTLED_S = 6.0
--- a/tests/purgelog/test_model.py
+++ b/tests/purgelog/test_model.py
@@ -7,9 +7,11 @@
 
 import pytest
 
-from brookhinge.purgelog.distributor import Distributor, Reader
+from brookhinge.purgelog.distributor import Distributor
+from brookhinge.purgelog.reader import Reader
 from brookhinge.purgelog.replication import Replication
-from brookhinge.purgelog.subscriber import CopyRule, Subscriber
+from brookhinge.purgelog.subscriber import Subscriber
+from brookhinge.purgelog.subscription import CopyRule
 from tests.purgelog.checked import Broken, CheckedNet
 
 DEPTH = 3
--- a/tests/purgelog/test_settings.py
+++ b/tests/purgelog/test_settings.py
@@ -8,7 +8,7 @@
 from brookhinge.purgelog.client import machines_of
 from brookhinge.purgelog.intake import STEP_S, Intake
 from brookhinge.purgelog.messages import Entry, Kind
-from brookhinge.purgelog.subscriber import preference
+from brookhinge.purgelog.subscription import preference
 
 KEY = "0123456789abcdef" * 2
 
