--- a/brookhinge/decision_settings.py
+++ b/brookhinge/decision_settings.py
@@ -73,6 +73,7 @@
     rules = settings.get_object("Rules", {})
     limits = settings.get_object("Limits", {})
     specifics = settings.get_object("Specifics", {})
+    report = settings.get_object("Report", {})
     zones = settings.get_texts("Zones")
     machine_types = settings.get_texts("MachineTypes")
     zone = _read_zone(settings, zones)
@@ -82,7 +83,7 @@
     if limits.get("RetryAfter", FLAG, False):
         max_retry_after_s = limits.get_duration_s("MaxRetryAfterNs", 0)
     cache_slow_start, parent_slow_start = _read_slow_starts(rules, specifics)
-    return DecisionSettings(
+    decisions = DecisionSettings(
         request_classes=request_classes,
         location=Location(
             zone=zone,
@@ -113,6 +114,8 @@
             _read_machine_type(specifics, "MasterKind", machine_types),
         ),
     )
+    report.get_texts("Columns")  # both programs check them, though only the router on sockets uses them
+    return decisions
 
 
 def read_report_columns(settings: SettingsReader) -> list[str]:
