--- a/brookhinge/decisions/messages.py
+++ b/brookhinge/decisions/messages.py
@@ -119,7 +119,7 @@
 
 
 class WarmStartReceived(NamedTuple):
-    """Rows of what a peer knows that has run for longer (`brookhinge/membership/memory.py`)."""
+    """Rows of what a peer knows that has run for longer (`brookhinge/membership/warm_start_decisions.py`)."""
 
     rows: list[tuple]
 
--- a/brookhinge/emulator/simulated_fleet.py
+++ b/brookhinge/emulator/simulated_fleet.py
@@ -17,14 +17,14 @@
 from brookhinge.engine.events import ClientDisconnected, RequestReceived
 from brookhinge.engine.router_state import RouterState
 from brookhinge.limits.limits import Limits
-from brookhinge.limits.shared import Sharing
+from brookhinge.limits.shared import SharedLimitsMixin
 from brookhinge.membership.claims import Claim, MemberState
 from brookhinge.membership.core import CoreContext
 from brookhinge.membership.messages import CoreMessage
 from brookhinge.membership.safety_notices import SafetyNotices
 from brookhinge.membership.view import MembershipView
 from brookhinge.verdicts.outlier_detection import OutlierDetection
-from brookhinge.verdicts.shared import Judging
+from brookhinge.verdicts.shared import FleetOutliersMixin
 
 WORK, CONTRACT_S, PATIENCE_S = 0.1, 0.5, 3.0
 COLD = SlowStart(0.3, 12.0, 3.0, 1.0)
@@ -72,7 +72,7 @@
             {},
         )  # broken: router -> share of its pushes that fail on the way
         self.serial, self.open, self.asked, self.datagrams = 0, {}, [], 0
-        kinds = (Sharing, Judging, Router) if share else (Router,)
+        kinds = (SharedLimitsMixin, FleetOutliersMixin, Router) if share else (Router,)
         kind = type("Router", kinds, {})
         self.routers = [
             RouterState(
--- a/brookhinge/limits/shared.py
+++ b/brookhinge/limits/shared.py
@@ -87,7 +87,7 @@
         return super().has_capacity(server, in_flight, share, weight)
 
 
-class Sharing:
+class SharedLimitsMixin:
     """Goes before Router: it also takes `QuotasAssigned`, and `demand` tells what was asked."""
 
     def __init__(self, *args: object, **named: object) -> None:
--- a/brookhinge/membership/memory.py
+++ b/brookhinge/membership/warm_start_decisions.py
@@ -14,7 +14,7 @@
 HOLDER = "holder"
 
 
-class Remembering:
+class WarmStartMixin:
     """Goes before Router: it also takes `WarmStartReceived`, and `memory` tells what a peer may want."""
 
     def handle(self, message: RouterMessage) -> None:
--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -41,21 +41,21 @@
     """Return the class of the decisions, extended by what the fleet shares."""
     extensions = []
     if fleet is not None and fleet.share_limits:
-        from brookhinge.limits.shared import Sharing
+        from brookhinge.limits.shared import SharedLimitsMixin
 
-        extensions.append(Sharing)
+        extensions.append(SharedLimitsMixin)
     if fleet is not None and fleet.share_verdicts:
-        from brookhinge.verdicts.shared import Judging
+        from brookhinge.verdicts.shared import FleetOutliersMixin
 
-        extensions.append(Judging)
+        extensions.append(FleetOutliersMixin)
     if fleet is not None and fleet.share_memory:
-        from brookhinge.membership.memory import Remembering
+        from brookhinge.membership.warm_start_decisions import WarmStartMixin
 
-        extensions.append(Remembering)
+        extensions.append(WarmStartMixin)
     if fleet is not None and fleet.purge_log:
-        from brookhinge.purgelog.copies import ProvenCopies
+        from brookhinge.purgelog.copies import ProvenCopiesMixin
 
-        extensions.append(ProvenCopies)
+        extensions.append(ProvenCopiesMixin)
     return type("Router", (*extensions, Router), {}) if extensions else Router
 
 
--- a/brookhinge/purgelog/copies.py
+++ b/brookhinge/purgelog/copies.py
@@ -15,7 +15,7 @@
 from brookhinge.purgelog.subscription import CopyRule
 
 
-class ProvenCopies:
+class ProvenCopiesMixin:
     """Goes before Router: it also takes `CopyRuleChanged`. Times are the router's.
 
     Attributes:
--- a/brookhinge/verdicts/shared.py
+++ b/brookhinge/verdicts/shared.py
@@ -71,7 +71,7 @@
         return verdict == RAMP_UP and self._chance.random() < max(FIRST_SHARE, 1.0 - (until - now) / RAMP_S)
 
 
-class Judging:
+class FleetOutliersMixin:
     """Goes before Router: it also takes `OutlierVerdictsChanged`, and `seen` tells totals of this process."""
 
     def create_cache_ejector(self) -> FleetOutlierEjector:
--- a/tests/membership/test_warm_start.py
+++ b/tests/membership/test_warm_start.py
@@ -10,10 +10,10 @@
 from brookhinge.engine import events
 from brookhinge.membership.claims import Claim, MemberState
 from brookhinge.membership.core import CoreContext
-from brookhinge.membership.memory import Remembering
 from brookhinge.membership.messages import CoreMessage, WarmStartRequest, WarmStartState
 from brookhinge.membership.view import MembershipView
 from brookhinge.membership.warm_start import WarmStart
+from brookhinge.membership.warm_start_decisions import WarmStartMixin
 
 
 class Taught(Bench):
@@ -21,7 +21,7 @@
 
     def __init__(self, **named):
         super().__init__(**named)
-        self.router.__class__ = type("Router", (Remembering, Router), {})
+        self.router.__class__ = type("Router", (WarmStartMixin, Router), {})
 
 
 def hand_over(old, new):
--- a/tests/purgelog/test_copies.py
+++ b/tests/purgelog/test_copies.py
@@ -6,7 +6,7 @@
 
 from brookhinge.decisions.local_cache import LocalCopy
 from brookhinge.purgelog.backfill import PurgeSet
-from brookhinge.purgelog.copies import ProvenCopies
+from brookhinge.purgelog.copies import ProvenCopiesMixin
 from brookhinge.purgelog.log import fingerprint
 from brookhinge.purgelog.messages import Entry, Kind
 from brookhinge.purgelog.subscription import CopyRule
@@ -45,7 +45,7 @@
         return (request.class_index, request.object.code) in self.local_cache.held
 
 
-class Router(ProvenCopies, PlainRouter):
+class Router(ProvenCopiesMixin, PlainRouter):
     def keep(self, doc, made):
         self.local_cache.held[0, doc.code] = LocalCopy(doc, made, 1)
 
