--- a/brookhinge/cli/__init__.py
+++ b/brookhinge/cli/__init__.py
@@ -1,7 +1,7 @@
 """The command line: `brookhinge COMMAND`, or `python -m brookhinge COMMAND`.
 
-Exit 0 when done, 1 when something was found wrong, 2 with one line when an option, key or file cannot be used.
-Commands import their subsystem when called.
+Exit 0 when done, 1 when something was found wrong, 2 with one line when an option, key or file cannot be
+used. Commands import their subsystem when called.
 """
 
 from __future__ import annotations
