--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -26,7 +26,7 @@
 
 def used(fleet, begin, end):
     """What was sent to cold boxes over what was asked of them, as far as all routers together may send that."""
-    budget, step, may = fleet.routers[0].router.slow_start["cache"], 0.1, 0.0
+    budget, step, may = fleet.routers[0].decisions.slow_start["cache"], 0.1, 0.0
     for box in fleet.boxes.values():
         at = begin
         while at < end:
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -247,7 +247,7 @@
 
     def note_plans(self):
         """What was promised before the boxes were back is left out: nobody knew yet that they would be gone."""
-        self.plans_before = [dict(r.router.retry_schedule.counts) for r in self.routers] if self.storm else []
+        self.plans_before = [dict(r.decisions.retry_schedule.counts) for r in self.routers] if self.storm else []
 
     def run(self):
         self.tell("ready", 1)
@@ -281,7 +281,7 @@
         herd = [n for n in self.needs if n.herd]
         plans = (
             [
-                {key: r.router.retry_schedule.counts[key] - before[key] for key in before}
+                {key: r.decisions.retry_schedule.counts[key] - before[key] for key in before}
                 for r, before in zip(self.routers, self.plans_before)
             ]
             if self.storm
@@ -307,8 +307,8 @@
             tries=self.counts["tries"],
             first_tries=len(self.needs),
             pushes=self.pushes,
-            beside=sum(r.counts["beside"] for r in self.routers),
-            again=sum(r.counts["again"] for r in self.routers),
+            beside=sum(r.totals.counts["beside"] for r in self.routers),
+            again=sum(r.totals.counts["again"] for r in self.routers),
         )
 
 
