--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -247,7 +247,9 @@
 
     def note_plans(self):
         """What was promised before the boxes were back is left out: nobody knew yet that they would be gone."""
-        self.plans_before = [dict(r.decisions.retry_schedule.counts) for r in self.routers] if self.storm else []
+        self.plans_before = (
+            [dict(r.decisions.retry_schedule.counts) for r in self.routers] if self.storm else []
+        )
 
     def run(self):
         self.tell("ready", 1)
