--- a/brookhinge/decisions/eligibility.py
+++ b/brookhinge/decisions/eligibility.py
@@ -78,7 +78,7 @@
                 power=self._throughput.power(server, now),
                 work=work,
                 largest_s=self._statistics.largest_transfer_s(),
-                chance=self._chance,
+                rng=self._chance,
                 reserve=-SCHEDULED_BORROWING if request.is_scheduled else reserve,
             )
         budget.record_demand(server, now, work, is_admitted)
--- a/brookhinge/decisions/local_cache.py
+++ b/brookhinge/decisions/local_cache.py
@@ -37,7 +37,7 @@
         self.capacity_bytes = memory_mb * MEMORY_SHARE * BYTES_PER_MB
         self.flow_bytes_s = flow_bytes_s
         self.link_bytes_s = link_bytes_s
-        self.held: dict[CopyName, LocalCopy] = {}
+        self.copies: dict[CopyName, LocalCopy] = {}
         self.size_bytes = 0
         self._link_free_at = 0.0
 
@@ -46,21 +46,21 @@
     ) -> None:
         """Keep the copy that a request has just been answered with; those not used for longest make room."""
         self.drop([name], sink)
-        self.held[name] = LocalCopy(state, copy.made_at, copy.size_bytes)
+        self.copies[name] = LocalCopy(state, copy.made_at, copy.size_bytes)
         self.size_bytes += copy.size_bytes
         sink.keep_copy(request_id, name)
         while self.size_bytes > self.capacity_bytes:
-            self.drop([next(iter(self.held))], sink)
+            self.drop([next(iter(self.copies))], sink)
 
     def drop(self, names: Iterable[CopyName], sink: DecisionSink) -> None:
         """Drop the copies held under any of these names."""
-        for name in self.held.keys() & names:
-            self.size_bytes -= self.held.pop(name).size_bytes
+        for name in self.copies.keys() & names:
+            self.size_bytes -= self.copies.pop(name).size_bytes
             sink.drop_copy(name)
 
     def drop_purged(self, key: str, group: int, sink: DecisionSink) -> None:
         """Drop the copies of a purged object, or else of a purged group."""
-        purged = [name for name, copy in self.held.items() if copy.object.is_covered_by_purge(key, group)]
+        purged = [name for name, copy in self.copies.items() if copy.object.is_covered_by_purge(key, group)]
         self.drop(purged, sink)
 
     def reserve(self, name: CopyName, now: float, max_age_s: float, time_left_s: float) -> bool:
@@ -68,7 +68,7 @@
 
         If so, its place on the link is taken.
         """
-        copy = self.held.get(name)
+        copy = self.copies.get(name)
         if copy is None or not copy.size_bytes * self.link_bytes_s:
             return False
         if 0.0 < max_age_s < now - copy.made_at + AGE_MARGIN_S:
@@ -77,5 +77,5 @@
         if max(copy.size_bytes / self.flow_bytes_s, sent_at - now) > time_left_s:
             return False
         self._link_free_at = sent_at
-        self.held[name] = self.held.pop(name)
+        self.copies[name] = self.copies.pop(name)
         return True
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -345,7 +345,7 @@
     for n in range(9):
         kept(f"b{n}", 9.0, 30_000)
     assert (
-        len(b.trace.kept) == len(b.router.local_cache.held) == 4
+        len(b.trace.kept) == len(b.router.local_cache.copies) == 4
         and b.router.local_cache.size_bytes == 120_000
     )
 
@@ -461,7 +461,7 @@
 
     def take(now, born):
         return budget.admits(
-            c, now=now, started_at=born, power=power, work=0.1, largest_s=0.1, chance=b.router.chance
+            c, now=now, started_at=born, power=power, work=0.1, largest_s=0.1, rng=b.router.chance
         )
 
     c, rate = told(10.0, 9.9)
