--- a/brookhinge/decisions/concurrency.py
+++ b/brookhinge/decisions/concurrency.py
@@ -1,8 +1,8 @@
-"""Concurrency limits: how much may be in flight to each server, and through the location's uplink.
+"""Concurrency limits for the requests in flight to each server and through the location's uplink.
 
-A limit follows the shortest response time of an object over its present one. What other routers have in
-flight is out of
-sight: it shows as congestion, the time that responses take beyond their shortest.
+A limit follows the ratio of an object's shortest response time to its current one. A router cannot see the
+requests that other routers have in flight. It sees their effect as congestion: the time that responses take
+beyond their shortest time.
 """
 
 import math
@@ -11,10 +11,10 @@
 
 from brookhinge.decisions.outliers import median_of_peers
 
-UPLINK = -1  # stands for the location's uplink among the server indices
+UPLINK = -1  # index of the location's uplink where a server index is expected
 
 INITIAL_LIMIT = 32.0
-UNKNOWN_LIMIT = INITIAL_LIMIT / 4  # the first limit where no weight is told: it is found from low
+UNKNOWN_LIMIT = INITIAL_LIMIT / 4  # initial limit of a server of unknown weight, raised by probing
 MIN_LIMIT = 4.0
 MAX_LIMIT = 200.0
 LIMIT_UPDATE_S = 0.25
@@ -22,20 +22,20 @@
 PACE_SMOOTHING = 0.05
 
 CONGESTION_DECAY_S = 3.0
-PRIOR_TRANSFER_S = 0.5  # transfer seconds that a first guess of the congestion counts for
-SHEDDING_CONGESTION = 1.5  # beyond the usual, at which nothing goes any more
-UPLINK_SHEDDING_FACTOR = 0.5  # what goes through a full uplink comes late together
-USUAL_CONGESTION = 0.4  # of a cache that is slow by nature
-USUAL_UPSTREAM_CONGESTION = 0.2
-ROUTERS_WITH_OWN_VIEW = 8.0  # of more routers little of a server's load is this one's own
+PRIOR_TRANSFER_S = 0.5  # weight of the default congestion, in transfer seconds
+SHEDDING_CONGESTION = 1.5  # congestion above normal at which all requests are shed
+UPLINK_SHEDDING_FACTOR = 0.5  # sheds earlier: all responses through a full uplink are late together
+NORMAL_CONGESTION = 0.4  # of a cache server that is always slow
+NORMAL_UPSTREAM_CONGESTION = 0.2
+MAX_ROUTERS_WITH_FULL_ALLOWANCE = 8.0  # above it, each router causes only a small part of the load
 
-MIN_WEIGHT_SHARE = 0.6  # transfers per weight that any router may have in flight
-WEIGHT_SHARE_RANGE = 1.9  # and what it may have beside that, by its share
-LIMIT_FLOOR = 0.7  # of the most that the weight allows
+MIN_WEIGHT_SHARE = 0.6  # share of a server's weight that every router may have in flight
+WEIGHT_SHARE_RANGE = 1.9  # added to it, multiplied by the router's share of the server
+LIMIT_FLOOR = 0.7  # lowest limit, as a share of the maximum that the weight allows
 
 
 class CongestionSample:
-    """Decayed sums of transfer seconds and of the seconds beyond them."""
+    """Holds decayed sums of expected response seconds and of the seconds in excess of them."""
 
     __slots__ = ("at", "excess_s", "transfer_s")
 
@@ -46,27 +46,27 @@
 
 
 class ConcurrencyLimiter:
-    """Concurrency limits of servers and of the uplink. Times are seconds.
+    """Limits the concurrency of servers and of the uplink. Times are seconds.
 
-    It guards against a full or slowing server; it could harm where response times of one object vary by
-    themselves.
+    Protects servers that are full or slowing down. It can shed too much where the response time of an object
+    varies for other reasons.
     """
 
     def __init__(self, routers: int) -> None:
-        """`routers` is how many share the servers."""
+        """Take the number of routers that share the servers."""
         self.routers = routers
         self.limit: dict[int, float] = {}
-        self.pace: dict[int, float] = {}  # shortest over present response time, smoothed
-        self.limited_at: dict[int, float] = {}
+        self.pace: dict[int, float] = {}  # ratio of shortest to current response time, smoothed
+        self.limit_updated_at: dict[int, float] = {}
         self.congestion_samples: dict[int, CongestionSample] = {}
 
     def forget(self, server: int) -> None:
-        """Drop what is known of a server: its index belongs to another from here on."""
-        for figures in (self.limit, self.pace, self.limited_at, self.congestion_samples):
+        """Drop the figures of a server whose index is being reused for another server."""
+        for figures in (self.limit, self.pace, self.limit_updated_at, self.congestion_samples):
             figures.pop(server, None)
 
     def record_time(self, server: int, now: float, transfer_s: float, excess_s: float) -> None:
-        """Count what a response took beyond the time that it is held against."""
+        """Record by how much a response exceeded `transfer_s`, the time that it is measured against."""
         sample = self.congestion_samples.get(server)
         if sample is None:
             sample = self.congestion_samples[server] = CongestionSample(now)
@@ -76,9 +76,9 @@
         sample.transfer_s = sample.transfer_s * decay + transfer_s
 
     def congestion(self, server: int, now: float, default: float = 0.0) -> float:
-        """Return what responses take beyond their shortest times, as a multiple of those.
+        """Return the excess time of responses as a multiple of the times they are measured against.
 
-        Where there are few, the figure is drawn to `default`.
+        With few samples, the result is weighted toward `default`.
         """
         sample = self.congestion_samples.get(server)
         if sample is None:
@@ -89,38 +89,38 @@
     def is_slower_than_peers(
         self, server: int, now: float, peers: Sequence[int], margin: float = 0.5, evidence_s: float = 0.0
     ) -> bool:
-        """Whether a server is far slower than the quicker half of its peers.
+        """Return whether a server is far slower than the faster half of its peers.
 
-        It must be known by `evidence_s` seconds of transfers at least.
+        Returns False if there are fewer than `evidence_s` seconds of transfers to judge the server by.
         """
-        usual = median_of_peers({peer: self.congestion(peer, now) for peer in peers}, server, peers, 0.0)
-        if usual is None or self.congestion(server, now) <= margin + 2.0 * usual:
+        peer_congestion = median_of_peers(
+            {peer: self.congestion(peer, now) for peer in peers}, server, peers, 0.0
+        )
+        if peer_congestion is None or self.congestion(server, now) <= margin + 2.0 * peer_congestion:
             return False
         sample = self.congestion_samples.get(server)
         return (sample.transfer_s if sample else 0.0) >= evidence_s
 
-    def admits(
-        self, server: int, now: float, share: float, chance: Random, is_upstream: bool = False
-    ) -> bool:
-        """Whether congestion lets a request through: the longer responses take, the fewer go.
+    def admits(self, server: int, now: float, share: float, rng: Random, is_upstream: bool = False) -> bool:
+        """Return whether to admit a request, at random: the higher the congestion, the fewer are admitted.
 
-        `share` is the part of a limit that is open to the request.
+        `share` is the part of a limit that the request may use.
         """
-        own_view = min(1.0, ROUTERS_WITH_OWN_VIEW / self.routers)
-        usual = (USUAL_UPSTREAM_CONGESTION if is_upstream else USUAL_CONGESTION) * own_view
+        allowance = min(1.0, MAX_ROUTERS_WITH_FULL_ALLOWANCE / self.routers)
+        normal = (NORMAL_UPSTREAM_CONGESTION if is_upstream else NORMAL_CONGESTION) * allowance
         default = self.congestion(UPLINK, now) if is_upstream else 0.0
-        excess = self.congestion(server, now, default) - usual
+        excess = self.congestion(server, now, default) - normal
         factor = UPLINK_SHEDDING_FACTOR if is_upstream else 1.0
         shed_probability = excess / (factor * SHEDDING_CONGESTION * share) * (1.0 - 1.0 / self.routers)
-        return shed_probability <= 0.0 or chance.random() >= shed_probability
+        return shed_probability <= 0.0 or rng.random() >= shed_probability
 
     def update_limit(self, server: int, now: float, ratio: float, in_flight: int) -> None:
-        """Take a response: `ratio` is the shortest over its response time, 0 for one that was shed."""
+        """Update a limit by a response; `ratio` is its shortest over its actual time, 0 if it was shed."""
         pace = (1.0 - PACE_SMOOTHING) * self.pace.get(server, 1.0) + PACE_SMOOTHING * ratio
         self.pace[server] = pace
-        if now - self.limited_at.get(server, -1.0) < LIMIT_UPDATE_S:
+        if now - self.limit_updated_at.get(server, -1.0) < LIMIT_UPDATE_S:
             return
-        self.limited_at[server] = now
+        self.limit_updated_at[server] = now
         limit = self.limit.get(server, UNKNOWN_LIMIT)
         target = limit * max(0.5, pace) + limit**0.5
         if target < limit or in_flight > limit / 2:
@@ -128,20 +128,20 @@
             self.limit[server] = max(MIN_LIMIT, min(MAX_LIMIT, smoothed))
 
     def current_limit(self, server: int) -> float:
-        """Return the limit found so far."""
+        """Return the limit as last updated."""
         return self.limit.get(server, UNKNOWN_LIMIT)
 
     def share(self, server: int) -> float:
-        """Return this router's part of what all may have in flight."""
+        """Return this router's share of the requests that all routers may have in flight."""
         return 1.0 / self.routers
 
     def has_capacity(self, server: int, in_flight: int, share: float, weight: float = 0.0) -> bool:
-        """Whether one more may be in flight for who has that share of the limit.
+        """Return whether one more request may be in flight, for a request that may use `share` of the limit.
 
-        Where `weight`, the transfers at full pace, is told, congestion shows at once; else the limit is
-        found from low.
+        A known `weight`, the concurrent transfers at full speed, bounds the limit from above and below. If it
+        is 0, the limit starts low and is raised by probing.
         """
         limit = self.limit.setdefault(server, INITIAL_LIMIT if weight or server == UPLINK else UNKNOWN_LIMIT)
-        most = weight * (MIN_WEIGHT_SHARE + WEIGHT_SHARE_RANGE * self.share(server)) or MAX_LIMIT
-        floor = LIMIT_FLOOR * most if weight else 0.0
-        return in_flight < share * min(max(limit, floor), most)
+        maximum = weight * (MIN_WEIGHT_SHARE + WEIGHT_SHARE_RANGE * self.share(server)) or MAX_LIMIT
+        floor = LIMIT_FLOOR * maximum if weight else 0.0
+        return in_flight < share * min(max(limit, floor), maximum)
--- a/brookhinge/decisions/endpoints.py
+++ b/brookhinge/decisions/endpoints.py
@@ -1,4 +1,4 @@
-"""The table of servers as the command channel last listed them."""
+"""Table of the servers last listed by the command channel."""
 
 import enum
 from collections.abc import Iterable
@@ -6,47 +6,48 @@
 from brookhinge.decisions.messages import Endpoint
 from brookhinge.decisions.rules import NEVER, SEND_STATE, event_time, known_event_time
 
-# Seconds after which nothing sent to a server that is gone can still be in flight: its index may be given to
-# another.
+# Nothing that was sent to a server can still be in flight this long after it left the list, so that its index
+# may be reused.
 REUSE_AFTER_S = 30.0
 GONE = "gone"
 
 
 class ServerRole(enum.StrEnum):
-    """What a server does for this router."""
+    """Role of a server for this router."""
 
     CACHE = "cache"
-    PARENT = "parent"  # caches fill from it
+    PARENT = "parent"  # cache servers fill from it
     ORIGIN = "origin"
 
 
 class EndpointTable:
-    """Listed servers under a dense index, one array for each figure. Times are seconds of the caller's clock.
+    """Stores the listed servers by dense index, one array per field. Times are seconds of the caller's clock.
 
     Attributes:
-        index: the index of each server id.
-        ids: server ids as the command channel names them.
-        role: a `ServerRole`, or None before the first row.
-        state: health as last listed; 'gone' for a server that left.
-        weight: transfers at full pace, where told.
-        started_at: start of the server's process as listed, or None for one that was there from the first.
-        warming_since: since when it counts as started: `started_at`, or when it was listed if that is
-            another clock's time.
-        zone: the zone it stands in.
-        cell: the cell it stands in.
-        in_flight: requests that this router has there now.
-        emptied_at: when it last lost what it held: at a restart, a drain or its end.
-        local_caches: indices of the caches that are ready in this router's zone, in order of their ids.
-        parents: indices of all listed parents, in order of their ids.
-        origins: indices of all listed origins, in order of their ids.
-        first_listed_at: when the first list came: starts before it were not watched.
-        newly_indexed: indices first used, or used anew, by the last update.
+        index: Index of each server, by server id.
+        ids: Server ids as used by the command channel.
+        role: A `ServerRole`, or None before the first row of the server.
+        state: Health as last listed; 'gone' for a server that is no longer listed.
+        weight: Concurrent transfers at full speed; 0 if unknown.
+        started_at: Start time of the server process as listed, or None if it has run from the beginning.
+        warming_since: Start of the warm-up: `started_at`, corrected by the time of the listing where the
+            clock that stamped it may be wrong. None if `started_at` is None.
+        zone: Zone of the server.
+        cell: Cell of the server.
+        in_flight: Requests that this router has in flight to the server.
+        emptied_at: When the server last lost its cached copies, by a restart, a drain or its removal.
+        local_caches: Indices of the ready cache servers in this router's zone, ordered by server id.
+        parents: Indices of all listed parents, ordered by server id.
+        origins: Indices of all listed origins, ordered by server id.
+        first_listed_at: When the first list arrived, or None before it. Earlier starts were not observed.
+        newly_indexed: Indices that the last update assigned or reused.
     """
 
     def __init__(self, parent_kind: str, origin_kind: str, zone: int) -> None:
-        """Start with no servers.
+        """Create an empty table.
 
-        `parent_kind` and `origin_kind` are what the list calls parents and origins, `zone` is this router's.
+        `parent_kind` and `origin_kind` are the kinds of parents and origins in the endpoint list; `zone` is
+        the zone of this router.
         """
         self.parent_kind = parent_kind
         self.origin_kind = origin_kind
@@ -67,17 +68,17 @@
         self.origins: list[int] = []
         self.newly_indexed: list[int] = []
         self.first_listed_at: float | None = None
-        self._newest_start = float("-inf")  # the latest start that the first list tells of
+        self._newest_start = float("-inf")  # latest start time in the first list
 
     def update(self, now: float, is_complete: bool, endpoints: Iterable[Endpoint]) -> None:
-        """Take a list; a server that a complete one leaves out is gone."""
+        """Apply an endpoint list; a server missing from a complete list is marked as gone."""
         self.newly_indexed = []
         if self.first_listed_at is None:
             self.first_listed_at = now
         if now == self.first_listed_at:
             starts = [row.started_at for row in endpoints if row.started_at is not None]
             self._newest_start = max([self._newest_start, *starts])
-        listed = {self._take(now, row) for row in endpoints}
+        listed = {self._update_row(now, row) for row in endpoints}
         if is_complete:
             for server, state in enumerate(self.state):
                 if server not in listed and state != GONE:
@@ -86,15 +87,15 @@
         self._group_by_role()
 
     def is_ready_local_cache(self, server: int) -> bool:
-        """Whether it is a ready cache of this router's zone."""
+        """Return whether a server is a ready cache server in this router's zone."""
         is_local = self.role[server] is ServerRole.CACHE and self.zone[server] == self.own_zone
         return is_local and self.state[server] == SEND_STATE
 
-    def _take(self, now: float, row: Endpoint) -> int:
-        """Take one row; return its index."""
+    def _update_row(self, now: float, row: Endpoint) -> int:
+        """Apply one row of the list; return the index of its server."""
         server = self._index_of(now, row.server)
         is_other_start = self.started_at[server] != row.started_at
-        if row.state != SEND_STATE or is_other_start:  # left, drained or restarted: what it held is gone
+        if row.state != SEND_STATE or is_other_start:  # removed, drained or restarted: its copies are lost
             self.emptied_at[server] = now
         if is_other_start or server in self.newly_indexed:
             self.warming_since[server] = self._effective_start(now, row.started_at)
@@ -112,7 +113,7 @@
         return ServerRole.ORIGIN if kind == self.origin_kind else ServerRole.CACHE
 
     def _index_of(self, now: float, server: int | str) -> int:
-        """Return a server's index; a newcomer takes that of one long gone, or the arrays would grow."""
+        """Return a server's index; a new server reuses the index of a removed one, to bound the arrays."""
         server_index = self.index.get(server)
         if server_index is None:
             server_index = next(
@@ -135,8 +136,8 @@
         return is_unused and now - self.emptied_at[server] > REUSE_AFTER_S
 
     def _reset(self, server_index: int, server: int | str) -> None:
-        """Give an index, maybe one past the last, to a server of which nothing is known."""
-        for array, first in (
+        """Initialize an existing index, or the one past the end, for a new server."""
+        for array, initial in (
             (self.ids, server),
             (self.role, None),
             (self.state, GONE),
@@ -148,13 +149,13 @@
             (self.in_flight, 0),
             (self.emptied_at, NEVER),
         ):
-            array[server_index : server_index + 1] = [first]
+            array[server_index : server_index + 1] = [initial]
 
     def _effective_start(self, now: float, started_at: float | None) -> float | None:
-        """Since when a server counts as started that was listed just now.
+        """Return the time from which a server that was just listed counts as started; None if not known.
 
-        Of those in the first list nothing but their stamps is known, beside one another; a later one was not
-        there before.
+        For servers in the first list only the time stamps are known, so they are compared with one another. A
+        server that first appears in a later list was not there before.
         """
         if started_at is None:
             return None
--- a/brookhinge/decisions/fault_attribution.py
+++ b/brookhinge/decisions/fault_attribution.py
@@ -1,7 +1,8 @@
-"""Whether the end of an attempt speaks against its cache, against the source of its fill, or against both.
+"""Attributes a failed attempt to its cache server, to the source of its fill, or to both.
 
-A failed fill speaks against both alike unless notes tell which: the one at fault soon stands out among its
-peers. A timeout counts only while nothing else is answered: else it is no fault but congestion.
+A failed fill counts against both equally unless the response note names one: the faulty server soon stands
+out among its peers. A timeout counts only while the server answers no other request; otherwise it is a sign
+of congestion, not a fault.
 """
 
 from brookhinge.decisions.concurrency import ConcurrencyLimiter
@@ -13,14 +14,14 @@
 from brookhinge.decisions.settings import NoteDetail
 from brookhinge.decisions.sink import DecisionSink
 
-SILENCE_S = 1.0
-SLOW_PARENT_EVIDENCE_S = 2.0  # seconds of slack that must speak of a parent before it counts as slow
+SILENCE_S = 1.0  # without a good response, after which a timeout counts as a failure
+SLOW_PARENT_EVIDENCE_S = 2.0  # total slack of the recorded fills before a parent can count as slow
 SHARED_FAULT_WEIGHT = 0.5
 
 FAILURES = (AttemptResult.ERRORED, AttemptResult.UNREACHABLE, AttemptResult.BROKEN)
-SOURCE_AT_FAULT = (ResponseNote.SOURCE_REFUSED, ResponseNote.SOURCE_BROKE)
-NOT_THE_CACHE = (*SOURCE_AT_FAULT, ResponseNote.ORIGIN_FAILED)
-NOT_THE_PARENT = (ResponseNote.HIT, ResponseNote.NO_SLOT, ResponseNote.ORIGIN_FAILED)
+SOURCE_FAULT_NOTES = (ResponseNote.SOURCE_REFUSED, ResponseNote.SOURCE_BROKE)
+CACHE_EXONERATED_NOTES = (*SOURCE_FAULT_NOTES, ResponseNote.ORIGIN_FAILED)
+PARENT_EXONERATED_NOTES = (ResponseNote.HIT, ResponseNote.NO_SLOT, ResponseNote.ORIGIN_FAILED)
 
 # An attribute of an enum class costs more than one of a module, and each end of an attempt needs these.
 _SATISFIED = AttemptResult.SATISFIED
@@ -33,7 +34,7 @@
 
 
 class FaultAttribution:
-    """Judges ends of attempts and hands them to the outlier ejectors. Times are seconds."""
+    """Judges the outcomes of attempts and reports them to the outlier ejectors. Times are seconds."""
 
     def __init__(
         self,
@@ -44,45 +45,45 @@
         parent_outliers: OutlierEjector,
         notes: NoteDetail,
     ) -> None:
-        """`notes` is what caches tell of how they answered."""
+        """`notes` is the detail that cache servers report about how they answered."""
         self._endpoints = endpoints
         self._concurrency = concurrency
         self._cache_outliers = cache_outliers
         self._parent_outliers = parent_outliers
-        self._tells_fault = notes is NoteDetail.ALL
-        self._heard_at: dict[int, float] = {}  # of each server: its last good response
+        self._notes_name_fault = notes is NoteDetail.ALL
+        self._last_good_at: dict[int, float] = {}  # last good response of each server
 
     def forget(self, server: int) -> None:
-        """Drop what is known of a server: its index belongs to another from here on."""
-        self._heard_at.pop(server, None)
+        """Drop the figures of a server whose index is being reused for another server."""
+        self._last_good_at.pop(server, None)
 
     def judge(self, outcome: AttemptOutcome, is_lagging: bool, sink: DecisionSink) -> None:
-        """Count an outcome for or against the servers that took part.
+        """Count an outcome for or against the servers involved in it.
 
-        `is_lagging` speaks against the cache.
+        `is_lagging` says that the cache server lags behind its peers, which counts as a failure.
         """
-        request, server, result, _, _, _, now, _, is_fill = outcome
+        request, server, result, _, _, _, now, _, was_filled = outcome
         is_parent = self._endpoints.role[server] is _PARENT
         source = server if is_parent else request.source
         is_satisfied = result == _SATISFIED
         if is_satisfied:
-            self._heard_at[server] = now
-            self._heard_at[source if is_fill else server] = now
+            self._last_good_at[server] = now
+            self._last_good_at[source if was_filled else server] = now
         is_timeout = result == _TIMEOUT
         cache_is_silent = is_timeout and self._is_silent(server, now)
-        source_is_silent = is_timeout and is_fill and self._is_silent(source, now)
-        is_shed_fill = is_fill and result == _FULL
+        source_is_silent = is_timeout and was_filled and self._is_silent(source, now)
+        is_shed_fill = was_filled and result == _FULL
         failed = is_lagging or cache_is_silent or source_is_silent or is_shed_fill or result in FAILURES
         is_good = is_satisfied and not is_lagging
-        is_shared = is_shed_fill or (is_fill and result == _ERRORED)
-        weight = SHARED_FAULT_WEIGHT if is_shared and not self._tells_fault else 1.0
+        is_shared = is_shed_fill or (was_filled and result == _ERRORED)
+        weight = SHARED_FAULT_WEIGHT if is_shared and not self._notes_name_fault else 1.0
 
         is_slow = self._is_slow_fill(outcome, source)
-        cache_counts = (is_good or failed) and self._speaks_of_cache(
+        cache_counts = (is_good or failed) and self._counts_for_cache(
             outcome, failed, cache_is_silent, source_is_silent
         )
-        parent_counts = (is_good or failed or is_slow) and self._speaks_of_parent(
-            outcome, source, is_slow or source_is_silent or (is_good and is_fill), is_shared
+        parent_counts = (is_good or failed or is_slow) and self._counts_for_parent(
+            outcome, source, is_slow or source_is_silent or (is_good and was_filled), is_shared
         )
         if cache_counts and self._cache_outliers.observe(
             server, now, failed, weight, self._endpoints.local_caches
@@ -94,10 +95,10 @@
             sink.log(f"resting parent {self._endpoints.ids[source]}: {result}")
 
     def _is_silent(self, server: int, now: float) -> bool:
-        return now - self._heard_at.get(server, NEVER) > SILENCE_S
+        return now - self._last_good_at.get(server, NEVER) > SILENCE_S
 
     def _is_slow_fill(self, outcome: AttemptOutcome, source: int) -> bool:
-        """Whether a fill came from a parent that is far slower than its peers."""
+        """Return whether an outcome was a fill from a parent that is far slower than its peers."""
         return (
             outcome.was_filled
             and outcome.result != _MISS
@@ -107,24 +108,24 @@
             )
         )
 
-    def _speaks_of_cache(
+    def _counts_for_cache(
         self, outcome: AttemptOutcome, failed: bool, cache_is_silent: bool, source_is_silent: bool
     ) -> bool:
-        """Whether a good or failed outcome says something of the cache."""
+        """Return whether a good or failed outcome counts for or against the cache server."""
         if self._endpoints.role[outcome.server] is not _CACHE:
             return False
         if not failed or cache_is_silent:
             return True
         if source_is_silent or outcome.result == _FULL:
             return False
-        return not (self._tells_fault and outcome.note in NOT_THE_CACHE)
+        return not (self._notes_name_fault and outcome.note in CACHE_EXONERATED_NOTES)
 
-    def _speaks_of_parent(
-        self, outcome: AttemptOutcome, source: int, is_evident: bool, is_shared: bool
+    def _counts_for_parent(
+        self, outcome: AttemptOutcome, source: int, is_conclusive: bool, is_shared: bool
     ) -> bool:
-        """Whether a good, failed or slow outcome says something of the parent that it was filled from."""
-        if self._endpoints.role[source] is not _PARENT or outcome.note in NOT_THE_PARENT:
+        """Return whether a good, failed or slow outcome counts for or against the parent of its fill."""
+        if self._endpoints.role[source] is not _PARENT or outcome.note in PARENT_EXONERATED_NOTES:
             return False
-        if is_evident or source == outcome.server:
+        if is_conclusive or source == outcome.server:
             return True
-        return outcome.note in SOURCE_AT_FAULT if self._tells_fault else is_shared
+        return outcome.note in SOURCE_FAULT_NOTES if self._notes_name_fault else is_shared
--- a/brookhinge/decisions/purges.py
+++ b/brookhinge/decisions/purges.py
@@ -1,4 +1,4 @@
-"""Purges of the last while, and the oldest copy that a request may be answered with."""
+"""Recent purges, and the maximum age of a copy that may answer a request."""
 
 import math
 
@@ -6,40 +6,42 @@
 from brookhinge.decisions.rules import NEVER
 from brookhinge.decisions.settings import RequestClass
 
-KEPT_BEYOND_S = 2.0  # after the last old copy is gone
-GUARDED_BEYOND_S = 1.0
+RETENTION_MARGIN_S = 2.0  # a purge is kept this long after it has settled
+ENFORCEMENT_MARGIN_S = 1.0  # a purge limits the age of copies this long after it has settled
 ROUNDING_S = 0.001
-MIN_AGE_S = 1e-6  # an age of 0 would mean any
+MIN_AGE_S = 1e-6  # a maximum age of 0 would mean no limit
 
 
 class PurgeRecord:
-    """Known purges by name: the key of an object or the number of a group. Times are seconds."""
+    """Stores recent purges by name: an object's key or a group's number. Times are seconds."""
 
     def __init__(self, settled_s: float) -> None:
-        """`settled_s` is how long after a purge an old copy may still be met anywhere."""
+        """Take `settled_s`, the time after a purge during which an older copy may still exist somewhere."""
         self.settled_s = settled_s
         self.purged_at: dict[str | int, float] = {}
 
     def add(self, now: float, name: str | int, at: float) -> None:
-        """Note a purge, and forgets those that are long settled."""
-        kept_s = self.settled_s + KEPT_BEYOND_S
-        self.purged_at = {other: told for other, told in self.purged_at.items() if now - told <= kept_s}
+        """Record a purge made at time `at`, and drop those that have long settled."""
+        retention_s = self.settled_s + RETENTION_MARGIN_S
+        self.purged_at = {
+            known: known_at for known, known_at in self.purged_at.items() if now - known_at <= retention_s
+        }
         self.purged_at[name] = max(at, self.purged_at.get(name, NEVER))
 
     def is_known(self, name: str | int) -> bool:
-        """Whether that key or group was purged lately."""
+        """Return whether a key or group was purged recently."""
         return name in self.purged_at
 
     def group_purged_at(self, group: int, default: float = NEVER) -> float:
-        """Return when a group was purged."""
+        """Return when a group was last purged, or `default` if no recent purge is known."""
         return self.purged_at.get(group, default)
 
     def max_age_s(
         self, state: ObjectState, request_class: RequestClass, now: float, accept_stale: bool
     ) -> float:
-        """Return the age of the oldest copy that will do; 0: any.
+        """Return the maximum age of a copy that may answer a request; 0 means no limit.
 
-        Copies from before a known purge are shut out until they are gone everywhere.
+        Copies made before a known purge are excluded until they are gone everywhere.
         """
         age_s = 0.0
         if request_class.fresh_s > 0:
@@ -47,6 +49,6 @@
         at = max(
             state.purged_at, self.purged_at.get(state.group, NEVER), self.purged_at.get(state.key, NEVER)
         )
-        if now - at < self.settled_s + GUARDED_BEYOND_S:
+        if now - at < self.settled_s + ENFORCEMENT_MARGIN_S:
             age_s = min(age_s or math.inf, max(MIN_AGE_S, now - at - ROUNDING_S))
         return age_s
--- a/brookhinge/decisions/retry_budget.py
+++ b/brookhinge/decisions/retry_budget.py
@@ -1,6 +1,6 @@
-"""Retry budget: retries are paid for by what first requests earn.
+"""Retry budget: each retry takes a token that first requests have earned.
 
-So they cannot multiply a load that fails.
+This keeps retries from multiplying the load during a failure.
 """
 
 import math
@@ -13,21 +13,24 @@
 
 
 class RetryBudget:
-    """Tokens saved for retries."""
+    """Holds the tokens for retries. Times are seconds."""
 
-    def __init__(self, chance: Random) -> None:
+    def __init__(self, rng: Random) -> None:
         self.tokens = INITIAL_TOKENS
-        self._chance = chance
+        self._rng = rng
         self._earned_at = 0.0
 
     def earn(self, now: float, is_first: bool) -> None:
-        """Take note of a request; one that is itself a client's retry earns nothing."""
+        """Record a request; a first request earns tokens, a client's retry earns none."""
         decay = math.exp((self._earned_at - now) / DECAY_S)
         self.tokens = min(MAX_TOKENS, EARNED_PER_REQUEST * is_first + self.tokens * decay)
         self._earned_at = now
 
     def take_token(self) -> bool:
-        """Whether a retry may be made; take its token. A part of one is enough by that chance."""
+        """Take a token for a retry; return whether the retry is allowed.
+
+        A fraction of a token allows the retry with that probability.
+        """
         saved = self.tokens
         self.tokens = max(0.0, saved - 1.0)
-        return self._chance.random() < saved
+        return self._rng.random() < saved
--- a/brookhinge/decisions/retry_schedule.py
+++ b/brookhinge/decisions/retry_schedule.py
@@ -1,28 +1,28 @@
-"""What the decisions need of a retry schedule; `brookhinge/overload/retry_schedule.py` has one."""
+"""Interface of a retry schedule; `brookhinge/overload/retry_schedule.py` implements it."""
 
 from collections.abc import Callable
 from typing import Protocol
 
-RequestName = tuple[int, str, int]  # request class, key and part
+RequestName = tuple[int, str, int]  # (index of the request class, key, part)
 
 
 class RetrySchedule(Protocol):
-    """Gives rejected clients a time to come back. Times are seconds.
+    """Assigns rejected clients a time at which to retry. Times are seconds.
 
     Attributes:
-        counts: what became of the times given; the router counts "served".
+        counts: Number of assigned times by outcome; the router increments "served".
     """
 
     counts: dict[str, int]
 
     def check_in(self, now: float, client: object, name: RequestName) -> tuple[float, bool]:
-        """Return the seconds until the time that was given, and whether the client came at it.
+        """Return the seconds until the assigned time, and whether the client came at that time.
 
-        0 seconds where no time was given, or it is over.
+        The seconds are 0 if no time was assigned or it has passed.
         """
 
     def record_new_request(self, now: float, work: float) -> None:
-        """Count seconds of transfer for a client that was not rejected before."""
+        """Record the transfer seconds of a request from a client that was not rejected before."""
 
     def reserve(
         self,
@@ -33,4 +33,4 @@
         share: float,
         capacity_at: Callable[[float], float],
     ) -> float:
-        """Return the seconds after which to come back; 0: nothing is promised."""
+        """Return the seconds after which the client should retry; 0 if no time was reserved."""
