--- a/brookhinge/simulator_adapter/__init__.py
+++ b/brookhinge/simulator_adapter/__init__.py
@@ -1,4 +1,5 @@
-"""The decisions on the simulator's wire: lines in, messages to routers, and their decisions back as lines.
+"""Runs the routing decisions in a simulator, over its line protocol.
 
-python -m brookhinge.simulator_adapter
+Input lines are decoded to messages for the routers, and their decisions are encoded as output lines. Start it
+with `python -m brookhinge.simulator_adapter`.
 """
--- a/brookhinge/simulator_adapter/__main__.py
+++ b/brookhinge/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""The decisions on the simulator's wire, on standard input and output."""
+"""Serves the simulator's line protocol on standard input and output."""
 
 import sys
 
--- a/brookhinge/simulator_adapter/codec.py
+++ b/brookhinge/simulator_adapter/codec.py
@@ -1,7 +1,7 @@
-"""Codec of the simulator's wire: events become messages of the decisions, decisions become lines.
+"""Codec of the simulator's protocol: decodes events to router messages and encodes decisions as lines.
 
-This is the only module that knows the words of that wire. Clock times become seconds since the instance's
-start, request ids small integers; both are turned back here.
+Only this package uses the words of that protocol. Decoding converts clock times to seconds since the start of
+the instance and request ids to small integers; encoding converts both back.
 """
 
 from collections.abc import Callable
@@ -43,21 +43,21 @@
 }
 SERVER_STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
 LIST_IS_COMPLETE = {"INCREMENTAL": False, "FULL": True, "SAVED": True}
-FAILED_LIST = "FAILED"  # it tells nothing
+FAILED_LIST = "FAILED"  # a list without information
 UNUSED_EVENTS = ("PEER", "RING")
 UNKNOWN_ZONE = -1
 
-# Bits of an attempt's options.
+# Bits of the options of a FETCH_THROUGH line.
 JOINS_FILL_BIT = 1
 CACHED_ONLY_BIT = 2
 RENEWS_BIT = 8
 
 
 class EndpointRow(NamedTuple):
-    """A row of a numbered list. Many instances share it, each with a clock and zones of its own."""
+    """A row of a numbered endpoint list, shared by instances that differ in start time and zone numbers."""
 
     weight: float
-    started_ns: int  # 0: it was there from the first
+    started_ns: int  # 0 if the server has run from the beginning
     cell: int
     state: str
     server: int
@@ -66,29 +66,31 @@
 
 
 def read_endpoint_row(line: str) -> EndpointRow:
-    """Read a ROW."""
+    """Parse a ROW line."""
     values = split_values(line, 7, "ROW with seven values")
     if not line.startswith("ROW ") or values[3] not in SERVER_STATES:
-        raise WireError(f"line {line!r}: expected ROW with a state")
+        raise WireError(f"line {line!r}: expected ROW with a server state")
     return EndpointRow(
         weight=read_optional_float(values[0], line, "a weight"),
-        started_ns=read_optional_int(values[1], line, "a time"),
-        cell=read_optional_int(values[2], line, "a cell"),
+        started_ns=read_optional_int(values[1], line, "a start time"),
+        cell=read_optional_int(values[2], line, "a cell number"),
         state=SERVER_STATES[values[3]],
-        server=read_int(values[4], line, "a cache server"),
+        server=read_int(values[4], line, "a server id"),
         kind=values[5],
         zone=values[6],
     )
 
 
 class InstanceCodec:
-    """Decodes the events of one instance, and is the sink of its router's decisions. It keeps no copies.
+    """Decodes the events of one instance and encodes its router's decisions, as their sink.
+
+    It does not implement the sink's methods for copies.
 
     Attributes:
-        inbox: messages decoded since they were last taken.
-        lines: decisions encoded since they were last taken.
-        wire_ids: the wire's id of each request that is open, or has an attempt out.
-        attempts_out: of each of those, how many attempts are out, and whether it is over.
+        inbox: Messages decoded since the last `take_messages`.
+        lines: Decisions encoded since the last `take_messages`.
+        wire_ids: The protocol's id of each request that is open or has an attempt in flight.
+        attempts_in_flight: For each of those requests, its number of attempts in flight and whether it ended.
     """
 
     def __init__(
@@ -98,7 +100,7 @@
         zone_index: dict[str, int],
         lists: dict[str, list[EndpointRow]],
     ) -> None:
-        """`lists` are the numbered lists of the process, as read so far."""
+        """Take the start time, indices by name, and the numbered lists of the process as read so far."""
         self._start_ns = start_ns
         self._class_index = class_index
         self._zone_index = zone_index
@@ -106,35 +108,35 @@
         self._next_id = 0
         self._request_ids: dict[str, int] = {}
         self.wire_ids: dict[int, str] = {}
-        self.attempts_out: dict[int, tuple[int, bool]] = {}
+        self.attempts_in_flight: dict[int, tuple[int, bool]] = {}
         self.inbox: list[RouterMessage] = []
         self.lines: list[str] = []
 
     def seconds(self, clock_ns: int) -> float:
-        """Return a time of the wire's clock as seconds since the start."""
+        """Convert a time of the simulator's clock to seconds since the start of the instance."""
         return (clock_ns - self._start_ns) * NANOSECOND_S
 
     def take_messages(self) -> list[RouterMessage]:
-        """Return the messages decoded so far, and begin with new lines."""
+        """Return the decoded messages, and clear both the messages and the encoded lines."""
         inbox = self.inbox
         self.inbox = []
         self.lines = []
         return inbox
 
     def settle_ended(self, messages: list[RouterMessage]) -> None:
-        """Forget the requests that are over with these messages."""
+        """Forget the requests that ended with these messages."""
         for message in messages:
             if isinstance(message, (AttemptEnded, RequestWithdrawn)):
-                out, is_over = self.attempts_out.get(message.request_id, (0, False))
-                if is_over:
-                    self._settle(message.request_id, out)
+                in_flight, has_ended = self.attempts_in_flight.get(message.request_id, (0, False))
+                if has_ended:
+                    self._settle(message.request_id, in_flight)
 
     # decisions
 
     def forward(self, request_id: int, attempt: Attempt) -> None:
         """Encode an attempt."""
-        out, is_over = self.attempts_out[request_id]
-        self.attempts_out[request_id] = (out + 1, is_over)
+        in_flight, has_ended = self.attempts_in_flight[request_id]
+        self.attempts_in_flight[request_id] = (in_flight + 1, has_ended)
         options = (
             JOINS_FILL_BIT * attempt.joins_fill
             + CACHED_ONLY_BIT * attempt.cached_only
@@ -150,31 +152,31 @@
     def reject(self, request_id: int, retry_after_s: float, reason: Refusal | None = None) -> None:
         """Encode a rejection."""
         self.lines.append(f"DENY {self.wire_ids[request_id]} {int(retry_after_s / NANOSECOND_S)}")
-        self._settle(request_id, self.attempts_out[request_id][0])
+        self._settle(request_id, self.attempts_in_flight[request_id][0])
 
     def fail(self, request_id: int, reason: Refusal | None = None) -> None:
         """Encode a failure."""
         self.lines.append(f"GIVE_UP {self.wire_ids[request_id]}")
-        self._settle(request_id, self.attempts_out[request_id][0])
+        self._settle(request_id, self.attempts_in_flight[request_id][0])
 
     def log(self, text: str) -> None:
-        """Encode a line for operators."""
+        """Encode a log line."""
         self.lines.append("DEBUG " + text.replace("\n", " "))
 
-    def _settle(self, request_id: int, out: int) -> None:
-        """Forget a request once it is over and no attempt of it is out."""
+    def _settle(self, request_id: int, in_flight: int) -> None:
+        """Mark a request as ended, and forget it when no attempt is in flight."""
         if request_id not in self.wire_ids:
             return
-        if out <= 0:
+        if in_flight <= 0:
             del self._request_ids[self.wire_ids.pop(request_id)]
-            self.attempts_out.pop(request_id, None)
+            self.attempts_in_flight.pop(request_id, None)
         else:
-            self.attempts_out[request_id] = (out, True)
+            self.attempts_in_flight[request_id] = (in_flight, True)
 
     # events
 
     def decode(self, word: str, line: str) -> None:
-        """Take an event line that begins with that word; WireError for one that cannot be read."""
+        """Decode an event line whose first word is `word`; raise WireError if it cannot be parsed."""
         decoder = DECODERS.get(word)
         if decoder is not None:
             decoder(self, line)
@@ -183,23 +185,23 @@
 
     def _decode_request(self, line: str) -> None:
         values = split_values(line, 10, "QUERY with ten values")
-        wire_id, part, class_name, _, _, writes, group, key, size_kb, timeout_ns, *_ = values
+        wire_id, part, class_name, _, _, is_write, group, key, size_kb, timeout_ns, *_ = values
         if class_name not in self._class_index:
             raise WireError(f"line {line!r}: expected a known class, got {class_name!r}")
         request_id = self._next_id
         self._next_id += 1
         self.wire_ids[request_id] = wire_id
         self._request_ids[wire_id] = request_id
-        self.attempts_out[request_id] = (0, False)
+        self.attempts_in_flight[request_id] = (0, False)
         self.inbox.append(
             RequestArrived(
                 request_id,
                 self._class_index[class_name],
                 key,
-                read_optional_int(part, line, "a part"),
-                read_optional_int(group, line, "a group"),
+                read_optional_int(part, line, "a part number"),
+                read_optional_int(group, line, "a group number"),
                 read_optional_float(size_kb, line, "a size"),
-                writes == "1",
+                is_write == "1",
                 read_optional_int(timeout_ns, line, "a time budget") * NANOSECOND_S,
             )
         )
@@ -213,28 +215,28 @@
         if request_id is None:
             return
         is_final = read_flag(ends_request, line)
-        read_int(attempt, line, "a push")
+        read_int(attempt, line, "an attempt number")
         self.inbox.append(
             AttemptEnded(
                 request_id,
-                read_int(server, line, "a cache server"),
+                read_int(server, line, "a server id"),
                 ATTEMPT_RESULTS[result],
                 read_int(took_ns, line, "a duration") * NANOSECOND_S,
                 is_final,
-                read_optional_int(note, line, "a note"),
+                read_optional_int(note, line, "a response note"),
                 read_optional_int(waited_ns, line, "a duration") * NANOSECOND_S,
             )
         )
         check_load(load, line)
-        out, is_over = self.attempts_out[request_id]
-        self.attempts_out[request_id] = (out - 1, is_over or is_final)
+        in_flight, has_ended = self.attempts_in_flight[request_id]
+        self.attempts_in_flight[request_id] = (in_flight - 1, has_ended or is_final)
 
     def _decode_withdrawal(self, line: str) -> None:
         wire_id = split_values(line, 1, "CLIENT_LEFT with a request id")[0]
         request_id = self._known_request(wire_id, line)
         if request_id is not None:
             self.inbox.append(RequestWithdrawn(request_id))
-            self.attempts_out[request_id] = (self.attempts_out[request_id][0], True)
+            self.attempts_in_flight[request_id] = (self.attempts_in_flight[request_id][0], True)
 
     def _decode_list(self, line: str) -> None:
         kind, _, number, *_ = split_values(line, 3, "TARGETS with three values")
@@ -251,25 +253,25 @@
         group, age_ns, key, *_ = split_values(line, 2, "PURGED with two values")
         self.inbox.append(
             ObjectsPurged(
-                group=read_optional_int(group, line, "a group"),
+                group=read_optional_int(group, line, "a group number"),
                 age_s=read_optional_int(age_ns, line, "an age") * NANOSECOND_S,
                 key="" if key == ABSENT else key,
             )
         )
 
     def _check_health_result(self, line: str) -> None:
-        """Check a result that the decisions never ask for."""
+        """Check a health result, which the decisions never request and do not use."""
         _, took_ns, server, load, *_ = split_values(line, 3, "HEALTH_RESULT with three values")
-        read_int(server, line, "a cache server")
+        read_int(server, line, "a server id")
         read_int(took_ns, line, "a duration")
         check_load(load, line)
 
     def _check_first_byte(self, line: str) -> None:
-        """Check a notice that the decisions make nothing of."""
+        """Check a first-byte notice, which the decisions do not use."""
         self._known_request(split_values(line, 4, "FIRST with four values")[0], line)
 
     def _known_request(self, wire_id: str, line: str) -> int | None:
-        """The request under an id of the wire; None for one that is forgotten."""
+        """Return the request with an id of the protocol; None if it is unknown or forgotten."""
         request_id = self._request_ids.get(wire_id)
         if request_id is None and not wire_id:
             raise WireError(f"line {line!r}: expected a request id")
--- a/brookhinge/simulator_adapter/lines.py
+++ b/brookhinge/simulator_adapter/lines.py
@@ -1,23 +1,23 @@
-"""Lines of the simulator's wire as checked values."""
+"""Parsing and checking of the lines of the simulator's protocol."""
 
-MAX_VALUES = 12  # of any line that is read
+MAX_VALUES = 12  # values that any line is padded to
 ABSENT = "-"
 
 
 class WireError(Exception):
-    """A line that cannot be read; the message names it and what was expected."""
+    """Raised for a line that cannot be parsed; names the line and what was expected."""
 
 
-def split_values(line: str, least: int, expected: str) -> list[str]:
-    """Return the values after a line's first word; optional ones left off its end read as absent."""
+def split_values(line: str, min_count: int, expected: str) -> list[str]:
+    """Return the values after the first word of a line, padded with `ABSENT` for omitted optional ones."""
     values = line.split(" ")[1:]
-    if len(values) < least:
+    if len(values) < min_count:
         raise WireError(f"line {line!r}: expected {expected}")
     return values + [ABSENT] * (MAX_VALUES - len(values))
 
 
 def read_int(text: str, line: str, expected: str) -> int:
-    """Return a whole number."""
+    """Parse an integer."""
     try:
         return int(text)
     except ValueError:
@@ -25,7 +25,7 @@
 
 
 def read_float(text: str, line: str, expected: str) -> float:
-    """Return a number."""
+    """Parse a floating-point number."""
     try:
         return float(text)
     except ValueError:
@@ -33,24 +33,24 @@
 
 
 def read_optional_int(text: str, line: str, expected: str) -> int:
-    """Return a whole number, 0 for one that is absent."""
+    """Parse an integer; return 0 if it is absent."""
     return 0 if text in (ABSENT, "") else read_int(text, line, expected)
 
 
 def read_optional_float(text: str, line: str, expected: str) -> float:
-    """Return a number, 0 for one that is absent."""
+    """Parse a floating-point number; return 0 if it is absent."""
     return 0.0 if text in (ABSENT, "") else read_float(text, line, expected)
 
 
 def read_flag(text: str, line: str) -> bool:
-    """Return a flag; an absent one is false."""
+    """Parse a flag; return False if it is absent."""
     if text not in ("0", "1", ABSENT):
-        raise WireError(f"line {line!r}: expected 1 or 0, got {text!r}")
+        raise WireError(f"line {line!r}: expected a flag of 0 or 1, got {text!r}")
     return text == "1"
 
 
 def check_load(text: str, line: str) -> None:
-    """Check load figures: the decisions use none, but they must be numbers."""
+    """Check that load figures are numbers; the decisions do not use them."""
     if text not in (ABSENT, ""):
         for figure in text.split(","):
             read_float(figure, line, "load figures")
