--- a/tests/crossings/test_cold_sum.py
+++ b/tests/crossings/test_cold_sum.py
@@ -1,4 +1,7 @@
-"""What all routers together send to a cold server: N calls in any window, and 2 x root of N + 2 by chance."""
+"""All routers together send a server in slow start at most N + 2 x sqrt(N) + 2 requests in any window.
+
+N is the mean that the settings allow; the rest covers random arrivals.
+"""
 
 import random
 
@@ -12,39 +15,44 @@
 START = SlowStart(0.2, 10.0, 2.5, 2.0)
 
 
-def over(routers, seed, works, power=6.0, unequal=False, idle_s=0.0, restart_at=None, made=SlowStartBudget):
-    """By how many calls the worst window passes the bound, over one cold start at time 0 of which all are told at once;
-    after idle_s far more is asked than the server can do, by some routers many times as much as by others."""
-    chance = random.Random(seed)
-    budgets = [made(START, routers) for _ in range(routers)]
-    chances = [random.Random(seed * 1000 + i) for i in range(routers)]
+def max_excess_requests(
+    routers, seed, works, power=6.0, unequal=False, idle_s=0.0, restart_at=None, budget_class=SlowStartBudget
+):
+    """Return by how many requests the worst window exceeds the bound during one slow start.
+
+    The server starts at time 0 and all routers learn of it at once. After `idle_s` seconds, the routers request far
+    more than the server can handle; if `unequal`, some request many times as much as others.
+    """
+    rng = random.Random(seed)
+    budgets = [budget_class(START, routers) for _ in range(routers)]
+    router_rngs = [random.Random(seed * 1000 + i) for i in range(routers)]
     shares = [1.0 / (i + 1) if unequal else 1.0 for i in range(routers)]
-    usual, asked = sum(works) / len(works), []
+    mean_work, requests = sum(works) / len(works), []
     for i, share in enumerate(shares):
-        now, rate = idle_s, 6.0 * power / usual * share / sum(shares)
-        while (now := now + chance.expovariate(rate)) < START.warm_up_s:
-            asked.append((now, i, chance.choice(works)))
+        now, rate = idle_s, 6.0 * power / mean_work * share / sum(shares)
+        while (now := now + rng.expovariate(rate)) < START.warm_up_s:
+            requests.append((now, i, rng.choice(works)))
     for budget in budgets:
-        budget.credited_at[0], budget.credit[0] = 0.0, 0.0  # as Router.on_endpoints does at the telling
-    sent, worst, done = [], -1e9, 0.0
-    for now, i, work in sorted(asked):
+        budget.credited_at[0], budget.credit[0] = 0.0, 0.0  # as Router.on_endpoints does for a listed start
+    sent, worst, window_work = [], -1e9, 0.0
+    for now, i, work in sorted(requests):
         if restart_at is not None and now >= restart_at:
-            restart_at, budgets = None, [made(START, routers) for _ in range(routers)]
+            restart_at, budgets = None, [budget_class(START, routers) for _ in range(routers)]
             for budget in budgets:
                 budget.credited_at[0], budget.credit[0] = now, 0.0
         admitted = budgets[i].admits(
-            0, now=now, started_at=0.0, power=power, work=work, largest_s=max(works), rng=chances[i]
+            0, now=now, started_at=0.0, power=power, work=work, largest_s=max(works), rng=router_rngs[i]
         )
         if admitted:
             sent.append((now, work))
-            done += work
+            window_work += work
             while sent[0][0] <= now - START.window_s:
-                done -= sent.pop(0)[1]
-            can = (
+                window_work -= sent.pop(0)[1]
+            capacity = (
                 START.initial_share + (1.0 - START.initial_share) * min(1.0, now / START.warm_up_s)
             ) * power
-            calls = START.overload_multiple * can * START.window_s / usual
-            worst = max(worst, done / usual - calls - 2.0 * calls**0.5 - 2.0)
+            allowed = START.overload_multiple * capacity * START.window_s / mean_work
+            worst = max(worst, window_work / mean_work - allowed - 2.0 * allowed**0.5 - 2.0)
     assert worst > -1e9
     return worst
 
@@ -55,72 +63,78 @@
     for seed in range(4):
         for works in ((0.05,), (0.4, 0.06), (0.3,)):
             for unequal in (False, True):
-                assert over(routers, seed, works, unequal=unequal, idle_s=idle_s) <= 0.0, (
+                assert max_excess_requests(routers, seed, works, unequal=unequal, idle_s=idle_s) <= 0.0, (
                     seed,
                     works,
                     unequal,
                 )
 
 
-def test_all_routers_restart_beside_a_cold_server():
+def test_bound_holds_when_all_routers_restart_during_a_slow_start():
     for seed in range(6):
         for routers in (3, 30, 200):
-            assert over(routers, seed, (0.05,), restart_at=2.0 + seed) <= 0.0
+            assert max_excess_requests(routers, seed, (0.05,), restart_at=2.0 + seed) <= 0.0
 
 
-def test_the_bound_finds_what_is_saved_without_one():
-    """Planted: what comes is kept for four windows, as it was, and nothing bounds one."""
+def test_check_detects_credit_that_is_not_limited_per_window():
+    """Injected fault: credit of four windows is saved, as an earlier version did, and no limit applies to one window."""
 
-    class Saving(SlowStartBudget):
+    class UnboundedWindowBudget(SlowStartBudget):
         def fleet_limits(self, *values):
             return super().fleet_limits(*values)[0], 1e9
 
-    assert over(30, 1, (0.05,), idle_s=6.0, made=Saving) > 20.0
+    assert max_excess_requests(30, 1, (0.05,), idle_s=6.0, budget_class=UnboundedWindowBudget) > 20.0
 
 
-def test_each_takes_more_than_its_part_and_the_bound_finds_it():
-    """Planted: a part of a call rounded up by each."""
+def test_check_detects_routers_that_exceed_their_share():
+    """Injected fault: each router rounds up a fraction of a request to a whole one."""
 
-    class Rounding(SlowStartBudget):
-        def admits(self, c, *, now, **values):
+    class RoundingBudget(SlowStartBudget):
+        def admits(self, server, *, now, **values):
             return (
-                super().admits(c, now=now, **values)
+                super().admits(server, now=now, **values)
                 or now - self.credited_at.get("up", -9.0) > 2.0
                 and self.credited_at.update(up=now) is None
             )
 
-    assert over(200, 1, (0.4, 0.06), made=Rounding) > 20.0
+    assert max_excess_requests(200, 1, (0.4, 0.06), budget_class=RoundingBudget) > 20.0
 
 
-def test_what_many_carried_that_are_gone_is_not_what_the_few_left_can_do():
-    """Six in ten servers are replaced within seconds, weights are not told: the work of ten, divided among four, let the
-    cold six be sent more than twice what they bear."""
+def test_work_of_removed_servers_does_not_raise_the_estimated_capacity():
+    """Six of ten servers are replaced within seconds, and their weights are unknown.
 
-    def power(gone):
-        b = Bench(weight=0.0, caches=range(21, 31), routers=8)
+    When the work of ten servers was divided among the remaining four, the six starting ones were sent more than twice
+    what they can handle.
+    """
+
+    def estimated_power(gone):
+        bench = Bench(weight=0.0, caches=range(21, 31), routers=8)
         for step in range(200):
-            b.router.now = b.now = b.now + 0.1
-            for c in b.router.endpoints.local_caches:
-                b.router.throughput.record_work(c, b.now, 0.05)
-        rows = [b.row(c, "gone") for c in range(21, 21 + gone)] + [
-            b.row(50 + n, born=b.now) for n in range(gone)
+            bench.router.now = bench.now = bench.now + 0.1
+            for server in bench.router.endpoints.local_caches:
+                bench.router.throughput.record_work(server, bench.now, 0.05)
+        rows = [bench.row(server, "gone") for server in range(21, 21 + gone)] + [
+            bench.row(50 + n, born=bench.now) for n in range(gone)
         ]
-        b.call(EndpointsListed(False, rows))
-        return b.router.throughput.power(b.router.endpoints.index[30], b.now)
+        bench.call(EndpointsListed(False, rows))
+        return bench.router.throughput.power(bench.router.endpoints.index[30], bench.now)
 
-    assert 3.0 < power(0) <= power(6) < 4.1  # 0.05 s in 0.1 s at each, by each of 8 routers: 4.0
+    # 0.05 s of work per 0.1 s from each of 8 routers: 4.0
+    assert 3.0 < estimated_power(0) <= estimated_power(6) < 4.1
 
 
-def test_fills_count_for_what_a_parent_can_do_once_they_are_answered():
-    """In a jam what is sent to the last warm parent is not what it does."""
+def test_only_answered_fills_raise_the_estimated_capacity_of_a_parent():
+    """During congestion, the last warm parent completes less than it is sent; only the former is its capacity."""
 
-    def power(result):
-        b = Bench(weight=0.0, routers=40, tells="all")
+    def estimated_power(result):
+        bench = Bench(weight=0.0, routers=40, tells="all")
         for part in range(60):
-            b.ask("k", part=part)
-            while b.next in b.router.requests:
-                looks = b.router.requests[b.next].source == b.router.requests[b.next].server
-                b.end(b.next, "miss" if looks else result, took=0.3, note=0 if looks else 3)
-        return b.router.throughput.power(b.router.endpoints.index[11], b.now)
+            bench.ask("k", part=part)
+            while bench.next in bench.router.requests:
+                is_lookup = (
+                    bench.router.requests[bench.next].source == bench.router.requests[bench.next].server
+                )
+                bench.end(bench.next, "miss" if is_lookup else result, took=0.3, note=0 if is_lookup else 3)
+        return bench.router.throughput.power(bench.router.endpoints.index[11], bench.now)
 
-    assert power("timeout") == 1.0 < power("satisfied")
+    assert estimated_power("timeout") == 1.0 < estimated_power("satisfied")
--- a/tests/crossings/test_sizes.py
+++ b/tests/crossings/test_sizes.py
@@ -1,4 +1,4 @@
-"""Shedding and limits do not starve the largest objects of a track."""
+"""Load shedding and concurrency limits do not starve the largest objects of a request class."""
 
 import math
 import random
@@ -7,72 +7,89 @@
 
 from tests.helpers import CACHES, Bench, request_class
 
-STEP, SECONDS, MEAN, LINK = 0.01, 40.0, 0.3, 4.0
+STEP_S, DURATION_S, MEAN_TRANSFER_S, LINK_CAPACITY = 0.01, 40.0, 0.3, 4.0
 
 
-class Day:
-    """One track whose sizes vary widely, and caches whose links are shared evenly by what they send; all is held."""
+class Simulation:
+    """One request class of widely varying transfer_s; each cache splits its link evenly among its transfers. All are hits."""
 
     def __init__(self, load, seed):
-        self.chance, self.load, self.now = random.Random(seed), load, 0.0
-        self.b = Bench(request_classes=[request_class(timeout_s=4.0)], weight=LINK, tells="all")
-        self.left, self.sizes, self.since, self.done = {c: {} for c in CACHES}, {}, {}, {}
+        self.rng, self.load, self.now = random.Random(seed), load, 0.0
+        self.bench = Bench(request_classes=[request_class(timeout_s=4.0)], weight=LINK_CAPACITY, tells="all")
+        self.remaining_s, self.transfer_s, self.sent_at, self.is_satisfied = (
+            {server: {} for server in CACHES},
+            {},
+            {},
+            {},
+        )
 
-    def heed(self, lines):
+    def apply_decisions(self, lines):
         for line in lines:
-            name, word, *rest = line.split()
-            if word == "push":
-                query = int(name[1:])
-                self.left.setdefault(int(rest[0]), {})[query], self.since[query] = self.sizes[query], self.now
-            elif word == "nack":
-                self.done[int(name[1:])] = False
+            request_name, decision, *arguments = line.split()
+            if decision == "push":
+                request = int(request_name[1:])
+                self.remaining_s.setdefault(int(arguments[0]), {})[request], self.sent_at[request] = (
+                    self.transfer_s[request],
+                    self.now,
+                )
+            elif decision == "nack":
+                self.is_satisfied[int(request_name[1:])] = False
 
     def step(self):
-        b, ended = self.b, []
-        b.now = self.now = self.now + STEP
-        for sent in self.left.values():
-            for query in sent:
-                sent[query] -= STEP * min(1.0, LINK / len(sent))
+        bench, ended = self.bench, []
+        bench.now = self.now = self.now + STEP_S
+        for remaining_s in self.remaining_s.values():
+            for request in remaining_s:
+                remaining_s[request] -= STEP_S * min(1.0, LINK_CAPACITY / len(remaining_s))
             ended += [
-                (sent, query) for query in sent if sent[query] <= 0.0 or self.now - self.since[query] > 3.99
+                (remaining_s, request)
+                for request in remaining_s
+                if remaining_s[request] <= 0.0 or self.now - self.sent_at[request] > 3.99
             ]
-        for sent, query in ended:
-            good = sent.pop(query) <= 0.0
-            self.done[query] = good
-            self.heed(
-                b.end(
-                    query,
-                    "satisfied" if good else "timeout",
-                    took=self.now - self.since[query],
+        for remaining_s, request in ended:
+            is_complete = remaining_s.pop(request) <= 0.0
+            self.is_satisfied[request] = is_complete
+            self.apply_decisions(
+                bench.end(
+                    request,
+                    "satisfied" if is_complete else "timeout",
+                    took=self.now - self.sent_at[request],
                     note=1,
                     at=self.now,
                 )
             )
 
-    def shares(self):
-        """Answered of the largest tenth, of the next fifth, of all."""
-        rate = self.load * LINK * len(CACHES) / MEAN
-        due = self.chance.expovariate(rate)
-        while self.now < SECONDS:
+    def satisfied_shares(self):
+        """Return the satisfied share of the largest tenth by size, of the next fifth, and of all requests."""
+        rate = self.load * LINK_CAPACITY * len(CACHES) / MEAN_TRANSFER_S
+        next_arrival = self.rng.expovariate(rate)
+        while self.now < DURATION_S:
             self.step()
-            while due <= self.now:
-                due += self.chance.expovariate(rate)
-                size = self.sizes[self.b.next + 1] = min(
-                    3.0, MEAN * math.exp(self.chance.gauss(0.0, 1.0) - 0.5)
+            while next_arrival <= self.now:
+                next_arrival += self.rng.expovariate(rate)
+                size = self.transfer_s[self.bench.next + 1] = min(
+                    3.0, MEAN_TRANSFER_S * math.exp(self.rng.gauss(0.0, 1.0) - 0.5)
                 )
-                self.heed(
-                    self.b.ask(f"k{self.chance.randrange(60)}", left=4.0, size=1000.0 * size, at=self.now)
+                self.apply_decisions(
+                    self.bench.ask(f"k{self.rng.randrange(60)}", left=4.0, size=1000.0 * size, at=self.now)
                 )
-        by_size = sorted((q for q in self.sizes if q in self.done), key=self.sizes.get)
+        by_size = sorted(
+            (request for request in self.transfer_s if request in self.is_satisfied), key=self.transfer_s.get
+        )
         tenth = len(by_size) // 10
         return [
-            sum(self.done[q] for q in part) / len(part)
-            for part in (by_size[-tenth:], by_size[-3 * tenth : -tenth], by_size)
+            sum(self.is_satisfied[request] for request in group) / len(group)
+            for group in (by_size[-tenth:], by_size[-3 * tenth : -tenth], by_size)
         ]
 
 
-@pytest.mark.parametrize("load, least", [(0.5, 0.67), (0.9, 0.67), (1.2, 0.5), (1.6, 0.5)])
-def test_the_largest_objects_get_their_part_of_what_their_track_gets(load, least):
+@pytest.mark.parametrize("load, min_ratio", [(0.5, 0.67), (0.9, 0.67), (1.2, 0.5), (1.6, 0.5)])
+def test_largest_objects_are_satisfied_in_proportion_to_their_class(load, min_ratio):
     for seed in (1, 2, 3):
-        largest, next_, whole = Day(load, seed).shares()
-        assert largest >= least * whole and next_ >= least * whole, (seed, largest, next_, whole)
+        largest, next_largest, overall = Simulation(load, seed).satisfied_shares()
+        assert largest >= min_ratio * overall and next_largest >= min_ratio * overall, (
+            seed,
+            largest,
+            next_largest,
+            overall,
+        )
--- a/tests/crossings/test_windows.py
+++ b/tests/crossings/test_windows.py
@@ -1,4 +1,4 @@
-"""A track's window of repeats counts from the first push that may have run, over further pushes and connections."""
+"""The deduplication window counts from the first attempt that may have run, across retries and connections."""
 
 import random
 
@@ -9,12 +9,16 @@
 from brookhinge.startup import Bounds
 from tests.helpers import Bench, request_class
 
-MAY_RUN, NEVER_RAN = ("timeout", "broken", "errored"), ("full", "unreachable", "miss", "moot", "unsent")
+MAY_HAVE_RUN, NEVER_RAN = ("timeout", "broken", "errored"), ("full", "unreachable", "miss", "moot", "unsent")
 
 
-def history(seed, idempotency):
-    """The times of one query's pushes and which of them may have run, with random outcomes after random times."""
-    chance, b, pushes, ran = (
+def run_request(seed, idempotency):
+    """Run one request whose attempts end at random times with random results.
+
+    Returns the times of its attempts, a list with the time of the first that may have run or an empty one, and the
+    last decisions.
+    """
+    rng, bench, attempt_times, first_run = (
         random.Random(seed),
         Bench(
             request_classes=[
@@ -28,62 +32,65 @@
         [],
         [],
     )
-    b.router.retry_budget.tokens = 20.0
-    lines = b.ask("k", left=4.0)
+    bench.router.retry_budget.tokens = 20.0
+    lines = bench.ask("k", left=4.0)
     while any(" push " in line for line in lines):
-        pushes.append(b.now)
-        b.router.retry_budget.tokens = 20.0
-        result = chance.choice(MAY_RUN + NEVER_RAN)
-        at = b.now + chance.choice((0.01, 0.1, 0.3, 0.5))
-        if result in MAY_RUN and not ran:
-            ran.append(pushes[-1])
-        lines = b.end(b.next, result, at=at)
+        attempt_times.append(bench.now)
+        bench.router.retry_budget.tokens = 20.0
+        result = rng.choice(MAY_HAVE_RUN + NEVER_RAN)
+        at = bench.now + rng.choice((0.01, 0.1, 0.3, 0.5))
+        if result in MAY_HAVE_RUN and not first_run:
+            first_run.append(attempt_times[-1])
+        lines = bench.end(bench.next, result, at=at)
         if at > 4.0:
             break
-    return pushes, ran, lines
+    return attempt_times, first_run, lines
 
 
 @pytest.mark.parametrize("seed", range(0, 400, 100))
-def test_a_further_push_stays_in_its_window(seed):
-    further = 0
+def test_retry_stays_within_the_deduplication_window(seed):
+    retries = 0
     for n in range(seed, seed + 100):
-        pushes, ran, lines = history(n, Idempotency.KEYED)
-        later = [at for at in pushes if ran and at > ran[0]]
-        further += len(later)
-        assert all(at - ran[0] <= 0.9 - 0.1 for at in later), (n, pushes, ran)
-    assert further > 20  # the window is used
+        attempt_times, first_run, lines = run_request(n, Idempotency.KEYED)
+        later = [at for at in attempt_times if first_run and at > first_run[0]]
+        retries += len(later)
+        assert all(at - first_run[0] <= 0.9 - 0.1 for at in later), (n, attempt_times, first_run)
+    assert retries > 20  # retries do happen within the window
 
 
 @pytest.mark.parametrize("seed", range(0, 200, 100))
-def test_a_single_use_query_has_no_push_after_one_that_may_have_run(seed):
+def test_non_idempotent_request_is_not_retried_after_an_attempt_that_may_have_run(seed):
     for n in range(seed, seed + 100):
-        pushes, ran, lines = history(n, Idempotency.ONCE)
-        assert not ran or pushes[-1] == ran[0], (n, pushes, ran)
-        assert not ran or lines == ["q1 error"], (n, lines)
-
-
-def test_an_answer_that_began_before_a_purge_and_ends_long_after_it_is_not_kept():
-    """river-booking, calm+mass: patience of 8.1 s, a purge is heeded for 7 s; the copy kept was served 52 s too old."""
-    b = Bench(request_classes=[request_class(timeout_s=8.1)], machine=Bounds(192, 256, 1e6, 1e7))
-    b.ask("k", left=8.1, at=1.0)
-    b.end(1, "miss", at=1.01)
-    b.call(ObjectsPurged(0, 0.0, ""), at=1.1)
-    b.end(1, "satisfied", took=7.9, at=8.9, copy=(-50.0, 10_000))
-    b.call(ObjectsPurged(5, 0.0, ""), at=9.0)  # another group's: what is known of the first stays
-    assert b.trace.kept == set()
-    b.ask("k", left=8.1, at=9.1)
-    b.end(2, "miss", at=9.11)
-    b.end(2, "satisfied", took=0.3, at=9.5, copy=(9.2, 10_000))
-    assert len(b.trace.kept) == 1
-
-
-def test_a_purge_told_while_its_object_is_forgotten_outlasts_the_answer():
-    """The object is forgotten in between for want of memory: the open query's own is told all the same."""
-    b = Bench(request_classes=[request_class(timeout_s=8.1)], machine=Bounds(192, 256, 1e6, 1e7))
-    b.ask("k", left=8.1, at=1.0)
-    b.end(1, "miss", at=1.01)
-    b.router.objects.states.clear()
-    b.call(ObjectsPurged(0, 0.0, ""), at=1.1)
-    b.call(ObjectsPurged(5, 0.0, ""), at=8.8)
-    b.end(1, "satisfied", took=7.9, at=8.9, copy=(-50.0, 10_000))
-    assert b.trace.kept == set()
+        attempt_times, first_run, lines = run_request(n, Idempotency.ONCE)
+        assert not first_run or attempt_times[-1] == first_run[0], (n, attempt_times, first_run)
+        assert not first_run or lines == ["q1 error"], (n, lines)
+
+
+def test_response_requested_before_a_purge_and_received_long_after_it_is_not_kept():
+    """Case river-booking, calm+mass: a timeout of 8.1 s, while a purge is enforced for 7 s.
+
+    The copy that was kept was served 52 s too old.
+    """
+    bench = Bench(request_classes=[request_class(timeout_s=8.1)], machine=Bounds(192, 256, 1e6, 1e7))
+    bench.ask("k", left=8.1, at=1.0)
+    bench.end(1, "miss", at=1.01)
+    bench.call(ObjectsPurged(0, 0.0, ""), at=1.1)
+    bench.end(1, "satisfied", took=7.9, at=8.9, copy=(-50.0, 10_000))
+    bench.call(ObjectsPurged(5, 0.0, ""), at=9.0)  # purge of another group; the first purge is still known
+    assert bench.trace.kept == set()
+    bench.ask("k", left=8.1, at=9.1)
+    bench.end(2, "miss", at=9.11)
+    bench.end(2, "satisfied", took=0.3, at=9.5, copy=(9.2, 10_000))
+    assert len(bench.trace.kept) == 1
+
+
+def test_purge_after_the_object_state_was_evicted_applies_to_an_open_request():
+    """The table evicts the object for lack of memory, but the open request still refers to its state."""
+    bench = Bench(request_classes=[request_class(timeout_s=8.1)], machine=Bounds(192, 256, 1e6, 1e7))
+    bench.ask("k", left=8.1, at=1.0)
+    bench.end(1, "miss", at=1.01)
+    bench.router.objects.states.clear()
+    bench.call(ObjectsPurged(0, 0.0, ""), at=1.1)
+    bench.call(ObjectsPurged(5, 0.0, ""), at=8.8)
+    bench.end(1, "satisfied", took=7.9, at=8.9, copy=(-50.0, 10_000))
+    assert bench.trace.kept == set()
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,69 +1,72 @@
-"""The ordinary path: home, holders, sibling fills, parents, sub-ranges."""
+"""Tests of the ordinary request path: home, holders, sibling fills, parents, sub-ranges."""
 
 from helpers import Bench, request_class
 
 from brookhinge.decisions.beacon_rings import BeaconRings
 
 
-def test_home_then_holder():
-    """The home fills from the parent hashed from the object, and is asked again as its holder."""
-    b = Bench()
-    assert b.serve("a") + b.serve("b") + b.serve("a", note=1) == [
+def test_home_fills_from_parent_and_is_then_the_holder():
+    """The home fills from the parent hashed from the object. Later requests go to it as the holder."""
+    bench = Bench()
+    assert bench.serve("a") + bench.serve("b") + bench.serve("a", note=1) == [
         "q1 push 21 from 12 rank 1",
         "q2 push 22 from 11 rank 1",
         "q3 push 21 from 12 rank 2",
     ]
 
 
-def in_demand(b):
-    """Others asked for once, then 'a' twice: its next query finds it at utility 1.5."""
+def put_in_demand(bench):
+    """Request seven other objects once and 'a' twice, so that its next request finds a replication utility of 1.5."""
     for key in "bcdefgh":
-        b.serve(key)
-    return b.serve("a") + b.serve("a")
+        bench.serve(key)
+    return bench.serve("a") + bench.serve("a")
 
 
-def test_object_in_demand_gets_a_sibling_copy_and_queries_spread():
-    b = Bench()
-    assert in_demand(b) + [line for _ in range(4) for line in b.serve("a")] == [
+def test_object_in_demand_gets_a_replica_and_requests_are_spread():
+    bench = Bench()
+    assert put_in_demand(bench) + [line for _ in range(4) for line in bench.serve("a")] == [
         "q8 push 21 from 12 rank 1",
         "q9 push 21 from 12 rank 2",
-        "q10 push 22 from 21 rank 2 held",  # utility above 1: the next sorted cache, from the holder
-        "q11 push 22 from 12 rank 2",  # two holders are half of four caches: spread, no more copies
+        "q10 push 22 from 21 rank 2 held",  # utility above 1: the next cache in order fills from the holder
+        "q11 push 22 from 12 rank 2",  # two holders are half of the four caches: no further replicas
         "q12 push 22 from 12 rank 2",
         "q13 push 21 from 12 rank 2",
     ]
 
 
-def test_failed_sibling_fill_retries_home():
-    b = Bench()
-    in_demand(b)
-    assert b.ask("a") + b.end(b.next, "miss", note=8) == [
+def test_failed_sibling_fill_is_retried_at_the_home():
+    bench = Bench()
+    put_in_demand(bench)
+    assert bench.ask("a") + bench.end(bench.next, "miss", note=8) == [
         "q10 push 22 from 21 rank 2 held",
         "q10 push 21 from 12 rank 2",
     ]
 
 
-def test_no_siblings_allowed_no_parents_listed():
-    b = Bench(siblings="none", parents=())
-    in_demand(b)
-    assert b.ask("a") == ["q10 push 21 from 1 rank 2"]
+def test_without_sibling_fills_and_parents_the_origin_is_the_source():
+    bench = Bench(siblings="none", parents=())
+    put_in_demand(bench)
+    assert bench.ask("a") == ["q10 push 21 from 1 rank 2"]
 
 
-def test_next_parent_then_origin_on_failure():
-    b = Bench()
-    assert b.ask("a") + b.end(1, "full") + b.end(1, "full") + b.end(1, "full") == [
+def test_failed_fills_go_to_the_next_parent_then_to_the_origin():
+    bench = Bench()
+    assert bench.ask("a") + bench.end(1, "full") + bench.end(1, "full") + bench.end(1, "full") == [
         "q1 push 21 from 12 rank 1",
         "q1 push 21 from 11 rank 1",
         "q1 push 21 from 1 rank 1",
-        "q1 push 21 from 21 rank 1",  # another router may have had it filled meanwhile
+        "q1 push 21 from 21 rank 1",  # lookup only: another router may have had it filled meanwhile
     ]
 
 
-def test_sub_ranges_follow_load():
-    """PAPER 2.3, figure 2-B: a surplus moves from the end of a range to the next point, never past it."""
+def test_sub_ranges_follow_the_load():
+    """Section 2.3, figure 2-B of the paper: surplus load moves from the end of a sub-range to the next beacon point.
+
+    An end never moves past the neighboring sub-range.
+    """
     rings = BeaconRings()
     rings.assign([0, 1])
-    points, ends, loads = rings.rings[0]
+    _, ends, loads = rings.rings[0]
     for irh, load in (
         (0, 135),
         (100, 175),
@@ -75,29 +78,35 @@
         (900, 175),
     ):
         loads[irh] = load
-    rings.rebalance(lambda c: 1.0)
+    rings.rebalance(lambda server: 1.0)
     assert ends == [301, 1000]
     rings.rings[0][2][999] = 100.0
-    rings.rebalance(lambda c: 1.0)
+    rings.rebalance(lambda server: 1.0)
     assert ends == [999, 1000]
 
 
-def test_a_cycle_lasts_until_the_counts_tell():
-    """depot-fare-cache-later big-1: a few counts each sent the routers' ranges apart, and objects got many homes."""
-    b = Bench()
+def test_rebalancing_waits_for_enough_requests():
+    """Case depot-fare-cache-later big-1: rebalancing on a few requests each made the sub-ranges of the routers differ.
+
+    Objects then had many homes.
+    """
+    bench = Bench()
     for i in range(999):
-        b.serve(f"k{i % 50}", at=i / 90)
-    assert b.now > 10.0 and [ends for _, ends, _ in b.router.rings.rings] == [[500, 1000], [500, 1000]]
-    b.serve("k49", at=11.1)
-    assert [ends for _, ends, _ in b.router.rings.rings] == [[530, 1000], [300, 1000]]
+        bench.serve(f"k{i % 50}", at=i / 90)
+    assert bench.now > 10.0 and [ends for _, ends, _ in bench.router.rings.rings] == [
+        [500, 1000],
+        [500, 1000],
+    ]
+    bench.serve("k49", at=11.1)
+    assert [ends for _, ends, _ in bench.router.rings.rings] == [[530, 1000], [300, 1000]]
 
 
-def test_one_cache_and_none():
+def test_route_with_one_cache_and_with_none():
     assert Bench(caches=(21,)).ask("a") == ["q1 push 21 from 12 rank 1"]
     assert Bench(caches=()).ask("a") == ["q1 nack"]
     assert Bench(caches=(), direct=True).ask("a") == ["q1 push 12 from 12 rank 0"]
 
 
-def test_ageing_copies_are_renewed():
-    b = Bench(request_classes=[request_class(fresh_s=5.0, stale_s=10.0)])
-    assert b.ask("a") == ["q1 push 21 from 12 rank 1 age<5.000 renew"]
+def test_aging_copies_are_renewed():
+    bench = Bench(request_classes=[request_class(fresh_s=5.0, stale_s=10.0)])
+    assert bench.ask("a") == ["q1 push 21 from 12 rank 1 age<5.000 renew"]
