--- a/brookhinge/decisions/eligibility.py
+++ b/brookhinge/decisions/eligibility.py
@@ -75,7 +75,7 @@
                 server,
                 now=now,
                 started_at=started_at,
-                power=self._throughput.power(server, now),
+                warm_capacity=self._throughput.warm_capacity(server, now),
                 work=work,
                 largest_s=self._statistics.largest_transfer_s(),
                 rng=self._chance,
@@ -132,8 +132,8 @@
             started_at = self._endpoints.warming_since[server]
             limit = self._concurrency.current_limit(server)
             if budget.is_limited(at, started_at):
-                power = self._throughput.power(server, now)
-                rate = budget.fleet_rate(at, started_at, power, largest_s)
+                warm_capacity = self._throughput.warm_capacity(server, now)
+                rate = budget.fleet_rate(at, started_at, warm_capacity, largest_s)
                 limit = min(limit, rate * budget.share(server, started_at))
             total += limit
         return total
--- a/brookhinge/decisions/mechanisms.py
+++ b/brookhinge/decisions/mechanisms.py
@@ -161,8 +161,8 @@
         if budget is None or not budget.is_limited(now, self.endpoints.warming_since[server_index]):
             return None
         mean_s = self.statistics.mean_transfer_s()
-        power = self.throughput.power(server_index, self.now)
-        capacity = budget.capacity(now, self.endpoints.warming_since[server_index], power)
+        warm_capacity = self.throughput.warm_capacity(server_index, self.now)
+        capacity = budget.capacity(now, self.endpoints.warming_since[server_index], warm_capacity)
         calls = budget.overload_work(capacity) / mean_s
         return rules.slow_start_bound(calls) * mean_s, budget.start.window_s
 
--- a/brookhinge/decisions/slow_start.py
+++ b/brookhinge/decisions/slow_start.py
@@ -51,28 +51,28 @@
         """Return this router's share of the work that all routers may send to a server."""
         return 1.0 / self.routers
 
-    def capacity(self, now: float, started_at: float, power: float, lag_s: float = 0.0) -> float:
+    def capacity(self, now: float, started_at: float, warm_capacity: float, lag_s: float = 0.0) -> float:
         """Return how many concurrent transfers a server could handle `lag_s` seconds ago.
 
-        `power` is the number that it handles when warm.
+        `warm_capacity` is the number that it handles when warm.
         """
         age = max(0.0, now - started_at - lag_s)
         share = self.start.initial_share
-        return (share + (1.0 - share) * min(1.0, age / self.start.warm_up_s)) * power
+        return (share + (1.0 - share) * min(1.0, age / self.start.warm_up_s)) * warm_capacity
 
     def overload_work(self, capacity: float) -> float:
         """Return the mean transfer seconds per window that overload a server, without random variation."""
         return self.start.overload_multiple * capacity * self.start.window_s
 
     def fleet_limits(
-        self, now: float, started_at: float, power: float, largest_s: float
+        self, now: float, started_at: float, warm_capacity: float, largest_s: float
     ) -> tuple[float, float]:
         """Return the transfer seconds that all routers together may send a server, per second and per window.
 
         `largest_s` is the transfer time of the class with the largest objects. It scales the margin for
         random arrivals, since work arrives in units of up to that size.
         """
-        capacity = self.capacity(now, started_at, power, self.start.window_s)
+        capacity = self.capacity(now, started_at, warm_capacity, self.start.window_s)
         overload = self.overload_work(capacity)
         deviations = RATE_DEVIATIONS
         root = (deviations**2 * largest_s + 4.0 * overload) ** 0.5 - deviations * largest_s**0.5
@@ -80,9 +80,9 @@
         rate = min(MAX_LOAD * capacity, mean / self.start.window_s)
         return rate, max(mean, overload - WINDOW_DEVIATIONS * (overload * largest_s) ** 0.5)
 
-    def fleet_rate(self, now: float, started_at: float, power: float, largest_s: float) -> float:
+    def fleet_rate(self, now: float, started_at: float, warm_capacity: float, largest_s: float) -> float:
         """Return the transfer seconds per second that all routers together may send to a server."""
-        return self.fleet_limits(now, started_at, power, largest_s)[0]
+        return self.fleet_limits(now, started_at, warm_capacity, largest_s)[0]
 
     def forget_credit(self, server: int, now: float) -> None:
         """Reset the credit of a server that has just lost its copies: no earlier credit may be used."""
@@ -95,7 +95,7 @@
         *,
         now: float,
         started_at: float | None,
-        power: float,
+        warm_capacity: float,
         work: float,
         largest_s: float,
         rng: Random,
@@ -108,7 +108,7 @@
         """
         if not self.is_limited(now, started_at):
             return True
-        rate, window_work = self._own_limits(server, now, started_at, power, largest_s)
+        rate, window_work = self._own_limits(server, now, started_at, warm_capacity, largest_s)
         max_credit = MAX_CREDIT_WINDOWS * rate * self.start.window_s
         credit = self._collect(server, now, rate, max_credit)
         if reserve > 0.0 and credit < reserve * max_credit:
@@ -132,11 +132,11 @@
         """
 
     def _own_limits(
-        self, server: int, now: float, started_at: float, power: float, largest_s: float
+        self, server: int, now: float, started_at: float, warm_capacity: float, largest_s: float
     ) -> tuple[float, float]:
         """Return this router's share of the fleet limits, per second and per window."""
         share = self.share(server, started_at)
-        rate, window_work = self.fleet_limits(now, started_at, power, largest_s)
+        rate, window_work = self.fleet_limits(now, started_at, warm_capacity, largest_s)
         return share * rate, share * window_work
 
     def _collect(self, server: int, now: float, rate: float, max_credit: float) -> float:
--- a/brookhinge/decisions/throughput.py
+++ b/brookhinge/decisions/throughput.py
@@ -6,7 +6,7 @@
 from brookhinge.decisions.slow_start import SlowStartBudget
 
 AVERAGING_S = 10.0
-MIN_POWER = 1.0  # concurrent transfers
+MIN_WARM_CAPACITY = 1.0  # concurrent transfers
 
 
 class ThroughputEstimate:
@@ -40,7 +40,7 @@
         """Return a server's weight, or 0 if weights are not capacities."""
         return self._weights_known * self._endpoints.weight[server]
 
-    def power(self, server: int, now: float) -> float:
+    def warm_capacity(self, server: int, now: float) -> float:
         """Return the concurrent transfers of a warm server: its weight, or a low estimate from its peers."""
         weight = self._endpoints.weight[server]
         if self._weights_known and weight > 0:
@@ -50,7 +50,8 @@
         # never less than the server-seconds of the current servers.
         total, server_seconds, present_server_seconds = self._recent_work(role, now)
         return max(
-            MIN_POWER, total / max(server_seconds, present_server_seconds) * self._slow_start[role].routers
+            MIN_WARM_CAPACITY,
+            total / max(server_seconds, present_server_seconds) * self._slow_start[role].routers,
         )
 
     def _recent_work(self, role: ServerRole, now: float) -> tuple[float, float, float]:
--- a/brookhinge/limits/shared.py
+++ b/brookhinge/limits/shared.py
@@ -50,10 +50,12 @@
             self.asked[server] = self.asked.get(server, 0.0) + work
         self._refused_at = None if is_admitted else now
 
-    def settle(self, server: int, *, now: float, started_at: float, power: float, largest_s: float) -> None:
+    def settle(
+        self, server: int, *, now: float, started_at: float, warm_capacity: float, largest_s: float
+    ) -> None:
         """Save what came up to now, at the quota that held till now."""
         if server in self.credited_at:
-            rate = self.fleet_rate(now, started_at, power, largest_s) * self.share(server, started_at)
+            rate = self.fleet_rate(now, started_at, warm_capacity, largest_s) * self.share(server, started_at)
             income = rate * (now - self.credited_at[server])
             self.credit[server] = self.credit.get(server, 0.0) + income
             self.credited_at[server] = now
@@ -126,9 +128,15 @@
         if server_index is not None and kind != CONCURRENCY:
             since = self.endpoints.warming_since[server_index]
             if limit.is_warming_up(self.now, since):
-                power = self.throughput.power(server_index, self.now)
+                warm_capacity = self.throughput.warm_capacity(server_index, self.now)
                 largest_s = self.statistics.largest_transfer_s()
-                limit.settle(server_index, now=self.now, started_at=since, power=power, largest_s=largest_s)
+                limit.settle(
+                    server_index,
+                    now=self.now,
+                    started_at=since,
+                    warm_capacity=warm_capacity,
+                    largest_s=largest_s,
+                )
         if server_index is not None and quota is not None:
             limit.quotas[server_index] = started_at, quota
         else:
@@ -170,6 +178,6 @@
     def _fleet_rate(self, budget: SlowStartBudget, server: int, now: float) -> float:
         if not self._is_limited(budget, server, now):
             return 0.0
-        power = self.throughput.power(server, self.now)
+        warm_capacity = self.throughput.warm_capacity(server, self.now)
         since = self.endpoints.warming_since[server]
-        return budget.fleet_rate(now, since, power, self.statistics.largest_transfer_s())
+        return budget.fleet_rate(now, since, warm_capacity, self.statistics.largest_transfer_s())
--- a/tests/crossings/test_cold_sum.py
+++ b/tests/crossings/test_cold_sum.py
@@ -16,7 +16,14 @@
 
 
 def max_excess_requests(
-    routers, seed, works, power=6.0, unequal=False, idle_s=0.0, restart_at=None, budget_class=SlowStartBudget
+    routers,
+    seed,
+    works,
+    warm_capacity=6.0,
+    unequal=False,
+    idle_s=0.0,
+    restart_at=None,
+    budget_class=SlowStartBudget,
 ):
     """Return by how many requests the worst window exceeds the bound during one slow start.
 
@@ -29,7 +36,7 @@
     shares = [1.0 / (i + 1) if unequal else 1.0 for i in range(routers)]
     mean_work, requests = sum(works) / len(works), []
     for i, share in enumerate(shares):
-        now, rate = idle_s, 6.0 * power / mean_work * share / sum(shares)
+        now, rate = idle_s, 6.0 * warm_capacity / mean_work * share / sum(shares)
         while (now := now + rng.expovariate(rate)) < START.warm_up_s:
             requests.append((now, i, rng.choice(works)))
     for budget in budgets:
@@ -41,7 +48,13 @@
             for budget in budgets:
                 budget.credited_at[0], budget.credit[0] = now, 0.0
         admitted = budgets[i].admits(
-            0, now=now, started_at=0.0, power=power, work=work, largest_s=max(works), rng=router_rngs[i]
+            0,
+            now=now,
+            started_at=0.0,
+            warm_capacity=warm_capacity,
+            work=work,
+            largest_s=max(works),
+            rng=router_rngs[i],
         )
         if admitted:
             sent.append((now, work))
@@ -50,7 +63,7 @@
                 window_work -= sent.pop(0)[1]
             capacity = (
                 START.initial_share + (1.0 - START.initial_share) * min(1.0, now / START.warm_up_s)
-            ) * power
+            ) * warm_capacity
             allowed = START.overload_multiple * capacity * START.window_s / mean_work
             worst = max(worst, window_work / mean_work - allowed - 2.0 * allowed**0.5 - 2.0)
     assert worst > -1e9
@@ -107,7 +120,7 @@
     what they can handle.
     """
 
-    def estimated_power(gone):
+    def estimated_capacity(gone):
         bench = Bench(weight=0.0, caches=range(21, 31), routers=8)
         for step in range(200):
             bench.router.now = bench.now = bench.now + 0.1
@@ -117,16 +130,16 @@
             bench.row(50 + n, born=bench.now) for n in range(gone)
         ]
         bench.call(EndpointsListed(False, rows))
-        return bench.router.throughput.power(bench.router.endpoints.index[30], bench.now)
+        return bench.router.throughput.warm_capacity(bench.router.endpoints.index[30], bench.now)
 
     # 0.05 s of work per 0.1 s from each of 8 routers: 4.0
-    assert 3.0 < estimated_power(0) <= estimated_power(6) < 4.1
+    assert 3.0 < estimated_capacity(0) <= estimated_capacity(6) < 4.1
 
 
 def test_only_answered_fills_raise_the_estimated_capacity_of_a_parent():
     """During congestion, the last warm parent completes less than it is sent; only the former is its capacity."""
 
-    def estimated_power(result):
+    def estimated_capacity(result):
         bench = Bench(weight=0.0, routers=40, tells="all")
         for part in range(60):
             bench.ask("k", part=part)
@@ -135,6 +148,6 @@
                     bench.router.requests[bench.next].source == bench.router.requests[bench.next].server
                 )
                 bench.end(bench.next, "miss" if is_lookup else result, took=0.3, note=0 if is_lookup else 3)
-        return bench.router.throughput.power(bench.router.endpoints.index[11], bench.now)
+        return bench.router.throughput.warm_capacity(bench.router.endpoints.index[11], bench.now)
 
-    assert estimated_power("timeout") == 1.0 < estimated_power("satisfied")
+    assert estimated_capacity("timeout") == 1.0 < estimated_capacity("satisfied")
--- a/tests/limits/test_shared.py
+++ b/tests/limits/test_shared.py
@@ -104,10 +104,10 @@
     budget.own_share = 1.0
     budget.credited_at[0], budget.credit[0] = 0.0, 0.0
     rate = budget.fleet_rate(2.0, 0.0, 4.0, 0.1)
-    budget.settle(0, now=2.0, started_at=0.0, power=4.0, largest_s=0.1)
+    budget.settle(0, now=2.0, started_at=0.0, warm_capacity=4.0, largest_s=0.1)
     budget.quotas[0] = 0.0, 0.75
     assert round(budget.credit[0] / rate, 6) == 2.0 / 8
-    budget.settle(0, now=3.0, started_at=0.0, power=4.0, largest_s=0.1)
+    budget.settle(0, now=3.0, started_at=0.0, warm_capacity=4.0, largest_s=0.1)
     assert round(budget.credit[0] - rate / 4, 3) == round(0.75 * budget.fleet_rate(3.0, 0.0, 4.0, 0.1), 3)
 
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -258,15 +258,15 @@
     """Hunt h99c0b0 (depot-fare-cache-later): in a jam the last warm caches were sent many times what they could do;
     taken for their power, it let cold peers be pushed over."""
 
-    def power(result):
+    def warm_capacity(result):
         b = Bench(weight=0.0, routers=40)
         for part in range(60):
             b.ask("k", part=part)
             while b.next in b.router.requests:
                 b.end(b.next, result, took=0.3)
-        return b.router.throughput.power(b.router.endpoints.index[21], b.now)
+        return b.router.throughput.warm_capacity(b.router.endpoints.index[21], b.now)
 
-    assert power("timeout") == 1.0 < power("satisfied")
+    assert warm_capacity("timeout") == 1.0 < warm_capacity("satisfied")
 
 
 def test_a_newcomer_takes_the_place_of_a_server_long_gone():
@@ -452,16 +452,22 @@
     """A router with few queries was refused its first one at each server that started, and a server that started twice met
     all that had been saved since its first start at once."""
     b = Bench(routers=4)
-    budget, power = b.router.slow_start["cache"], 4.0
+    budget, warm_capacity = b.router.slow_start["cache"], 4.0
 
     def told(now, born):
         b.router.process(now, [EndpointsListed(False, [b.row(1, "ready", born=born)])], b)
         c = b.router.endpoints.index[1]
-        return c, budget.fleet_rate(now, born, power, 0.1) * budget.share(c, born)
+        return c, budget.fleet_rate(now, born, warm_capacity, 0.1) * budget.share(c, born)
 
     def take(now, born):
         return budget.admits(
-            c, now=now, started_at=born, power=power, work=0.1, largest_s=0.1, rng=b.router.chance
+            c,
+            now=now,
+            started_at=born,
+            warm_capacity=warm_capacity,
+            work=0.1,
+            largest_s=0.1,
+            rng=b.router.chance,
         )
 
     c, rate = told(10.0, 9.9)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -109,12 +109,13 @@
     )
     for i in range(40):
         b.serve("a", part=i, at=i / 4)
-    power = [
-        round(b.router.throughput.power(b.router.endpoints.index[server], b.now), 1) for server in (11, 21)
+    warm_capacity = [
+        round(b.router.throughput.warm_capacity(b.router.endpoints.index[server], b.now), 1)
+        for server in (11, 21)
     ]
     b.call(EndpointsListed(False, [b.row(p, kind="parent", zone=0, born=9.0) for p in (11, 12, 13)]))
-    power.append(round(b.router.throughput.power(b.router.endpoints.index[11], b.now), 1))
-    assert power == [1.0, 3.7, 1.0]
+    warm_capacity.append(round(b.router.throughput.warm_capacity(b.router.endpoints.index[11], b.now), 1))
+    assert warm_capacity == [1.0, 3.7, 1.0]
 
 
 def test_purged_object_and_group():
