--- a/brookhinge/decisions/class_statistics.py
+++ b/brookhinge/decisions/class_statistics.py
@@ -22,8 +22,10 @@
 
     def __init__(self, request_classes: Sequence[RequestClass]) -> None:
         self._classes = request_classes
-        self._total_utility = sum(one.utility for one in request_classes)
-        self.transfer_s = [one.latency_objective_s or DEFAULT_TRANSFER_S for one in request_classes]
+        self._total_utility = sum(request_class.utility for request_class in request_classes)
+        self.transfer_s = [
+            request_class.latency_objective_s or DEFAULT_TRANSFER_S for request_class in request_classes
+        ]
         self.samples = [PRIOR_SAMPLES] * len(request_classes)
         self.response_s = [0.0] * len(request_classes)
         self.fill_utility = [1.0] * len(request_classes)
--- a/brookhinge/decisions/concurrency.py
+++ b/brookhinge/decisions/concurrency.py
@@ -138,8 +138,9 @@
     def has_capacity(self, server: int, in_flight: int, share: float, weight: float = 0.0) -> bool:
         """Return whether one more request may be in flight, for a request that may use `share` of the limit.
 
-        A known `weight`, the concurrent transfers at full speed, bounds the limit from above and below. If it
-        is 0, the limit starts low and is raised by probing.
+        A known `weight`, the concurrent transfers at full speed, bounds the limit from above and below, and
+        the limit may start high since congestion shows at once. If the weight is 0, the limit starts low and
+        is raised by probing.
         """
         limit = self.limit.setdefault(server, INITIAL_LIMIT if weight or server == UPLINK else UNKNOWN_LIMIT)
         maximum = weight * (MIN_WEIGHT_SHARE + WEIGHT_SHARE_RANGE * self.share(server)) or MAX_LIMIT
--- a/brookhinge/decisions/fault_attribution.py
+++ b/brookhinge/decisions/fault_attribution.py
@@ -45,7 +45,7 @@
         parent_outliers: OutlierEjector,
         notes: NoteDetail,
     ) -> None:
-        """`notes` is the detail that cache servers report about how they answered."""
+        """Take the other mechanisms, and the detail that cache servers report in their response notes."""
         self._endpoints = endpoints
         self._concurrency = concurrency
         self._cache_outliers = cache_outliers
--- a/brookhinge/decisions/slow_start.py
+++ b/brookhinge/decisions/slow_start.py
@@ -5,7 +5,7 @@
 from brookhinge.decisions.settings import SlowStart
 
 MAX_LOAD = 1.5  # highest work rate as a multiple of the current capacity
-RATE_DEVIATIONS = 2.5  # standard deviations of random arrivals between the mean load and overload
+RATE_DEVIATIONS = 2.5  # standard deviations of random arrivals from the mean load to overload
 WINDOW_DEVIATIONS = 0.5  # the same margin for the work that may be sent in one window
 WINDOW_SLICES = 16
 MAX_CREDIT_WINDOWS = 4.0
@@ -110,7 +110,7 @@
             return True
         rate, window_work = self._own_limits(server, now, started_at, warm_capacity, largest_s)
         max_credit = MAX_CREDIT_WINDOWS * rate * self.start.window_s
-        credit = self._collect(server, now, rate, max_credit)
+        credit = self._collect_credit(server, now, rate, max_credit)
         if reserve > 0.0 and credit < reserve * max_credit:
             self.credit[server] = credit
             return False
@@ -139,7 +139,7 @@
         rate, window_work = self.fleet_limits(now, started_at, warm_capacity, largest_s)
         return share * rate, share * window_work
 
-    def _collect(self, server: int, now: float, rate: float, max_credit: float) -> float:
+    def _collect_credit(self, server: int, now: float, rate: float, max_credit: float) -> float:
         """Add the credit earned since the last call and repay debt from it; return the credit."""
         debt = self.debt.get(server, 0.0)
         earned = rate * (now - self.credited_at.get(server, now))
--- a/brookhinge/simulator_adapter/codec.py
+++ b/brookhinge/simulator_adapter/codec.py
@@ -1,7 +1,7 @@
 """Codec of the simulator's protocol: decodes events to router messages and encodes decisions as lines.
 
-Only this package uses the words of that protocol. Decoding converts clock times to seconds since the start of
-the instance and request ids to small integers; encoding converts both back.
+Only this package knows the event and action names of that protocol. Decoding converts clock times to seconds
+since the start of the instance and request ids to small integers; encoding converts both back.
 """
 
 from collections.abc import Callable
@@ -43,7 +43,7 @@
 }
 SERVER_STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
 LIST_IS_COMPLETE = {"INCREMENTAL": False, "FULL": True, "SAVED": True}
-FAILED_LIST = "FAILED"  # a list without information
+FAILED_LIST = "FAILED"  # such a list is ignored
 UNUSED_EVENTS = ("PEER", "RING")
 UNKNOWN_ZONE = -1
 
@@ -175,13 +175,13 @@
 
     # events
 
-    def decode(self, word: str, line: str) -> None:
-        """Decode an event line whose first word is `word`; raise WireError if it cannot be parsed."""
-        decoder = DECODERS.get(word)
+    def decode(self, event: str, line: str) -> None:
+        """Decode an event line named `event`; raise WireError if it cannot be parsed."""
+        decoder = DECODERS.get(event)
         if decoder is not None:
             decoder(self, line)
-        elif word not in UNUSED_EVENTS:
-            raise WireError(f"line {line!r}: expected an event, got {word!r}")
+        elif event not in UNUSED_EVENTS:
+            raise WireError(f"line {line!r}: expected an event, got {event!r}")
 
     def _decode_request(self, line: str) -> None:
         values = split_values(line, 10, "QUERY with ten values")
--- a/brookhinge/simulator_adapter/host.py
+++ b/brookhinge/simulator_adapter/host.py
@@ -43,18 +43,18 @@
         affected: dict[int, Instance] = {}
         current: int | None = None
         for line in lines:
-            word = line.partition(" ")[0]
-            if word == "ABOUT":
+            event = line.partition(" ")[0]
+            if event == "ABOUT":
                 current = read_int(
                     split_values(line, 1, "ABOUT with an instance number")[0], line, "an instance number"
                 )
-            elif word == "REGISTER":
+            elif event == "REGISTER":
                 self._read_list(line, lines)
             elif current is None:
                 raise WireError(f"line {line!r}: expected ABOUT before the events of an instance")
-            elif word == "BEGIN":
+            elif event == "BEGIN":
                 self.instances[current] = affected[current] = self._start(line, now_ns)
-            elif word == "DESTROY":
+            elif event == "DESTROY":
                 self.instances.pop(current, None)
                 affected.pop(current, None)
             else:
@@ -62,7 +62,7 @@
                 if instance is None:
                     raise WireError(f"line {line!r}: expected BEGIN first for instance {current}")
                 affected[current] = instance
-                instance.codec.decode(word, line)
+                instance.codec.decode(event, line)
         return affected
 
     def _read_list(self, line: str, lines: Iterator[str]) -> None:
