--- a/brookhinge/decisions/concurrency.py
+++ b/brookhinge/decisions/concurrency.py
@@ -99,9 +99,7 @@
         sample = self.congestion_samples.get(server)
         return (sample.transfer_s if sample else 0.0) >= evidence_s
 
-    def admits(
-        self, server: int, now: float, share: float, chance: Random, is_upstream: bool = False
-    ) -> bool:
+    def admits(self, server: int, now: float, share: float, rng: Random, is_upstream: bool = False) -> bool:
         """Whether congestion lets a request through: the longer responses take, the fewer go.
 
         `share` is the part of a limit that is open to the request.
@@ -112,7 +110,7 @@
         excess = self.congestion(server, now, default) - usual
         factor = UPLINK_SHEDDING_FACTOR if is_upstream else 1.0
         shed_probability = excess / (factor * SHEDDING_CONGESTION * share) * (1.0 - 1.0 / self.routers)
-        return shed_probability <= 0.0 or chance.random() >= shed_probability
+        return shed_probability <= 0.0 or rng.random() >= shed_probability
 
     def update_limit(self, server: int, now: float, ratio: float, in_flight: int) -> None:
         """Take a response: `ratio` is the shortest over its response time, 0 for one that was shed."""
--- a/brookhinge/decisions/eligibility.py
+++ b/brookhinge/decisions/eligibility.py
@@ -30,7 +30,7 @@
         parent_outliers: OutlierEjector,
         throughput: ThroughputEstimate,
         statistics: ClassStatistics,
-        chance: Random,
+        rng: Random,
     ) -> None:
         self._endpoints = endpoints
         self._slow_start = slow_start
@@ -39,7 +39,7 @@
         self._parent_outliers = parent_outliers
         self._throughput = throughput
         self._statistics = statistics
-        self._chance = chance
+        self._rng = rng
 
     def may_repeat(self, server: int, request: RequestState, now: float) -> bool:
         """Whether an attempt at a server could not be a second effect."""
@@ -78,7 +78,7 @@
                 power=self._throughput.power(server, now),
                 work=work,
                 largest_s=self._statistics.largest_transfer_s(),
-                chance=self._chance,
+                rng=self._rng,
                 reserve=-SCHEDULED_BORROWING if request.is_scheduled else reserve,
             )
         budget.record_demand(server, now, work, is_admitted)
@@ -93,7 +93,7 @@
         weight = self._throughput.known_weight(server)
         if not self._concurrency.has_capacity(server, in_flight, share, weight):
             return False
-        return not in_flight or self._concurrency.admits(server, now, share, self._chance)
+        return not in_flight or self._concurrency.admits(server, now, share, self._rng)
 
     def current_holders(self, state: ObjectState, now: float) -> list[int]:
         """Return the caches remembered serving a kept copy.
--- a/brookhinge/decisions/endpoints.py
+++ b/brookhinge/decisions/endpoints.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from brookhinge.decisions.messages import Endpoint
-from brookhinge.decisions.rules import NEVER, SEND_STATE, event_time, known_event_time
+from brookhinge.decisions.rules import NEVER, READY_STATE, event_time, known_event_time
 
 # Seconds after which nothing sent to a server that is gone can still be in flight: its index may be given to
 # another.
@@ -88,13 +88,13 @@
     def is_ready_local_cache(self, server: int) -> bool:
         """Whether it is a ready cache of this router's zone."""
         is_local = self.role[server] is ServerRole.CACHE and self.zone[server] == self.own_zone
-        return is_local and self.state[server] == SEND_STATE
+        return is_local and self.state[server] == READY_STATE
 
     def _take(self, now: float, row: Endpoint) -> int:
         """Take one row; return its index."""
         server = self._index_of(now, row.server)
         is_other_start = self.started_at[server] != row.started_at
-        if row.state != SEND_STATE or is_other_start:  # left, drained or restarted: what it held is gone
+        if row.state != READY_STATE or is_other_start:  # left, drained or restarted: what it held is gone
             self.emptied_at[server] = now
         if is_other_start or server in self.newly_indexed:
             self.warming_since[server] = self._effective_start(now, row.started_at)
--- a/brookhinge/decisions/fill_planning.py
+++ b/brookhinge/decisions/fill_planning.py
@@ -42,7 +42,7 @@
         origin_breaker: OriginCircuitBreaker,
         statistics: ClassStatistics,
         routers_here: int,
-        chance: Random,
+        rng: Random,
     ) -> None:
         """`routers_here` is how many routers share the location's caches."""
         self.routers_here = routers_here
@@ -51,7 +51,7 @@
         self._concurrency = concurrency
         self._origin_breaker = origin_breaker
         self._statistics = statistics
-        self._chance = chance
+        self._rng = rng
 
     def plan(
         self,
@@ -108,7 +108,7 @@
         uplink_share = min(1.0, fair_share) ** 0.5
         if not self._concurrency.has_capacity(UPLINK, fills_in_flight, uplink_share):
             return None
-        is_admitted = self._concurrency.admits(source, now, fair_share**2, self._chance, is_upstream=True)
+        is_admitted = self._concurrency.admits(source, now, fair_share**2, self._rng, is_upstream=True)
         return source if is_admitted else None
 
     def _through_breaker(
@@ -123,7 +123,7 @@
             return FillPlan(_FROM_UPSTREAM, source)
         if self._endpoints.role[source] is ServerRole.PARENT and not request.parent_missed:
             return FillPlan(FillKind.UPSTREAM_CACHED, source)
-        if self._chance.random() < probability:
+        if self._rng.random() < probability:
             return FillPlan(_FROM_UPSTREAM, source)
         if request.request_class.stale_s <= 0 or request.is_lookup_only:
             return Refusal.ORIGIN_FAILING
--- a/brookhinge/decisions/final_responses.py
+++ b/brookhinge/decisions/final_responses.py
@@ -18,7 +18,7 @@
         """The final response, at once; the client is invited to repeat only where that can do no harm."""
         if self.respond_from_copy(request):
             return
-        if rules.may_invite_repeat(request.request_class, request.may_have_run):
+        if rules.may_invite_retry(request.request_class, request.may_have_run):
             self.sink.reject(request.request_id, self._retry_after_s(request), reason)
         else:
             self.sink.fail(request.request_id, reason)
@@ -41,7 +41,7 @@
     def _retry_after_s(self, request: RequestState) -> float:
         """Seconds after which to come back: a place in the retry schedule, where one can be told."""
         if self.retry_schedule is None or request.retry_client is None:
-            random_s = RETRY_AFTER_BASE_S + RETRY_AFTER_SPREAD_S * self.chance.random()
+            random_s = RETRY_AFTER_BASE_S + RETRY_AFTER_SPREAD_S * self.rng.random()
             return min(self.limits.max_retry_after_s, random_s)
         highest = max(one.utility for one in self.request_classes)
         return self.retry_schedule.reserve(
--- a/brookhinge/decisions/mechanisms.py
+++ b/brookhinge/decisions/mechanisms.py
@@ -65,7 +65,7 @@
         `machine` tells memory and link of the router; None keeps no copies. `retry_schedule` gives rejected
         clients a time to come back; None gives a short random one.
         """
-        self.chance = Random(seed)
+        self.rng = Random(seed)
         self.request_classes = request_classes
         self.limits = limits
         self.fill_policy = fill_policy
@@ -81,7 +81,7 @@
         self.purges = PurgeRecord(purge_settled_s)
         self.statistics = ClassStatistics(request_classes)
         self.origin_breaker = OriginCircuitBreaker()
-        self.retry_budget = RetryBudget(self.chance)
+        self.retry_budget = RetryBudget(self.rng)
         self.local_cache = LocalCache()
         if machine:
             self.local_cache = LocalCache(machine.memory_mb, machine.flow_bytes_s, machine.link_bytes_s)
@@ -116,7 +116,7 @@
             cache_outliers=self.cache_outliers,
             parent_outliers=self.parent_outliers,
             throughput=self.throughput,
-            chance=self.chance,
+            rng=self.rng,
             **shared,
         )
         self.selector = ServerSelector(
@@ -125,7 +125,7 @@
             objects=self.objects,
             eligibility=self.eligibility,
             siblings=self.fill_policy.siblings,
-            chance=self.chance,
+            rng=self.rng,
             **shared,
         )
         self.fill_planner = FillPlanner(
@@ -133,7 +133,7 @@
             eligibility=self.eligibility,
             origin_breaker=self.origin_breaker,
             routers_here=routers_here,
-            chance=self.chance,
+            rng=self.rng,
             **shared,
         )
         self.feedback = Feedback(
--- a/brookhinge/decisions/retry_budget.py
+++ b/brookhinge/decisions/retry_budget.py
@@ -15,9 +15,9 @@
 class RetryBudget:
     """Tokens saved for retries."""
 
-    def __init__(self, chance: Random) -> None:
+    def __init__(self, rng: Random) -> None:
         self.tokens = INITIAL_TOKENS
-        self._chance = chance
+        self._rng = rng
         self._earned_at = 0.0
 
     def earn(self, now: float, is_first: bool) -> None:
@@ -30,4 +30,4 @@
         """Whether a retry may be made; take its token. A part of one is enough by that chance."""
         saved = self.tokens
         self.tokens = max(0.0, saved - 1.0)
-        return self._chance.random() < saved
+        return self._rng.random() < saved
--- a/brookhinge/decisions/router.py
+++ b/brookhinge/decisions/router.py
@@ -285,7 +285,7 @@
             plan,
             retention=_retention(request),
             max_age_s=self._max_age_s(request),
-            renews=request.request_class.fresh_s > 0,
+            revalidates=request.request_class.fresh_s > 0,
         )
 
     def _route_directly(self, request: RequestState) -> None:
@@ -305,7 +305,9 @@
             return self.refuse(request, Refusal.NO_SERVER)
         max_age_s = self.purges.max_age_s(request.object, request.request_class, self.now, accept_stale=False)
         plan = FillPlan(FillKind.NONE, server)
-        return self._send(request, server, plan, retention=Retention.NONE, max_age_s=max_age_s, renews=False)
+        return self._send(
+            request, server, plan, retention=Retention.NONE, max_age_s=max_age_s, revalidates=False
+        )
 
     def _max_age_s(self, request: RequestState) -> float:
         """The oldest copy that a cache may answer with: a stale one while fills earn less."""
@@ -320,7 +322,7 @@
         *,
         retention: Retention,
         max_age_s: float,
-        renews: bool,
+        revalidates: bool,
     ) -> None:
         """Note an attempt and forward it."""
         now = self.now
@@ -342,7 +344,14 @@
         deadline = now + attempt_timeout_s(request, now, self.limits.max_attempts)
         cached_only = plan.kind.is_cached_only
         attempt = Attempt(
-            ids[server], deadline, ids[plan.source], retention, max_age_s, joins_fill, cached_only, renews
+            ids[server],
+            deadline,
+            ids[plan.source],
+            retention,
+            max_age_s,
+            joins_fill,
+            cached_only,
+            revalidates,
         )
         self.sink.forward(request.request_id, attempt)
 
--- a/brookhinge/decisions/rules.py
+++ b/brookhinge/decisions/rules.py
@@ -11,7 +11,7 @@
 from brookhinge.decisions.settings import DeduplicationScope, Idempotency, RequestClass
 
 NEVER = -1e9  # a time before any other
-SEND_STATE = "ready"  # the only state of a server that takes new work, as server or as source of a fill
+READY_STATE = "ready"  # the only state of a server that takes new work, as server or as source of a fill
 CONNECT_MARGIN_S = 0.1  # an attempt may wait so long for its connection: a key is remembered for that less
 DEADLINE_SLACK_S = 0.15  # by how much the deadline passed to a server may exceed what the client has left
 # A stamp of an event told just now is believed so far back. Lists and purges may be told later than that:
@@ -59,7 +59,7 @@
 
 
 # Reasons that pass as soon as what lies in the system has been read.
-UNREAD = frozenset((HeldBack.CLIENT_UNREAD, HeldBack.LIST_UNREAD, HeldBack.STALLED))
+UNREAD_INPUT = frozenset((HeldBack.CLIENT_UNREAD, HeldBack.LIST_UNREAD, HeldBack.STALLED))
 
 
 class CloseReason(enum.StrEnum):
@@ -132,7 +132,7 @@
 
 def may_send_to(state: str) -> bool:
     """Whether a server in that state, as last told, takes new work or may be the source of a fill."""
-    return state == SEND_STATE
+    return state == READY_STATE
 
 
 def may_repeat(request_class: RequestClass, ran: Ran | None, zone: int, cell: int, now: float) -> bool:
@@ -150,7 +150,7 @@
     return (is_same_group or scope is DeduplicationScope.ALL) and is_remembered
 
 
-def may_invite_repeat(request_class: RequestClass, ran: Ran | None) -> bool:
+def may_invite_retry(request_class: RequestClass, ran: Ran | None) -> bool:
     """Whether the final response may be a rejection, which invites the client to ask again."""
     if ran is None or request_class.idempotency is Idempotency.REPEATABLE:
         return True
@@ -163,7 +163,7 @@
     return reason in FORCED_CLOSES or not (has_open_query or has_unread_call)
 
 
-def deadline_is_honest(patience_s: float, left_s: float) -> bool:
+def may_pass_deadline(patience_s: float, left_s: float) -> bool:
     """Whether a server may be told that the router waits so long, of what its client has left."""
     return patience_s <= left_s + DEADLINE_SLACK_S
 
--- a/brookhinge/decisions/server_selection.py
+++ b/brookhinge/decisions/server_selection.py
@@ -45,7 +45,7 @@
         concurrency: ConcurrencyLimiter,
         statistics: ClassStatistics,
         siblings: SiblingFills,
-        chance: Random,
+        rng: Random,
     ) -> None:
         self._endpoints = endpoints
         self._rings = rings
@@ -54,7 +54,7 @@
         self._concurrency = concurrency
         self._statistics = statistics
         self._siblings = siblings
-        self._chance = chance
+        self._rng = rng
 
     def choose(self, request: RequestState, share: float, now: float) -> CacheChoice | None:
         """Return the cache for a request that has that share of a limit; None if no cache may take it."""
@@ -100,7 +100,7 @@
             load = {
                 server: (
                     endpoints.in_flight[server] / (endpoints.weight[server] or 1.0),
-                    self._chance.random(),
+                    self._rng.random(),
                 )
                 for server in holders
             }
--- a/brookhinge/decisions/sink.py
+++ b/brookhinge/decisions/sink.py
@@ -24,7 +24,7 @@
     max_age_s: float  # the oldest copy that will do; 0: as the request class has it
     joins_fill: bool  # it may wait for a fill of the same object that is under way
     cached_only: bool  # the source is asked for what it holds, it fetches nothing itself
-    renews: bool  # an aged copy is answered and renewed behind
+    revalidates: bool  # an aged copy is answered and renewed behind
 
 
 class DecisionSink(Protocol):
--- a/brookhinge/decisions/slow_start.py
+++ b/brookhinge/decisions/slow_start.py
@@ -96,7 +96,7 @@
         power: float,
         work: float,
         largest_s: float,
-        chance: Random,
+        rng: Random,
         reserve: float = 0.0,
     ) -> bool:
         """Return whether `work` seconds of transfer may go to a server now, and spends them if so.
@@ -121,7 +121,7 @@
         risk = max(0.0, min(work, credit, window_work - sum(risked.values())))
         risked[current] = risked.get(current, 0.0) + risk
         self.credit[server] = credit - risk
-        return chance.random() * work < risk
+        return rng.random() * work < risk
 
     def record_demand(self, server: int, now: float, work: float, is_admitted: bool) -> None:
         """Take note of work that was wanted of a server, admitted or not.
--- a/brookhinge/engine/decision_sink.py
+++ b/brookhinge/engine/decision_sink.py
@@ -121,7 +121,7 @@
             max_age_s=attempt.max_age_s,
             joins_fill=attempt.joins_fill,
             cached_only=attempt.cached_only,
-            revalidates=attempt.renews,
+            revalidates=attempt.revalidates,
             known_version=call.known_version,
             body=call.body,
             idempotency_key=call.idempotency_key,
@@ -135,7 +135,7 @@
         """
         request = self.owed(request_id)
         request_class = self.class_of(request)
-        if rules.may_invite_repeat(request_class, request.first_ran):
+        if rules.may_invite_retry(request_class, request.first_ran):
             self.responses.reject(request, retry_after_s, reason)
             return
         detail = f"a repeat of {request_class.idempotency} is invited"
--- a/brookhinge/engine/invariants.py
+++ b/brookhinge/engine/invariants.py
@@ -169,7 +169,7 @@
         if not rules.may_repeat(request_class, request.first_ran, facts.zone, facts.cell, now):
             detail = f"{request_class.idempotency}, it may have run at {request.first_ran}"
             return self.violated(Invariant.EFFECT_TWICE, detail)
-        if attempt.left_s <= 0.0 or not rules.deadline_is_honest(attempt.timeout_s, attempt.left_s):
+        if attempt.left_s <= 0.0 or not rules.may_pass_deadline(attempt.timeout_s, attempt.left_s):
             detail = f"{attempt.timeout_s:.3f} of {attempt.left_s:.3f} s"
             return self.violated(Invariant.DEADLINE, detail)
         return self.check_copy(now, request, attempt) or self.check_slow_start(now, attempt)
--- a/brookhinge/limits/shared.py
+++ b/brookhinge/limits/shared.py
@@ -13,7 +13,7 @@
 )
 from brookhinge.decisions.endpoints import ServerRole
 from brookhinge.decisions.messages import QuotasAssigned, RouterMessage
-from brookhinge.decisions.rules import SEND_STATE
+from brookhinge.decisions.rules import READY_STATE
 from brookhinge.decisions.settings import SlowStart
 from brookhinge.decisions.slow_start import SlowStartBudget
 
@@ -158,7 +158,7 @@
                 )
             budget.asked.clear()
         for server, peak in self.concurrency.peaks.items():
-            if endpoints.state[server] == SEND_STATE and peak > 0.0:
+            if endpoints.state[server] == READY_STATE and peak > 0.0:
                 rows.append((CONCURRENCY, endpoints.ids[server], endpoints.started_at[server], peak, 1.0))
         self.concurrency.peaks.clear()
         self._demand_told_at = now
--- a/brookhinge/net/upstream_connections.py
+++ b/brookhinge/net/upstream_connections.py
@@ -10,7 +10,7 @@
 
 from tornado.iostream import StreamClosedError
 
-from brookhinge.decisions.rules import UNREAD, AttemptResult, CloseReason, HeldBack
+from brookhinge.decisions.rules import UNREAD_INPUT, AttemptResult, CloseReason, HeldBack
 from brookhinge.engine.effects import CancelAttempt, RetireServer, SendAttempt
 from brookhinge.engine.endpoints import ServerInstance
 from brookhinge.engine.events import AttemptEnded, Event
@@ -194,7 +194,7 @@
         reason = HeldBack.LATE if is_late else self._hold_reason(effect)
         if reason is None:
             self._write_attempt(connection, effect, now)
-        elif reason in UNREAD:
+        elif reason in UNREAD_INPUT:
             self._note_hold(effect, reason)
             connection.waiting[client_request_id] = pending
             asyncio.get_running_loop().call_later(
--- a/brookhinge/simulator_adapter/codec.py
+++ b/brookhinge/simulator_adapter/codec.py
@@ -138,7 +138,7 @@
         options = (
             JOINS_FILL_BIT * attempt.joins_fill
             + CACHED_ONLY_BIT * attempt.cached_only
-            + RENEWS_BIT * attempt.renews
+            + RENEWS_BIT * attempt.revalidates
         )
         max_age_ns = max(1, int(attempt.max_age_s / NANOSECOND_S)) if attempt.max_age_s > 0 else 0
         deadline_ns = self._start_ns + int(attempt.deadline / NANOSECOND_S + 0.5)
--- a/brookhinge/verdicts/shared.py
+++ b/brookhinge/verdicts/shared.py
@@ -9,7 +9,7 @@
 
 from brookhinge.decisions.messages import AttemptEnded, OutlierVerdictsChanged, RouterMessage
 from brookhinge.decisions.outliers import EJECTION_S, OutlierEjector
-from brookhinge.decisions.rules import NEVER, SEND_STATE, AttemptResult
+from brookhinge.decisions.rules import NEVER, READY_STATE, AttemptResult
 from brookhinge.verdicts.outlier_detection import RAMP_S
 
 FIRST_SHARE = 0.1  # of the requests that come back at once when an ejection ends; the rest over the ramp
@@ -76,7 +76,7 @@
 
     def create_cache_ejector(self) -> FleetOutlierEjector:
         """Make the ejector that takes the fleet's verdicts."""
-        return FleetOutlierEjector(self.chance)
+        return FleetOutlierEjector(self.rng)
 
     def handle(self, message: RouterMessage) -> None:
         """Handle one message."""
@@ -98,5 +98,5 @@
         return [
             (self.endpoints.ids[server], self.endpoints.started_at[server], *counts)
             for server, counts in self.cache_outliers.counts.items()
-            if self.endpoints.state[server] == SEND_STATE
+            if self.endpoints.state[server] == READY_STATE
         ]
--- a/tests/crossings/test_cold_sum.py
+++ b/tests/crossings/test_cold_sum.py
@@ -33,7 +33,7 @@
             for budget in budgets:
                 budget.credited_at[0], budget.credit[0] = now, 0.0
         admitted = budgets[i].admits(
-            0, now=now, started_at=0.0, power=power, work=work, largest_s=max(works), chance=chances[i]
+            0, now=now, started_at=0.0, power=power, work=work, largest_s=max(works), rng=chances[i]
         )
         if admitted:
             sent.append((now, work))
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -78,7 +78,7 @@
     for c in (-1, 21):
         b.router.concurrency.record_time(c, 0.0, 10.0, 6.0)
     went = {
-        way: sum(b.router.concurrency.admits(c, 0.0, 1.0, b.router.chance, way) for _ in range(4000)) / 4000
+        way: sum(b.router.concurrency.admits(c, 0.0, 1.0, b.router.rng, way) for _ in range(4000)) / 4000
         for way, c in ((False, 21), (True, -1))
     }
     assert went[False] > 0.8 > 0.7 > went[True]
@@ -365,9 +365,9 @@
     for server, usual, way_in in ((11, 1.5, True), (21, 3.0, False)):
         c = b.router.endpoints.index[server]
         b.router.concurrency.record_time(c, b.now, 8.0, usual)
-        assert all(b.router.concurrency.admits(c, b.now, 0.2, b.router.chance, way_in) for _ in range(50))
+        assert all(b.router.concurrency.admits(c, b.now, 0.2, b.router.rng, way_in) for _ in range(50))
         b.router.concurrency.record_time(c, b.now, 8.0, 16.0)
-        assert not all(b.router.concurrency.admits(c, b.now, 0.2, b.router.chance, way_in) for _ in range(50))
+        assert not all(b.router.concurrency.admits(c, b.now, 0.2, b.router.rng, way_in) for _ in range(50))
 
 
 def stuck_origin(b, count=6):
@@ -461,7 +461,7 @@
 
     def take(now, born):
         return budget.admits(
-            c, now=now, started_at=born, power=power, work=0.1, largest_s=0.1, chance=b.router.chance
+            c, now=now, started_at=born, power=power, work=0.1, largest_s=0.1, rng=b.router.rng
         )
 
     c, rate = told(10.0, 9.9)
