--- a/brookhinge/decision_settings.py
+++ b/brookhinge/decision_settings.py
@@ -1,6 +1,7 @@
-"""The settings of an instance, mapped to those of the decisions.
+"""Reads the settings of a router instance and maps them to the settings of the decisions.
 
-This module is the only one that knows the names of the settings; both programs read them here.
+This is the only module that knows the names of these settings. The router on sockets and the simulator
+adapter both use it.
 """
 
 from __future__ import annotations
@@ -30,29 +31,30 @@
     StartError,
 )
 
-IDEMPOTENCY_WORDS = {
+IDEMPOTENCY_BY_SETTING = {
     "retryable": Idempotency.REPEATABLE,
     "dedup": Idempotency.KEYED,
     "fragile": Idempotency.ONCE,
 }
-SCOPE_WORDS = {scope.value: scope for scope in DeduplicationScope}
-SIBLING_WORDS = {
+SCOPE_BY_SETTING = {scope.value: scope for scope in DeduplicationScope}
+SIBLINGS_BY_SETTING = {
     "silent": SiblingFills.NONE,
     "": SiblingFills.NONE,
     **{fills.value: fills for fills in SiblingFills},
 }
-NOTE_WORDS = {
+NOTES_BY_SETTING = {
     "silent": NoteDetail.NONE,
     "": NoteDetail.NONE,
     **{detail.value: detail for detail in NoteDetail},
 }
-WEIGHT_WORDS = ("nominal", "rough", "live")  # of sources whose weights say something
-REPORT_COLUMNS = {"cpu": "util", "active": "inflight", "waiting": "queue"}  # others keep their names
+MEANINGFUL_WEIGHT_SOURCES = ("nominal", "rough", "live")  # values of WeightSource
+# Names of load report columns in the settings and at the servers; other columns have the same name in both.
+REPORT_COLUMNS = {"cpu": "util", "active": "inflight", "waiting": "queue"}
 NO_MACHINE_TYPE = -1
 
 
 class DecisionSettings(NamedTuple):
-    """The settings of `brookhinge.decisions.router.Router`, by its arguments. Times are seconds."""
+    """Settings of `brookhinge.decisions.router.Router`, named like its arguments. Times are seconds."""
 
     request_classes: list[RequestClass]
     location: Location
@@ -61,14 +63,14 @@
     cache_slow_start: SlowStart
     parent_slow_start: SlowStart
     purge_settled_s: float
-    server_kinds: tuple[str, str]  # of parents and of the origin
+    server_kinds: tuple[str, str]  # the names of parents and of the origin in the endpoint list
 
 
 def read_decision_settings(settings: SettingsReader) -> DecisionSettings:
-    """Read the settings of an instance.
+    """Read the settings of a router instance.
 
     Raises:
-        StartError: A value cannot be used.
+        StartError: A setting is missing or its value is invalid.
     """
     rules = settings.get_object("Rules", {})
     limits = settings.get_object("Limits", {})
@@ -90,7 +92,7 @@
             routers_here=max(1, specifics.get_element("ZoneBalancers", zone, INTEGER, routers)),
             routers=routers,
             number=settings.get("MyNumber", INTEGER, 0),
-            weights_known=settings.get("WeightSource", TEXT, "silent") in WEIGHT_WORDS,
+            weights_known=settings.get("WeightSource", TEXT, "silent") in MEANINGFUL_WEIGHT_SOURCES,
         ),
         limits=RouterLimits(
             max_attempts=limits.get_in_range("MaxAttempts", 1, math.inf, 1, form=INTEGER),
@@ -99,10 +101,10 @@
             max_retry_after_s=max_retry_after_s,
         ),
         fill_policy=FillPolicy(
-            siblings=specifics.get_word("PeersFill", SIBLING_WORDS, "none"),
+            siblings=specifics.get_word("PeersFill", SIBLINGS_BY_SETTING, "none"),
             allows_direct=specifics.get_flag("Straight"),
             joins_fills=specifics.get_flag("SharesFills"),
-            notes=specifics.get_word("Says", NOTE_WORDS, "none"),
+            notes=specifics.get_word("Says", NOTES_BY_SETTING, "none"),
             transfer_kb_s=specifics.get("OneFlowKbPerS", NUMBER, 0.0),
             uplink_kb_s=specifics.get_element("InletKbPerS", zone, NUMBER, 0.0),
         ),
@@ -114,18 +116,18 @@
             _read_machine_type(specifics, "MasterKind", machine_types),
         ),
     )
-    report.get_texts("Columns")  # both programs check them, though only the router on sockets uses them
+    report.get_texts("Columns")  # only the router on sockets uses them, but both programs check them
     return decisions
 
 
 def read_report_columns(settings: SettingsReader) -> list[str]:
-    """Return the columns of a load report, as servers name them."""
+    """Return the columns of a load report under the names that servers use."""
     columns = settings.get_object("Report", {}).get_texts("Columns")
     return [REPORT_COLUMNS.get(column, column) for column in columns]
 
 
 def _read_zone(settings: SettingsReader, zones: list[str]) -> int:
-    """Return the index of the zone where this router stands; the first where it is not told."""
+    """Return the index of this router's zone, or 0 if the setting is missing or empty."""
     name = settings.get("Az", TEXT, "")
     if name and name not in zones:
         raise StartError(f"{settings.path_of('Az')}: expected one of Zones, got {name!r:.{SHOWN_CHARACTERS}}")
@@ -141,19 +143,19 @@
     for index, request_class in enumerate(request_classes):
         if request_class.name in names:
             raise StartError(
-                f"{settings.path_of('Classes')}[{index}].Name: expected another name, "
-                f"{request_class.name!r:.{SHOWN_CHARACTERS}} stands there twice"
+                f"{settings.path_of('Classes')}[{index}].Name: expected a name that no other class has, "
+                f"got {request_class.name!r:.{SHOWN_CHARACTERS}}"
             )
         names.add(request_class.name)
     return request_classes
 
 
 def _read_request_class(values: SettingsReader, specifics: SettingsReader, index: int) -> RequestClass:
-    """Read a request class; some of its values stand in lists of `Specifics`, in the order of classes."""
+    """Read a request class; some of its values are at its index in lists of `Specifics`."""
     return RequestClass(
         name=values.get("Name", TEXT),
-        idempotency=values.get_word("Effect", IDEMPOTENCY_WORDS, "fragile"),
-        deduplication_scope=values.get_word("Group", SCOPE_WORDS, "all"),
+        idempotency=values.get_word("Effect", IDEMPOTENCY_BY_SETTING, "fragile"),
+        deduplication_scope=values.get_word("Group", SCOPE_BY_SETTING, "all"),
         deduplication_window_s=values.get_duration_s("WindowNs", 0),
         latency_objective_s=values.get_duration_s("AimNs"),
         objective_stretch=values.get_in_range("AimStretch", 0, math.inf, 0.0),
@@ -168,7 +170,7 @@
 
 
 def _read_slow_starts(rules: SettingsReader, specifics: SettingsReader) -> tuple[SlowStart, SlowStart]:
-    """Return how caches and how parents warm up."""
+    """Return the slow-start settings of caches and of parents."""
     cache = SlowStart(
         initial_share=rules.get_in_range("ColdFrom", 0, 1, 1.0),
         warm_up_s=rules.get_duration_s("WarmUpNs", 0),
@@ -183,13 +185,14 @@
     )
     if max(cache.overload_multiple, parent.overload_multiple) > 0 and not cache.window_s:
         raise StartError(
-            f"{rules.path_of('FallNs')}: expected more than 0 where cold servers fall at a multiple, got 0"
+            f"{rules.path_of('FallNs')}: "
+            "expected more than 0 with FallMultiple or ParentBreaksAt above 0, got 0"
         )
     return cache, parent
 
 
 def _read_machine_type(specifics: SettingsReader, key: str, machine_types: list[str]) -> str:
-    """Return the name of a machine type that is told by its index; empty where there is none."""
+    """Return the name of the machine type at the configured index, or an empty string if there is none."""
     index = specifics.get_in_range(
         key, NO_MACHINE_TYPE, len(machine_types) - 1, NO_MACHINE_TYPE, form=INTEGER
     )
--- a/brookhinge/decisions/eligibility.py
+++ b/brookhinge/decisions/eligibility.py
@@ -1,4 +1,4 @@
-"""Whether a server may be asked now: the checks of all mechanisms that can hold a request back from it."""
+"""Eligibility of servers: combines the checks of all mechanisms that can exclude a server for a request."""
 
 from random import Random
 
@@ -12,13 +12,13 @@
 from brookhinge.decisions.slow_start import SlowStartBudget
 from brookhinge.decisions.throughput import ThroughputEstimate
 
-HOLDER_TIMEOUT_S = 20.0  # after which a cache is not taken for a holder any more
-LATE_RETRY_RESERVE = 0.5  # of a budget's credit that a retry which earns nothing leaves to others
-SCHEDULED_BORROWING = 0.25  # of a budget's credit that who comes when told may borrow
+HOLDER_TTL_S = 20.0  # how long after its last response a cache counts as a holder
+LATE_RETRY_RESERVED_SHARE = 0.5  # of a budget's credit, left to others by retries without utility
+SCHEDULED_RETRY_BORROWED_SHARE = 0.25  # of a budget's credit, open to scheduled retries on loan
 
 
 class ServerEligibility:
-    """The checks of one router. Times are seconds."""
+    """Checks the eligibility of servers for one router. Times are seconds."""
 
     def __init__(
         self,
@@ -42,13 +42,13 @@
         self._rng = rng
 
     def may_repeat(self, server: int, request: RequestState, now: float) -> bool:
-        """Whether an attempt at a server could not be a second effect."""
+        """Return whether an attempt at a server cannot execute the request a second time."""
         zone = self._endpoints.zone[server]
         cell = self._endpoints.cell[server]
         return rules.may_repeat(request.request_class, request.may_have_run, zone, cell, now)
 
-    def is_open(self, server: int, request: RequestState, now: float) -> bool:
-        """Whether a cache is ready, not ejected, and has not failed the request."""
+    def is_available(self, server: int, request: RequestState, now: float) -> bool:
+        """Return whether a cache is ready, not ejected, has not failed the request, and may repeat it."""
         return (
             server not in request.failed_servers
             and rules.may_send_to(self._endpoints.state[server])
@@ -57,20 +57,21 @@
         )
 
     def is_warming_up(self, server: int, now: float) -> bool:
-        """Whether a cache or parent is in slow start."""
+        """Return whether a cache or parent is in slow start."""
         budget = self._slow_start[self._endpoints.role[server]]
         return budget.is_warming_up(now, self._endpoints.warming_since[server])
 
     def admits_work(self, server: int, work: float, request: RequestState, now: float) -> bool:
-        """Whether a server is warm, or has budget for so many seconds of transfer; take them from it if so.
+        """Return whether a server is warm or has slow-start budget for the work, and spend that budget.
 
-        Late retries leave half of it to others; who comes when told may borrow.
+        `work` is in seconds of transfer. Late retries leave part of the budget to other requests; scheduled
+        retries may borrow.
         """
         budget = self._slow_start[self._endpoints.role[server]]
         started_at = self._endpoints.warming_since[server]
         is_admitted = True
         if budget.is_limited(now, started_at):
-            reserve = LATE_RETRY_RESERVE * (1.0 - request.priority_weight)
+            reserve = LATE_RETRY_RESERVED_SHARE * (1.0 - request.priority_weight)
             is_admitted = budget.admits(
                 server,
                 now=now,
@@ -79,15 +80,16 @@
                 work=work,
                 largest_s=self._statistics.largest_transfer_s(),
                 rng=self._rng,
-                reserve=-SCHEDULED_BORROWING if request.is_scheduled else reserve,
+                reserve=-SCHEDULED_RETRY_BORROWED_SHARE if request.is_scheduled else reserve,
             )
         budget.record_demand(server, now, work, is_admitted)
         return is_admitted
 
     def has_capacity(self, server: int, share: float, now: float) -> bool:
-        """Whether a cache can take one more for who has that share of its limit.
+        """Return whether a cache has capacity for a request with that share of its concurrency limit.
 
-        One always goes where none is out, or nobody would see congestion end.
+        A cache without requests in flight is not checked for congestion: otherwise the end of the congestion
+        would never be observed.
         """
         in_flight = self._endpoints.in_flight[server]
         weight = self._throughput.known_weight(server)
@@ -96,21 +98,21 @@
         return not in_flight or self._concurrency.admits(server, now, share, self._rng)
 
     def current_holders(self, state: ObjectState, now: float) -> list[int]:
-        """Return the caches remembered serving a kept copy.
+        """Return the caches that recently served a copy that they keep.
 
-        They are forgotten on a restart, a drain, a miss or a purge.
+        A cache stops counting as a holder after a restart, a drain, a miss or a purge.
         """
         emptied_at = self._endpoints.emptied_at
-        health = self._endpoints.state
+        states = self._endpoints.state
         state.holders = {
             server: at
             for server, at in state.holders.items()
-            if now - at <= HOLDER_TIMEOUT_S and at > emptied_at[server] and rules.may_send_to(health[server])
+            if now - at <= HOLDER_TTL_S and at > emptied_at[server] and rules.may_send_to(states[server])
         }
         return list(state.holders)
 
     def first_upstream(self, request: RequestState, work: float, now: float) -> int | None:
-        """Return the first usable parent in the object's own order, else the origin, else None."""
+        """Return the first eligible parent in the object's order, or else the origin, or else None."""
         failed = request.failed_servers | request.failed_sources
         for server in self._parent_order(request.object) + self._endpoints.origins:
             if not rules.may_send_to(self._endpoints.state[server]) or server in failed:
@@ -124,7 +126,7 @@
         return None
 
     def local_capacity(self, at: float, now: float) -> float:
-        """Return the seconds of transfer a second that this router may send its caches at a later time."""
+        """Return the transfer seconds per second that this router may send to local caches at time `at`."""
         budget = self._slow_start[ServerRole.CACHE]
         largest_s = self._statistics.largest_transfer_s()
         total = 0.0
--- a/brookhinge/decisions/fill_planning.py
+++ b/brookhinge/decisions/fill_planning.py
@@ -1,6 +1,6 @@
-"""Where the cache of a request may fill from.
+"""Plans where the cache of a request may fill from.
 
-That is the parent hashed from the object, the next one on failure, at last the origin.
+This is a parent, in an order hashed from the object; the next parent after a failure; and finally the origin.
 """
 
 from random import Random
@@ -15,23 +15,23 @@
 from brookhinge.decisions.rules import Refusal
 from brookhinge.decisions.server_selection import CacheChoice
 
-HOLDER_FILL_SHARE = 0.25  # of a transfer that a holder's source has to do on the mean
+HOLDER_FILL_SHARE = 0.25  # mean part of a transfer that the fill source has to do if a holder is asked
 
 
-# An attribute of an enum class costs more than one of a module, and each request needs these.
+# Module globals are cheaper to look up than enum members, and every request uses these.
 _NO_FILL = FillKind.NONE
 _FROM_UPSTREAM = FillKind.UPSTREAM
 
 
 class FillPlan(NamedTuple):
-    """Where a request's server takes the object from."""
+    """Where the server of a request gets the object from."""
 
     kind: FillKind
-    source: int  # the server itself where it may not fill
+    source: int  # index of the fill source; the server itself if it may not fill
 
 
 class FillPlanner:
-    """Plans the fill of a request. Times are seconds."""
+    """Plans the fills of requests. Times are seconds."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         routers_here: int,
         rng: Random,
     ) -> None:
-        """`routers_here` is how many routers share the location's caches."""
+        """Create a planner; `routers_here` is the number of routers that share the location's caches."""
         self.routers_here = routers_here
         self._endpoints = endpoints
         self._eligibility = eligibility
@@ -64,12 +64,13 @@
     ) -> FillPlan | Refusal:
         """Return where the chosen cache may fill from, or why the request is refused.
 
-        A request that may not be filled now is looked for once: another router may have had it filled.
+        If no fill is possible now, the object is looked up in the cache once without a fill, because another
+        router may have filled it.
         """
         if choice.sibling is not None:
             return FillPlan(FillKind.SIBLING, choice.sibling)
         source = None
-        if not request.is_lookup_only and not self._looks_first(request, choice, now):
+        if not request.is_lookup_only and not self._starts_with_lookup(request, choice, now):
             source = self._upstream(request, choice, fair_share, fills_in_flight, now)
             if source is None:
                 if request.lookup_missed:
@@ -79,12 +80,12 @@
             return FillPlan(FillKind.HOLDER, choice.server if source is None else source)
         if source is None:
             return FillPlan(_NO_FILL, choice.server)
-        return self._through_breaker(request, choice, source, now)
+        return self._apply_breaker(request, choice, source, now)
 
-    def _looks_first(self, request: RequestState, choice: CacheChoice, now: float) -> bool:
-        """Whether the cache is asked for what it holds before it is filled.
+    def _starts_with_lookup(self, request: RequestState, choice: CacheChoice, now: float) -> bool:
+        """Return whether the cache is first asked for a cached copy, without a fill.
 
-        Among other routers what this one does not know of is mostly there.
+        Where several routers share the caches, most objects that this router has not seen are cached already.
         """
         return self.routers_here > 1 and not (
             choice.is_holder
@@ -97,26 +98,26 @@
     def _upstream(
         self, request: RequestState, choice: CacheChoice, fair_share: float, fills_in_flight: int, now: float
     ) -> int | None:
-        """The parent or origin to fill from, if the uplink and its sources have capacity."""
+        """Return the parent or origin to fill from; None if the uplink or the sources have no capacity."""
         work = self._statistics.transfer_s[request.class_index]
         work *= HOLDER_FILL_SHARE if choice.is_holder else 1.0
         source = self._eligibility.first_upstream(request, work, now)
         if source is None or choice.is_holder:
             return source
-        # Who has a small share of a cache's limit has a larger one of the uplink, but is shed sooner by its
-        # congestion.
+        # A request with a small share of a cache's limit gets a larger share of the uplink's limit, but is
+        # shed sooner when the upstream path is congested.
         uplink_share = min(1.0, fair_share) ** 0.5
         if not self._concurrency.has_capacity(UPLINK, fills_in_flight, uplink_share):
             return None
         is_admitted = self._concurrency.admits(source, now, fair_share**2, self._rng, is_upstream=True)
         return source if is_admitted else None
 
-    def _through_breaker(
+    def _apply_breaker(
         self, request: RequestState, choice: CacheChoice, source: int, now: float
     ) -> FillPlan | Refusal:
-        """The fill, as far as the circuit breaker of the origin lets it through.
+        """Return the fill from `source`, limited by the origin's circuit breaker, or a refusal.
 
-        What a parent holds costs the origin nothing: it is asked for that first.
+        A parent is first asked for a cached copy, because that puts no load on the origin.
         """
         probability = self._origin_breaker.admit_probability(now)
         if probability >= 1.0 or request.is_uncacheable:
--- a/brookhinge/decisions/final_responses.py
+++ b/brookhinge/decisions/final_responses.py
@@ -1,21 +1,21 @@
-"""Final responses that the router gives by itself: rejections, failures and copies from its memory."""
+"""Final responses that the router sends without a server: rejections, errors and copies from its memory."""
 
 from brookhinge.decisions import rules
 from brookhinge.decisions.mechanisms import RouterMechanisms
 from brookhinge.decisions.request_state import RequestState
 from brookhinge.decisions.rules import Refusal
 
-COPY_MARGIN_S = 0.02  # of the time left that is not used when a copy is promised
+COPY_MARGIN_S = 0.02  # of the time left, kept in reserve when a copy is sent
 RETRY_AFTER_BASE_S = 0.1
 RETRY_AFTER_SPREAD_S = 0.15
-MIN_SCHEDULE_SHARE = 0.5  # of a slot of the retry schedule that the class of least utility may fill
+MIN_SCHEDULE_SHARE = 0.5  # of a retry schedule slot, open even to a class without utility
 
 
 class FinalResponses(RouterMechanisms):
-    """A router's final responses."""
+    """Sends the final responses that need no server."""
 
     def refuse(self, request: RequestState, reason: Refusal) -> None:
-        """The final response, at once; the client is invited to repeat only where that can do no harm."""
+        """Send the final response now; the client may retry only if that cannot execute the request twice."""
         if self.respond_from_copy(request):
             return
         if rules.may_invite_retry(request.request_class, request.may_have_run):
@@ -25,13 +25,13 @@
         del self.requests[request.request_id]
 
     def respond_from_copy(self, request: RequestState) -> bool:
-        """Answer from memory, if a copy there will do and comes in time; return whether it did."""
+        """Respond with a kept copy if one is recent enough and can be sent in time; return whether it was."""
         if not self.knows_all_purges:
             return False
-        one = request.request_class
+        request_class = request.request_class
         name = request.class_index, request.object.code
-        time_left_s = min(request.deadline - self.now, one.latency_objective_s + request.transfer_s)
-        max_age_s = self.purges.max_age_s(request.object, one, self.now, accept_stale=True)
+        time_left_s = min(request.deadline - self.now, request_class.latency_objective_s + request.transfer_s)
+        max_age_s = self.purges.max_age_s(request.object, request_class, self.now, accept_stale=True)
         if not self.local_cache.reserve(name, self.now, max_age_s, time_left_s - COPY_MARGIN_S):
             return False
         self.sink.respond_from_copy(request.request_id, name)
@@ -39,20 +39,20 @@
         return True
 
     def _retry_after_s(self, request: RequestState) -> float:
-        """Seconds after which to come back: a place in the retry schedule, where one can be told."""
+        """Return after how many seconds the client may retry: a reserved time, or else a short random one."""
         if self.retry_schedule is None or request.retry_client is None:
             random_s = RETRY_AFTER_BASE_S + RETRY_AFTER_SPREAD_S * self.rng.random()
             return min(self.limits.max_retry_after_s, random_s)
-        highest = max(one.utility for one in self.request_classes)
+        max_utility = max(request_class.utility for request_class in self.request_classes)
         return self.retry_schedule.reserve(
             self.now,
             request.retry_client,
             self.schedule_name(request),
             self.statistics.transfer_s[request.class_index],
-            MIN_SCHEDULE_SHARE + (1.0 - MIN_SCHEDULE_SHARE) * request.request_class.utility / highest,
+            MIN_SCHEDULE_SHARE + (1.0 - MIN_SCHEDULE_SHARE) * request.request_class.utility / max_utility,
             lambda at: self.eligibility.local_capacity(at, self.now),
         )
 
     def schedule_name(self, request: RequestState) -> tuple[int, str, int]:
-        """Return what the retry schedule knows a request by."""
+        """Return the name of a request in the retry schedule: request class, key and part."""
         return request.class_index, request.object.key, request.object.part
--- a/brookhinge/decisions/mechanisms.py
+++ b/brookhinge/decisions/mechanisms.py
@@ -1,4 +1,4 @@
-"""The mechanisms of one router, and what joins several of them."""
+"""The mechanisms of one router, and the queries that need several of them."""
 
 from collections.abc import Sequence
 from random import Random
@@ -35,14 +35,14 @@
 
 
 class RouterMechanisms:
-    """The mechanisms of one router.
+    """Creates and holds the mechanisms of one router.
 
-    What shares limits or evidence with other routers overrides their factories.
+    Subclasses that share limits or evidence with other routers override the `create_` methods.
 
     Attributes:
-        requests: requests without a final response.
-        fills_in_flight: attempts that are expected to come through the uplink.
-        knows_all_purges: False while a purge may have been told that is not known here yet.
+        requests: Requests without a final response, by request id.
+        fills_in_flight: Number of attempts whose response is expected to come through the uplink.
+        knows_all_purges: Whether every purge sent so far is known; False if one may not have arrived yet.
     """
 
     def __init__(
@@ -60,10 +60,11 @@
         machine: Machine | None = None,
         retry_schedule: RetrySchedule | None = None,
     ) -> None:
-        """`server_kinds` is what the list calls parents and origins.
+        """Create all mechanisms.
 
-        `machine` tells memory and link of the router; None keeps no copies. `retry_schedule` gives rejected
-        clients a time to come back; None gives a short random one.
+        `server_kinds` are the names of parents and of origins in the endpoint list. `machine` describes the
+        router's memory and link; with None the router keeps no copies. `retry_schedule` reserves retry times
+        for rejected clients; with None they get a short random time.
         """
         self.rng = Random(seed)
         self.request_classes = request_classes
@@ -93,22 +94,22 @@
         self.parent_outliers = OutlierEjector()
         self.concurrency = self.create_concurrency_limiter(location.routers_here)
         self.throughput = ThroughputEstimate(self.endpoints, self.slow_start, location.weights_known)
-        self._join_mechanisms(location.routers_here)
+        self._create_dependent_mechanisms(location.routers_here)
 
     def create_slow_start_budget(self, start: SlowStart, routers: int) -> SlowStartBudget:
-        """Make the budget of a role of servers."""
+        """Create the slow-start budget for the servers of one role."""
         return SlowStartBudget(start, routers)
 
     def create_concurrency_limiter(self, routers: int) -> ConcurrencyLimiter:
-        """Make the limiter of what is in flight."""
+        """Create the limiter of concurrent requests."""
         return ConcurrencyLimiter(routers)
 
     def create_cache_ejector(self) -> OutlierEjector:
-        """Make the outlier ejector of the caches."""
+        """Create the outlier ejector of the caches."""
         return OutlierEjector()
 
-    def _join_mechanisms(self, routers_here: int) -> None:
-        """Make what needs several mechanisms."""
+    def _create_dependent_mechanisms(self, routers_here: int) -> None:
+        """Create the mechanisms that depend on others."""
         shared = {"concurrency": self.concurrency, "statistics": self.statistics}
         self.eligibility = ServerEligibility(
             self.endpoints,
@@ -152,9 +153,9 @@
         )
 
     def slow_start_bound(self, server: int | str, now: float) -> tuple[float, float] | None:
-        """Return the seconds of transfer that all routers may send a server in a window, and the window.
+        """Return the seconds of transfer that all routers may send to a server in a window, and the window.
 
-        None for a server that is warm, or that nothing overloads.
+        The window is in seconds. Returns None if the server is unknown, is warm, or cannot be overloaded.
         """
         server_index = self.endpoints.index.get(server)
         budget = self.slow_start.get(self.endpoints.role[server_index]) if server_index is not None else None
@@ -163,13 +164,13 @@
         mean_s = self.statistics.mean_transfer_s()
         power = self.throughput.power(server_index, self.now)
         capacity = budget.capacity(now, self.endpoints.warming_since[server_index], power)
-        calls = budget.overload_work(capacity) / mean_s
-        return rules.slow_start_bound(calls) * mean_s, budget.start.window_s
+        requests = budget.overload_work(capacity) / mean_s
+        return rules.slow_start_bound(requests) * mean_s, budget.start.window_s
 
     def mean_transfer_s(self, class_index: int) -> float:
         """Return the mean transfer time of a request class."""
         return self.statistics.transfer_s[class_index]
 
     def forget_request(self, request_id: int) -> None:
-        """Drop a request that ended without the decisions."""
+        """Drop the state of a request that was ended by the caller rather than by a decision."""
         self.requests.pop(request_id, None)
--- a/brookhinge/decisions/messages.py
+++ b/brookhinge/decisions/messages.py
@@ -1,7 +1,7 @@
-"""Typed messages that a router of the decisions takes, in order of arrival.
+"""Typed messages that a router of the decisions processes in order of arrival.
 
-Times are seconds of the caller's steady clock, durations seconds. Servers are named by the ids of the
-endpoint list, requests by small integers that the caller gives.
+Points in time are seconds on the caller's monotonic clock, durations are seconds. Servers are identified by
+their ids in the endpoint list, requests by small integers that the caller assigns.
 """
 
 import enum
@@ -11,20 +11,20 @@
 
 
 class StoredCopy(NamedTuple):
-    """A whole response body that the router could keep for itself."""
+    """A complete response body that the router may keep in its own memory."""
 
-    made_at: float  # when its origin made it
+    made_at: float  # when the origin generated it
     size_bytes: int
 
 
 class ResponseNote(enum.IntEnum):
-    """What a cache tells of how it answered."""
+    """What a cache reports about how it answered a request."""
 
     NONE = 0
     HIT = 1
     FILLED = 2
     VIA_ORIGIN = 3
-    JOINED = 4  # it waited for a fill of another request
+    JOINED = 4  # it waited for another request's fill
     STALE = 5
     SOURCE_REFUSED = 6
     SOURCE_BROKE = 7
@@ -34,41 +34,39 @@
 
 
 class RequestArrived(NamedTuple):
-    """A client asks for an object, or for one part of it."""
+    """A client requests an object, or one part of it."""
 
     request_id: int
     request_class: int  # index into the request classes of the settings
     key: str
     part: int
-    group: int  # objects of a group are purged together
-    size_kb: float  # 0: not told
-    is_write: bool  # it runs at the origin and leaves no copy
-    timeout_s: float  # what is left until the client's deadline
-    retry_age_s: float = 0.0  # since the first try of which this is a retry; 0: it is the first
-    retry_client: object = (
-        None  # who may be given a place in the retry schedule; None: nobody who would be known again
-    )
+    group: int  # purge group: its objects can be purged together
+    size_kb: float  # 0: not known
+    is_write: bool  # executed at the origin; no copy is stored
+    timeout_s: float  # time left until the client's deadline
+    retry_age_s: float = 0.0  # time since the first try, if this is a client's retry; 0: it is the first try
+    retry_client: object = None  # holder of reservations in the retry schedule; None: not recognizable later
 
 
 class RequestWithdrawn(NamedTuple):
-    """No response is owed any more: the client cancelled or left.
+    """A request no longer needs a response: the client cancelled it or disconnected.
 
-    The end of its last attempt is still told.
+    The end of its last attempt is still reported.
     """
 
     request_id: int
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt was answered, failed, was given up or was never sent."""
+    """An attempt was answered, failed, timed out or was never sent."""
 
     request_id: int
     server: int | str
     result: AttemptResult
     took_s: float
-    is_final: bool  # the request is over with it: satisfied or withdrawn
+    is_final: bool  # the request ends with this attempt: it is satisfied or withdrawn
     note: int  # a `ResponseNote`
-    waited_s: float  # how long it stood in the server's queue, as told
+    waited_s: float  # waiting time reported by the server; 0: none, or not reported
     copy: StoredCopy | None = None
 
 
@@ -77,55 +75,55 @@
 
     server: int | str
     state: str  # 'ready', 'draining' or 'gone'
-    weight: float  # transfers at full pace at once; 0: not told
-    started_at: float | None  # start of the server's process; None: there from the first
+    weight: float  # concurrent transfers at full rate; 0: not known
+    started_at: float | None  # when the server's process started; None: it was running from the beginning
     cell: int
-    kind: str  # as the list names kinds of servers
+    kind: str  # the list's name for this kind of server
     zone: int
 
 
 class EndpointsListed(NamedTuple):
-    """The command channel has listed servers."""
+    """An endpoint list, or an update of it, from the command channel."""
 
-    is_complete: bool  # what a complete list leaves out is gone
+    is_complete: bool  # servers missing from a complete list are gone
     endpoints: list[Endpoint]
 
 
 class ObjectsPurged(NamedTuple):
-    """An object, or else a group of objects, was purged."""
+    """An object or a group of objects was purged."""
 
     group: int
-    age_s: float  # how long ago
-    key: str  # empty: the whole group
+    age_s: float  # time since the purge
+    key: str  # empty: the whole group was purged
 
 
 class RouterCountChanged(NamedTuple):
-    """By how many routers limits are divided from here on."""
+    """The number of routers that share the limits has changed."""
 
-    here: int  # of this router's location
+    here: int  # in this router's location
     everywhere: int
 
 
 class QuotasAssigned(NamedTuple):
-    """Quotas of limits that the fleet shares: (limit, server, started_at, quota or None) each."""
+    """Quotas of the limits that routers share, as tuples (limit, server, started_at, quota or None)."""
 
     quotas: list[tuple]
 
 
 class OutlierVerdictsChanged(NamedTuple):
-    """What follows from all routers' evidence on servers: (server, verdict, seconds) each."""
+    """Verdicts on servers from the evidence of all routers, as tuples (server, verdict, seconds)."""
 
     verdicts: list[tuple]
 
 
 class WarmStartReceived(NamedTuple):
-    """Rows of what a peer knows that has run for longer (`brookhinge/membership/warm_start_decisions.py`)."""
+    """State of a peer that has been running for longer (`brookhinge/membership/warm_start_decisions.py`)."""
 
     rows: list[tuple]
 
 
 class CopyRuleChanged(NamedTuple):
-    """What the router may do with its own copies, as far as it knows all purges."""
+    """How the router may use its own copies, depending on whether it knows all purges."""
 
     rule: object  # a CopyRule of the purge log
     missed_purges: object = None  # with READMIT: the set of purges that were missed
--- a/brookhinge/decisions/object_state.py
+++ b/brookhinge/decisions/object_state.py
@@ -1,34 +1,34 @@
-"""What is remembered of the objects that clients ask for."""
+"""State of the objects that clients request."""
 
 from hashlib import md5
 
 from brookhinge.decisions.rules import NEVER
 
 MAX_OBJECTS = 30000
-OBJECTS_PER_MB = 150  # of memory, where that is told
+OBJECTS_PER_MB = 150  # of the router's memory, if its size is known
 MEAN_COUNT_REFRESH_S = 1.0
 
 
 def digest(text: str) -> int:
-    """Return a number of 128 bits that is the same for a text in every process."""
+    """Return a 128-bit hash of a text that is the same in every process."""
     return int.from_bytes(md5(text.encode()).digest(), "big")
 
 
 class ObjectState:
-    """What is remembered of an object, or of one part of it where it has parts. Times are seconds.
+    """State of an object, or of one part of an object that has parts. Times are seconds.
 
     Attributes:
-        code: digest of the object and part; places it on the beacon rings.
-        key_code: digest of the object alone; orders its parents.
-        holders: caches that lately served a kept copy, and when.
-        best_s: the shortest time a response took; 0: not known.
-        parent_order: the parents in this object's order.
-        ordered_parents: the list that `parent_order` was made of.
-        count: requests lately, halved each time the rings are rebalanced.
-        requests: requests in all.
-        purges: purges in all.
-        purged_at: the latest purge.
-        filled_at: when a copy was last filled from upstream.
+        code: Digest of key and part; determines the position on the beacon rings.
+        key_code: Digest of the key alone; determines the order of the object's parents.
+        holders: Caches that recently served a copy that they keep, with the time of the response.
+        best_s: Shortest response time so far; 0 if not known.
+        parent_order: All parents in the order of preference for this object.
+        ordered_parents: The list of parents from which `parent_order` was computed.
+        count: Recent requests; halved at each rebalance of the rings.
+        requests: Total number of requests.
+        purges: Total number of purges.
+        purged_at: Time of the latest purge.
+        filled_at: When a copy was last filled from upstream.
     """
 
     __slots__ = (
@@ -65,21 +65,21 @@
         self.filled_at = NEVER
 
     def is_covered_by_purge(self, key: str, group: int) -> bool:
-        """Whether a purge of an object, or else of a group, is one of this object."""
+        """Return whether a purge of an object, or of a group if `key` is empty, covers this object."""
         return self.key == key or (not key and self.group == group)
 
     def record_purge(self, at: float) -> None:
-        """Forget the holders: their copies are from before the purge."""
+        """Record a purge and drop the known holders: their copies are older than the purge."""
         self.purged_at = max(self.purged_at, at)
         self.purges += 1
         self.holders.clear()
 
 
 class ObjectTable:
-    """The objects asked for lately. Those asked for least are dropped when it is full."""
+    """The recently requested objects. When it is full, the least requested half is dropped."""
 
     def __init__(self, memory_mb: float | None) -> None:
-        """`memory_mb` is the memory of the router, None where it is not told."""
+        """Create an empty table; `memory_mb` is the memory of the router, or None if not known."""
         self.max_objects = MAX_OBJECTS
         if memory_mb is not None:
             self.max_objects = min(MAX_OBJECTS, int(OBJECTS_PER_MB * memory_mb))
@@ -88,7 +88,7 @@
         self._mean_count_at = 0.0
 
     def get_or_add(self, key: str, part: int, group: int) -> ObjectState:
-        """Return an object's state, a new one for an object not known."""
+        """Return the state of an object, which is created if it is not in the table."""
         state = self.states.get((key, part))
         if state is None:
             if len(self.states) >= self.max_objects:
@@ -98,10 +98,11 @@
         return state
 
     def replication_utility(self, state: ObjectState, holders: int, now: float) -> float:
-        """Return how much another replica beside so many holders is worth; above 1 it should be made.
+        """Return the utility of one more replica besides `holders` existing ones.
 
-        It is the object's count over the mean count, over twice the holders, times requests over requests
-        and purges.
+        A replica should be created if the utility is above 1. It is the ratio of the object's request count
+        to the mean count, divided by twice the number of holders and multiplied by the share of requests
+        among requests and purges.
         """
         if now - self._mean_count_at > MEAN_COUNT_REFRESH_S or not self._mean_count:
             total = sum(other.count for other in self.states.values())
@@ -111,6 +112,6 @@
         return relative_count / (2.0 * holders) * state.requests / (state.requests + state.purges)
 
     def halve_counts(self) -> None:
-        """Let what was asked for long ago count for less."""
+        """Halve the request counts so that older requests count less."""
         for state in self.states.values():
             state.count /= 2.0
--- a/brookhinge/decisions/request_state.py
+++ b/brookhinge/decisions/request_state.py
@@ -1,4 +1,4 @@
-"""What is remembered of a request that has no final response yet."""
+"""State of a request that has no final response yet."""
 
 import enum
 
@@ -9,18 +9,18 @@
 
 
 class FillKind(enum.Enum):
-    """Where the server of an attempt takes the object from.
+    """Where the server of an attempt gets the object from.
 
     Attributes:
-        is_upstream: it is expected to come through the uplink.
-        is_cached_only: the source is asked for what it holds, it fetches nothing itself.
+        is_upstream: Whether the object is expected to come through the uplink.
+        is_cached_only: Whether the source may answer only from its cache.
     """
 
-    NONE = "none", False, False  # from what it holds; a parent or the origin asked directly answers by itself
-    HOLDER = "holder", False, False  # it served a copy lately; a source is named in case that is gone
-    SIBLING = "sibling", False, True  # from another cache that holds it
-    UPSTREAM = "upstream", True, False  # from a parent or the origin
-    UPSTREAM_CACHED = "upstream_cached", True, True  # from a parent, if that holds it
+    NONE = "none", False, False  # its own cache; a parent or the origin that is asked directly answers itself
+    HOLDER = "holder", False, False  # its own cache, as a known holder; the source is for a copy that is gone
+    SIBLING = "sibling", False, True  # another cache that holds the object
+    UPSTREAM = "upstream", True, False  # a parent or the origin
+    UPSTREAM_CACHED = "upstream_cached", True, True  # a parent, only if it holds the object
 
     def __init__(self, label: str, is_upstream: bool, is_cached_only: bool) -> None:
         self.label = label
@@ -28,33 +28,33 @@
         self.is_cached_only = is_cached_only
 
 
-# An attribute of an enum class costs more than one of a module, and each request needs these.
+# Module globals are cheaper to look up than enum members, and every request uses these.
 _NO_FILL = FillKind.NONE
 _NO_RETENTION = Retention.NONE
 
 
 class RequestState:
-    """A request, and how its last attempt was sent. Times are seconds.
+    """State of a request and of its last attempt. Times are seconds.
 
     Attributes:
-        class_index: index of its request class.
-        deadline: when its client stops waiting.
-        is_uncacheable: it runs at the origin and leaves no copy.
-        transfer_s: what sending the response takes, by its size; 0: not known.
-        retry_client: who may be given a place in the retry schedule, or None.
-        priority_weight: the part of its class's utility that a response still earns.
-        is_scheduled: it came at the time that it was given.
-        attempts: how many were sent.
-        server: index of the last attempt's server.
-        source: index of the server it may fill from; the server itself where it may not fill.
-        fill: where the last attempt takes the object from.
-        failed_servers: servers that failed it.
-        failed_sources: sources that failed it.
-        may_have_run: its first attempt that may have run.
-        is_withdrawn: its client has cancelled it or left.
-        is_lookup_only: it is only looked for, not filled.
-        lookup_missed: it was looked for and not found.
-        parent_missed: its parent was asked for what it holds, and did not have it.
+        class_index: Index of its request class.
+        deadline: When the client stops waiting.
+        is_uncacheable: Whether it is executed at the origin and no copy is stored.
+        transfer_s: Transfer time of the response, estimated from its size; 0 if not known.
+        retry_client: Holder of reservations in the retry schedule, or None.
+        priority_weight: Fraction of its class's utility that a response can still earn.
+        is_scheduled: Whether it is a retry that arrived at its reserved time.
+        attempts: Number of attempts sent.
+        server: Index of the last attempt's server.
+        source: Index of the last attempt's fill source; the server itself if it may not fill.
+        fill: Where the server of the last attempt gets the object from.
+        failed_servers: Indices of the servers that failed the request.
+        failed_sources: Indices of the fill sources that failed the request.
+        may_have_run: Its first attempt that may have been executed, or None.
+        is_withdrawn: Whether the client has cancelled it or disconnected.
+        is_lookup_only: Whether it may only be answered from a cache, without a fill.
+        lookup_missed: Whether a cache lookup without a fill has missed.
+        parent_missed: Whether its parent was asked for a cached copy and had none.
     """
 
     __slots__ = (
@@ -122,15 +122,15 @@
 
     @property
     def fills_upstream(self) -> bool:
-        """Whether the last attempt is expected to come through the uplink."""
+        """Return whether the response to the last attempt is expected to come through the uplink."""
         return self.fill.is_upstream
 
     @property
-    def is_held(self) -> bool:
-        """Whether the last attempt went to a server that served a copy lately."""
+    def was_sent_to_holder(self) -> bool:
+        """Return whether the last attempt went to a cache that served a copy recently."""
         return self.fill is FillKind.HOLDER
 
     @property
-    def fills_from_nobody(self) -> bool:
-        """Whether the last attempt's server could answer only by itself."""
+    def has_no_fill_source(self) -> bool:
+        """Return whether the last attempt named no fill source besides the server itself."""
         return self.source == self.server
--- a/brookhinge/decisions/router.py
+++ b/brookhinge/decisions/router.py
@@ -1,8 +1,8 @@
-"""The router: takes messages in order, asks each mechanism in turn, and tells the sink what to do.
+"""The router: processes messages in order, consults each mechanism and passes its decisions to the sink.
 
-The ordinary path is the Cache Clouds design: beacon rings, load-following sub-ranges, remembered holders,
-sibling fills of objects in demand, a parent for all other fills. `Router.route` reads as the order in which
-the mechanisms are asked.
+Normal routing follows the Cache Clouds design: beacon rings whose sub-ranges follow the load, known holders
+of an object, sibling fills for objects in demand, and fills from a parent for all other objects.
+`Router.route` shows the order in which the mechanisms are consulted.
 """
 
 from collections.abc import Iterable
@@ -10,7 +10,7 @@
 from brookhinge.decisions import rules
 from brookhinge.decisions.attempt_timeout import attempt_timeout_s
 from brookhinge.decisions.endpoints import ServerRole
-from brookhinge.decisions.feedback import AttemptOutcome, full_utility_within_s
+from brookhinge.decisions.feedback import AttemptOutcome, full_utility_time_s
 from brookhinge.decisions.fill_planning import FillPlan
 from brookhinge.decisions.final_responses import FinalResponses
 from brookhinge.decisions.load_shedding import fair_share
@@ -34,35 +34,35 @@
 from brookhinge.decisions.sink import Attempt, DecisionSink, Retention
 
 REBALANCE_S = 10.0
-REBALANCE_REQUESTS = 1000  # counted since the last time: few would move sub-ranges by chance
+REBALANCE_REQUESTS = 1000  # since the last rebalance; fewer would move sub-ranges at random
 MIN_TIME_LEFT_S = 0.002
-HURRY_S = 0.2  # beside a transfer: what the way by a cache may take
+CACHE_OVERHEAD_S = 0.2  # time that a cache may add to the transfer time
 MAX_DIRECT_IN_FLIGHT = 16
-DEMAND_COUNT = 2  # requests lately from which a copy is worth more than others
+IN_DEMAND_COUNT = 2  # recent requests from which an object counts as in demand
 
-# An attribute of an enum class costs more than one of a module, and each request needs these.
+# Module globals are cheaper to look up than enum members, and every request uses these.
 _HIT = ResponseNote.HIT
 _UNSENT = AttemptResult.UNSENT
 _IN_DEMAND = Retention.IN_DEMAND
 _NORMAL = Retention.NORMAL
 
-ENDED_AT_ORIGIN = (ResponseNote.VIA_ORIGIN, ResponseNote.SOURCE_REFUSED, ResponseNote.ORIGIN_FAILED)
+NOTES_FROM_ORIGIN = (ResponseNote.VIA_ORIGIN, ResponseNote.SOURCE_REFUSED, ResponseNote.ORIGIN_FAILED)
 
 
 class Router(FinalResponses):
-    """All decisions of one router. Times are seconds of the caller's clock."""
+    """Makes all decisions of one router. Times are seconds on the caller's clock."""
 
     def __init__(self, seed: int, *, fill_policy: FillPolicy, **settings: object) -> None:
-        """Take the settings of `RouterMechanisms`."""
+        """Create a router; `settings` are further arguments of `RouterMechanisms`."""
         super().__init__(seed, fill_policy=fill_policy, **settings)
-        self.requests_counted = 0  # since sub-ranges were last rebalanced
+        self.requests_counted = 0  # since the sub-ranges were last rebalanced
         self._rebalance_at = REBALANCE_S
-        self._tells_fault = fill_policy.notes is NoteDetail.ALL
+        self._has_fault_notes = fill_policy.notes is NoteDetail.ALL
 
-    # messages
+    # Messages
 
     def process(self, now: float, messages: Iterable[RouterMessage], sink: DecisionSink) -> None:
-        """One round: handles the messages in order."""
+        """Run one round: handle the messages in order, then rebalance the sub-ranges if that is due."""
         self.now = now
         self.sink = sink
         for message in messages:
@@ -71,7 +71,11 @@
             self._rebalance()
 
     def handle(self, message: RouterMessage) -> None:
-        """Handle one message; TypeError for one that this router does not take."""
+        """Handle one message.
+
+        Raises:
+            TypeError: This router does not handle messages of that type.
+        """
         match message:
             case RequestArrived():
                 self.on_request(message)
@@ -86,10 +90,12 @@
             case RouterCountChanged():
                 self.on_router_count(message)
             case _:
-                raise TypeError(f"message: expected one that this router takes, got {type(message).__name__}")
+                raise TypeError(
+                    f"message: expected a type that this router handles, got {type(message).__name__}"
+                )
 
     def on_endpoints(self, listed: EndpointsListed) -> None:
-        """Take an endpoint list; what is known of servers that are gone is dropped with their index."""
+        """Apply an endpoint list, and drop the state of every index that was given to a new server."""
         endpoints = self.endpoints
         local_caches = endpoints.local_caches
         endpoints.update(self.now, listed.is_complete, listed.endpoints)
@@ -109,15 +115,15 @@
             self.rings.assign(endpoints.local_caches)
 
     def on_request(self, message: RequestArrived) -> None:
-        """Take a request and decide on it."""
-        is_first = not message.retry_age_s  # a retry counts under its first try
+        """Record a new request and route it."""
+        is_first = not message.retry_age_s  # a client's retry was already counted with its first try
         state = self.objects.get_or_add(message.key, message.part, message.group)
         state.count += is_first
         state.requests += is_first
         self.requests_counted += is_first
         self.rings.record_load(state.code, is_first)
         request_class = self.request_classes[message.request_class]
-        pace = self.fill_policy.transfer_kb_s
+        transfer_kb_s = self.fill_policy.transfer_kb_s
         request = RequestState(
             message.request_id,
             message.request_class,
@@ -126,7 +132,7 @@
             now=self.now,
             timeout_s=message.timeout_s,
             is_uncacheable=message.is_write or request_class.uncacheable,
-            transfer_s=message.size_kb / pace if message.size_kb and pace else 0.0,
+            transfer_s=message.size_kb / transfer_kb_s if message.size_kb and transfer_kb_s else 0.0,
             retry_client=message.retry_client,
         )
         self.requests[message.request_id] = request
@@ -136,36 +142,42 @@
         if (
             self.retry_schedule is None
             or message.retry_client is None
-            or self._keeps_schedule(request, is_first)
+            or self._passes_retry_schedule(request, is_first)
         ):
             self.route(request)
 
     def _priority_weight(self, request: RequestState, retry_age_s: float) -> float:
-        """Return the part of its utility that a response can still earn.
+        """Return the fraction of the request's utility that a response can still earn.
 
-        A late retry has missed the objective of its first try.
+        A late retry can no longer meet the latency objective, which is counted from its first try.
         """
-        one = request.request_class
+        request_class = request.request_class
         transfer_s = request.transfer_s or self.statistics.transfer_s[request.class_index]
-        needed_s = self.statistics.response_s[request.class_index] - one.objective_stretch * transfer_s
-        return one.late_share if retry_age_s > max(0.0, one.latency_objective_s - needed_s) else 1.0
+        needed_s = (
+            self.statistics.response_s[request.class_index] - request_class.objective_stretch * transfer_s
+        )
+        return (
+            request_class.late_share
+            if retry_age_s > max(0.0, request_class.latency_objective_s - needed_s)
+            else 1.0
+        )
 
-    def _keeps_schedule(self, request: RequestState, is_first: bool) -> bool:
-        """Whether a client did not come back before its time; else it is told the same time again."""
+    def _passes_retry_schedule(self, request: RequestState, is_first: bool) -> bool:
+        """Return whether to route the request; reject it if it came before its reserved retry time."""
         name = self.schedule_name(request)
         wait_s, request.is_scheduled = self.retry_schedule.check_in(self.now, request.retry_client, name)
         if wait_s:
             del self.requests[request.request_id]
             self.sink.reject(request.request_id, wait_s, Refusal.EARLY)
             return False
-        if request.is_scheduled:  # what was promised holds
+        if request.is_scheduled:  # a retry at its reserved time keeps its full utility
             request.priority_weight = 1.0
         if is_first:
             self.retry_schedule.record_new_request(self.now, self.statistics.transfer_s[request.class_index])
         return True
 
     def on_attempt_ended(self, end: AttemptEnded) -> None:
-        """Learn from the end of an attempt, and retry or answer a request that still waits."""
+        """Update statistics from the end of an attempt, then retry or answer a request that is still open."""
         request = self.requests.get(end.request_id)
         server = self.endpoints.index.get(end.server)
         due_at = self.origin_breaker.fill_ended(end.request_id)
@@ -198,8 +210,8 @@
         if end.is_final or request.is_withdrawn:
             del self.requests[end.request_id]
         elif end.result == _UNSENT:
-            # Drains, purges, budgets and windows may have changed meanwhile; nothing ran, so all is decided
-            # anew.
+            # Nothing was executed, and drains, purges, budgets and windows may have changed since, so the
+            # request is routed again from the start.
             request.attempts -= 1
             self.route(request)
         else:
@@ -210,53 +222,54 @@
             self.retry(request, end.result)
 
     def _record_fill_end(self, end: AttemptEnded, due_at: float) -> None:
-        """Count a fill that ended at the origin.
+        """Report a fill that ended at the origin to the origin's circuit breaker.
 
-        One given up before it was due, by a client in a hurry, tells nothing.
+        A fill that was given up before it was due says nothing about the origin: its client had little time.
         """
         is_given_up = end.result in (AttemptResult.TIMEOUT, AttemptResult.CANCELLED)
         is_overdue = is_given_up and due_at < self.now
-        broke_on_the_way = end.note == ResponseNote.SOURCE_BROKE and end.result != AttemptResult.FULL
-        if is_overdue or end.note in ENDED_AT_ORIGIN or broke_on_the_way:
+        is_broken_fill = end.note == ResponseNote.SOURCE_BROKE and end.result != AttemptResult.FULL
+        if is_overdue or end.note in NOTES_FROM_ORIGIN or is_broken_fill:
             is_good = end.result == AttemptResult.SATISFIED and due_at >= self.now
             self.origin_breaker.record(self.now, is_good)
 
     def _keep_copy(self, request: RequestState, end: AttemptEnded) -> None:
-        """Keep a response that may be given to others.
+        """Keep a response that other requests may be answered with.
 
-        It may have come after a purge that was heeded meanwhile.
+        It is not kept if the object was purged after the copy was made: the purge may have been processed
+        while the response was on its way.
         """
         request_class = request.request_class
         if request_class.idempotency is not Idempotency.REPEATABLE or request.is_uncacheable:
             return
         max_age_s = self.purges.max_age_s(request.object, request_class, self.now, accept_stale=True)
-        is_young = not max_age_s or self.now - end.copy.made_at < max_age_s
-        if is_young and end.copy.made_at > request.object.purged_at:
+        is_recent_enough = not max_age_s or self.now - end.copy.made_at < max_age_s
+        if is_recent_enough and end.copy.made_at > request.object.purged_at:
             name = request.class_index, request.object.code
             self.local_cache.keep(name, request.object, end.copy, request.request_id, self.sink)
 
     def on_withdrawn(self, withdrawn: RequestWithdrawn) -> None:
-        """Note that no response is owed any more; the request ends with its attempt."""
+        """Mark a request as withdrawn; its state is dropped when its attempt ends."""
         if withdrawn.request_id in self.requests:
             self.requests[withdrawn.request_id].is_withdrawn = True
 
     def on_purge(self, purge: ObjectsPurged) -> None:
-        """Keep the moment of the purge and forget what held the objects."""
-        at = self.now - purge.age_s
-        self.purges.add(self.now, purge.key or purge.group, at)
-        for state in {*self.objects.states.values(), *(r.object for r in self.requests.values())}:
+        """Record a purge, and drop the known holders and local copies of the purged objects."""
+        purged_at = self.now - purge.age_s
+        self.purges.add(self.now, purge.key or purge.group, purged_at)
+        for state in {*self.objects.states.values(), *(request.object for request in self.requests.values())}:
             if state.is_covered_by_purge(purge.key, purge.group):
-                state.record_purge(at)
+                state.record_purge(purged_at)
         self.local_cache.drop_purged(purge.key, purge.group, self.sink)
 
     def on_router_count(self, count: RouterCountChanged) -> None:
-        """Divide limits by other numbers of routers from here on."""
+        """Divide the shared limits by the new numbers of routers."""
         self.slow_start[ServerRole.CACHE].routers = count.here
         self.slow_start[ServerRole.PARENT].routers = count.everywhere
         self.concurrency.routers = count.here
         self.fill_planner.routers_here = count.here
 
-    # the path of a request
+    # Routing
 
     def route(self, request: RequestState) -> None:
         """Send one attempt for a request, or its final response."""
@@ -266,7 +279,7 @@
             return self.refuse(request, Refusal.NO_TIME)
         if request.attempts >= self.limits.max_attempts:
             return self.refuse(request, Refusal.ATTEMPTS_USED)
-        if time_left_s < request.transfer_s + HURRY_S and self.respond_from_copy(request):
+        if time_left_s < request.transfer_s + CACHE_OVERHEAD_S and self.respond_from_copy(request):
             return None
         share = fair_share(request, self.statistics)
         choice = self.selector.choose(request, min(1.0, share), now)
@@ -289,7 +302,7 @@
         )
 
     def _route_directly(self, request: RequestState) -> None:
-        """Go straight to a parent or the origin where no cache may take it and that is allowed."""
+        """Send a request that no cache may serve directly to a parent or the origin, if that is allowed."""
         endpoints = self.endpoints
         if not self.fill_policy.allows_direct:
             return self.refuse(request, Refusal.NO_SERVER)
@@ -310,7 +323,7 @@
         )
 
     def _max_age_s(self, request: RequestState) -> float:
-        """The oldest copy that a cache may answer with: a stale one while fills earn less."""
+        """Return the maximum age of the response; stale copies are accepted while fills earn less utility."""
         accept_stale = self.statistics.prefers_stale(request.class_index) or request.is_lookup_only
         return self.purges.max_age_s(request.object, request.request_class, self.now, accept_stale)
 
@@ -324,7 +337,7 @@
         max_age_s: float,
         revalidates: bool,
     ) -> None:
-        """Note an attempt and forward it."""
+        """Record an attempt and forward it."""
         now = self.now
         request.attempts += 1
         request.server = server
@@ -334,8 +347,8 @@
         request.retention = retention
         self.endpoints.in_flight[server] += 1
         self.fills_in_flight += plan.kind.is_upstream
-        if self._tells_fault and plan.kind is FillKind.UPSTREAM:
-            due_at = now + full_utility_within_s(request, self.statistics)
+        if self._has_fault_notes and plan.kind is FillKind.UPSTREAM:
+            due_at = now + full_utility_time_s(request, self.statistics)
             self.origin_breaker.fill_started(request.request_id, due_at)
         self.cache_outliers.note_attempt(server, now)
         self.parent_outliers.note_attempt(plan.source, now)
@@ -356,15 +369,16 @@
         self.sink.forward(request.request_id, attempt)
 
     def retry(self, request: RequestState, result: AttemptResult) -> None:
-        """After an attempt that did not answer: another, or the final response. No effect twice."""
+        """Send another attempt or the final response after a failed attempt; execute nothing twice."""
         is_shed_or_missed = result in (AttemptResult.FULL, AttemptResult.MISS)
-        if request.fill is FillKind.SIBLING and is_shed_or_missed:  # it retries home, outside the budget
+        # A failed sibling fill is retried from elsewhere without using the retry budget.
+        if request.fill is FillKind.SIBLING and is_shed_or_missed:
             request.object.holders.pop(request.source, None)
             return self.route(request)
         if result == AttemptResult.MISS and request.fill is FillKind.UPSTREAM_CACHED:
             request.parent_missed = True
             return self.route(request)
-        if result == AttemptResult.MISS and request.fills_from_nobody:
+        if result == AttemptResult.MISS and request.has_no_fill_source:
             request.lookup_missed = True
             if request.is_lookup_only:
                 return self.refuse(request, Refusal.NOT_HELD)
@@ -372,28 +386,27 @@
         self._note_failure(request, result)
         if request.may_have_run is not None and request.request_class.idempotency is Idempotency.ONCE:
             return self.refuse(request, Refusal.MAY_HAVE_RUN)
-        if (
-            not self.retry_budget.take_token()
-        ):  # no budget to fill it from elsewhere: an old copy is looked for
+        # Without a retry budget the request is not filled again; only a cached copy, maybe stale, is tried.
+        if not self.retry_budget.take_token():
             accepts_stale = request.request_class.stale_s > 0
-            if request.is_lookup_only or request.fills_from_nobody or not accepts_stale:
+            if request.is_lookup_only or request.has_no_fill_source or not accepts_stale:
                 return self.refuse(request, Refusal.RETRY_BUDGET)
             request.is_lookup_only = True
         return self.route(request)
 
     def _note_failure(self, request: RequestState, result: AttemptResult) -> None:
-        """Note which server or source failed a request: it is not asked again for that."""
+        """Record which server or fill source failed a request, so that it is not chosen again for it."""
         is_first_fill_error = (
             result == AttemptResult.ERRORED and request.fills_upstream and not request.failed_sources
         )
         if result in (AttemptResult.FULL, AttemptResult.MISS) or is_first_fill_error:
             request.failed_sources.add(request.source)
-        is_sources_fault = request.source in request.failed_sources
-        if not is_sources_fault or request.fills_from_nobody or request.is_held:
+        is_source_fault = request.source in request.failed_sources
+        if not is_source_fault or request.has_no_fill_source or request.was_sent_to_holder:
             request.failed_servers.add(request.server)
 
     def _rebalance(self) -> None:
-        """Sub-ranges follow the load; object counts are halved."""
+        """Adapt the sub-ranges to the load, and halve the request counts of objects."""
         self._rebalance_at = self.now + REBALANCE_S
         self.requests_counted = 0
         self.rings.rebalance(lambda server: self.endpoints.weight[server] or 1.0)
@@ -401,7 +414,7 @@
 
 
 def _retention(request: RequestState) -> Retention:
-    """How much a cache should want to keep the object."""
+    """Return the priority with which a cache should keep the object."""
     if request.is_uncacheable:
         return Retention.NONE
-    return _IN_DEMAND if request.object.count >= DEMAND_COUNT else _NORMAL
+    return _IN_DEMAND if request.object.count >= IN_DEMAND_COUNT else _NORMAL
--- a/brookhinge/decisions/rules.py
+++ b/brookhinge/decisions/rules.py
@@ -1,8 +1,9 @@
-"""What a router may do now: send, send again, refuse, close, believe a time stamp. The one place for it.
+"""Protocol rules for routing: when a request may be sent, retried or rejected, and a connection closed.
 
-The decisions ask here before they act; the engine asks here again with its own record of the facts when it
-acts, and counts what should not have been (`brookhinge/engine/invariants.py`). Pure functions without I/O or
-clock; times are seconds of the caller's steady clock, unless a name says otherwise.
+The decisions check these rules before they act. The engine checks them again, against its own record of the
+facts, when it carries out a decision, and counts violations (`brookhinge/engine/invariants.py`). All
+functions are pure: no I/O and no clock. Times are seconds on the caller's monotonic clock unless a name says
+otherwise.
 """
 
 import enum
@@ -10,80 +11,82 @@
 
 from brookhinge.decisions.settings import DeduplicationScope, Idempotency, RequestClass
 
-NEVER = -1e9  # a time before any other
-READY_STATE = "ready"  # the only state of a server that takes new work, as server or as source of a fill
-CONNECT_MARGIN_S = 0.1  # an attempt may wait so long for its connection: a key is remembered for that less
-DEADLINE_SLACK_S = 0.15  # by how much the deadline passed to a server may exceed what the client has left
-# A stamp of an event told just now is believed so far back. Lists and purges may be told later than that:
-# then the moment of the telling counts, which is later and so tightens; a clock set back by more cannot
-# loosen a rule.
+NEVER = -1e9  # earlier than any real time
+READY_STATE = "ready"  # the only state in which a server accepts new requests or acts as a fill source
+# An attempt may wait this long for its connection, so an idempotency key is relied on for this much less than
+# the deduplication window.
+CONNECT_MARGIN_S = 0.1
+DEADLINE_SLACK_S = 0.15  # the deadline passed to a server may exceed the client's remaining time by this much
+# How far in the past the timestamp of a newly received event may lie. Endpoint lists and purges may arrive
+# later than that; the time of receipt is then used instead. It is later than the event and so makes every
+# rule stricter. A wall clock set back by more than this cannot relax a rule.
 PLAUSIBLE_DELAY_S = 1.0
-STAMP_SLACK_S = 1.0  # clocks of two machines may differ by so much without either having been set
-FEW_CALLS = 30  # under so many calls a slow start has a wider bound
+STAMP_SLACK_S = 1.0  # allowed clock difference between two machines whose clocks were not set
+SMALL_REQUEST_COUNT = 30  # below this, the slow-start bound allows for more random variation
 
 
 class Refusal(enum.StrEnum):
     """Why a request got a final response other than 'satisfied'."""
 
-    NO_TIME = "no_time"  # its deadline is too near for an attempt
-    ATTEMPTS_USED = "attempts_used"  # as many attempts as the settings allow
+    NO_TIME = "no_time"  # too little time is left before its deadline for an attempt
+    ATTEMPTS_USED = "attempts_used"  # the maximum number of attempts has been made
     NO_SERVER = "no_server"  # no server is listed, healthy, warm enough and allowed
-    CROWDED = "crowded"  # the servers that could take it have enough in flight
-    LINK_CROWDED = "link_crowded"  # nor can it be filled: the uplink or its sources are full
-    ORIGIN_FAILING = "origin_failing"  # little goes to the origin while what goes there ends badly
-    NOT_HELD = "not_held"  # it was only looked for, and is not there
-    RETRY_BUDGET = "retry_budget"  # requests have not earned a retry lately
-    MAY_HAVE_RUN = "may_have_run"  # a retry could be a second effect
-    EARLY = "early"  # a client came back before its time in the retry schedule
-    STOPPING = "stopping"  # read after the process began to end, or open at its last moment
-    FAULT = "fault"  # an exception of ours, or a check at run time that failed
+    CROWDED = "crowded"  # the eligible servers have no capacity left
+    LINK_CROWDED = "link_crowded"  # the lookup missed, and the uplink or its fill sources are at their limits
+    ORIGIN_FAILING = "origin_failing"  # the origin's circuit breaker did not admit the fill
+    NOT_HELD = "not_held"  # a cache lookup without a fill missed
+    RETRY_BUDGET = "retry_budget"  # recent requests have not earned another retry
+    MAY_HAVE_RUN = "may_have_run"  # a retry could execute the request twice
+    EARLY = "early"  # the client retried before its reserved time in the retry schedule
+    STOPPING = "stopping"  # received after shutdown began, or still open when the process exits
+    FAULT = "fault"  # an exception in the router, or a failed runtime check
 
 
 class Withdrawal(enum.StrEnum):
-    """Why no response is owed any more to a request that has none."""
+    """Why a request without a final response no longer needs one."""
 
-    CANCELLED = "cancelled"  # its client said so
-    CLIENT_GONE = "client_gone"  # its connection ended
+    CANCELLED = "cancelled"  # the client cancelled it
+    CLIENT_GONE = "client_gone"  # the client's connection ended
 
 
 class HeldBack(enum.StrEnum):
-    """Why an attempt was not written when and as it was decided."""
+    """Why an attempt was not written at the time, or in the form, in which it was decided."""
 
-    CLIENT_GONE = "client_gone"  # its client has cancelled it or left
-    CLIENT_UNREAD = "client_unread"  # bytes of its client were not read yet: they may be a cancel
-    LIST_UNREAD = "list_unread"  # so were bytes of the command channel: they may be a drain or a purge
-    STALLED = "stalled"  # the loop stood still since, and not all that lay there has been read
-    CHANGED = "changed"  # a drain, a purge or the end of the process came between
-    LATE = "late"  # it waited too long, for its connection or for one of these
-    NO_TIME = "no_time"  # its time was over by then
+    CLIENT_GONE = "client_gone"  # the client has cancelled the request or disconnected
+    CLIENT_UNREAD = "client_unread"  # unread bytes from the client may contain a cancel
+    LIST_UNREAD = "list_unread"  # unread bytes on the command channel may contain a drain or a purge
+    STALLED = "stalled"  # the event loop has stalled since, and not all pending input has been read
+    CHANGED = "changed"  # a drain, a purge or shutdown happened in the meantime
+    LATE = "late"  # it waited too long for its connection or for one of the conditions above
+    NO_TIME = "no_time"  # the deadline was reached first
 
 
-# Reasons that pass as soon as what lies in the system has been read.
+# Reasons that cease to apply once all pending input has been read.
 UNREAD_INPUT = frozenset((HeldBack.CLIENT_UNREAD, HeldBack.LIST_UNREAD, HeldBack.STALLED))
 
 
 class CloseReason(enum.StrEnum):
-    """Why a connection was closed by this process, or that the other side did it."""
+    """Why a connection was closed, by this process or by the peer."""
 
-    PEER = "peer"  # closed or reset by the other side
+    PEER = "peer"  # closed or reset by the peer
     IDLE = "idle"
-    NO_CALL = "no_call"  # a client that has never asked
-    ROOM = "room"  # others need its descriptor
-    SLOW = "slow"  # half a message and not its rest in time
+    NO_CALL = "no_call"  # a client that has never sent a call
+    ROOM = "room"  # its file descriptor is needed for another connection
+    SLOW = "slow"  # a message was started but not completed in time
     UNREADABLE = "unreadable"
-    BREACH = "breach"  # the client broke the protocol's numbers, ids or bounds
-    MEMORY = "memory"  # the bytes held for all clients passed their bound
-    UNREAD = "unread"  # its last answers were not read
-    FAILED = "failed"  # a write or read failed, or an exception of ours
+    BREACH = "breach"  # the client violated the protocol's sequence numbers, ids or limits
+    MEMORY = "memory"  # the bytes buffered for all clients exceeded their limit
+    UNREAD = "unread"  # the client did not read its last responses
+    FAILED = "failed"  # a read or write failed, or the router raised an exception
     STOPPING = "stopping"
-    SILENT = "silent"  # a server: nothing was received in time, not even the answer to an ECHO
-    NO_CONNECTION = "no_connection"  # a server: the connect failed or took too long
-    RETIRED = "retired"  # a server: it takes nothing new and nothing is out on it
-    UNSENT = "unsent"  # a server: closing withdraws for sure what may not have been written
+    SILENT = "silent"  # a server: nothing was received in time, not even a reply to an ECHO
+    NO_CONNECTION = "no_connection"  # a server: the connect failed or timed out
+    RETIRED = "retired"  # a server: it accepts no new requests and none is outstanding
+    UNSENT = "unsent"  # a server: closing guarantees that an attempt not yet written is never sent
 
 
-# Closes that may end a connection with a query open or unread: its client left, broke the protocol, or the
-# process ends.
+# Reasons that may close a client connection with open requests or unread calls: the client disconnected or
+# broke the protocol, or the process is shutting down.
 FORCED_CLOSES = frozenset(
     (
         CloseReason.PEER,
@@ -99,26 +102,26 @@
     """How an attempt ended."""
 
     SATISFIED = "satisfied"
-    ERRORED = "errored"  # the server answered with an error of its own
-    FULL = "full"  # the server, or the source of its fill, shed it
+    ERRORED = "errored"  # the server responded with an error
+    FULL = "full"  # the server, or the source of its fill, shed the request
     TIMEOUT = "timeout"
-    UNREACHABLE = "unreachable"  # no connection
-    BROKEN = "broken"  # the connection ended before the answer
+    UNREACHABLE = "unreachable"  # no connection could be made
+    BROKEN = "broken"  # the connection ended before the response
     CANCELLED = "cancelled"
-    MOOT = "moot"  # its deadline was over when the server read it
-    MISS = "miss"  # not held, and not to be filled
-    UNSENT = "unsent"  # it was taken back before it was written
+    MOOT = "moot"  # the deadline had passed when the server read the request
+    MISS = "miss"  # the object was not cached and the server was not to fill it
+    UNSENT = "unsent"  # withdrawn before it was written
 
 
 class Ran(NamedTuple):
-    """The first attempt of a request that may have run: where, and when it was sent."""
+    """Where and when the first attempt of a request that may have been executed was sent."""
 
     zone: int
     cell: int
     at: float
 
 
-# Ends of an attempt that prove that nothing ran.
+# Results that prove that the server did not execute the request.
 NEVER_RAN = frozenset(
     (
         AttemptResult.FULL,
@@ -131,14 +134,14 @@
 
 
 def may_send_to(state: str) -> bool:
-    """Whether a server in that state, as last told, takes new work or may be the source of a fill."""
+    """Return whether a server last listed in `state` accepts new requests and may act as a fill source."""
     return state == READY_STATE
 
 
 def may_repeat(request_class: RequestClass, ran: Ran | None, zone: int, cell: int, now: float) -> bool:
-    """Whether a request may be sent to a server at that zone and cell.
+    """Return whether a request may be sent to a server in `zone` and `cell` without executing it twice.
 
-    `ran` is its first attempt that may have run, or None.
+    `ran` is its first attempt that may have been executed, or None.
     """
     if ran is None or request_class.idempotency is Idempotency.REPEATABLE:
         return True
@@ -151,50 +154,55 @@
 
 
 def may_invite_retry(request_class: RequestClass, ran: Ran | None) -> bool:
-    """Whether the final response may be a rejection, which invites the client to ask again."""
+    """Return whether the final response may be a rejection, after which the client may retry.
+
+    `ran` is the first attempt that may have been executed, or None.
+    """
     if ran is None or request_class.idempotency is Idempotency.REPEATABLE:
         return True
     is_keyed = request_class.idempotency is Idempotency.KEYED
     return is_keyed and request_class.deduplication_scope is DeduplicationScope.ALL
 
 
-def may_close(reason: CloseReason, has_open_query: bool, has_unread_call: bool) -> bool:
-    """Whether a client's connection may be closed now."""
-    return reason in FORCED_CLOSES or not (has_open_query or has_unread_call)
+def may_close(reason: CloseReason, has_open_request: bool, has_unread_call: bool) -> bool:
+    """Return whether a client's connection may be closed now."""
+    return reason in FORCED_CLOSES or not (has_open_request or has_unread_call)
 
 
-def may_pass_deadline(patience_s: float, left_s: float) -> bool:
-    """Whether a server may be told that the router waits so long, of what its client has left."""
-    return patience_s <= left_s + DEADLINE_SLACK_S
+def may_pass_deadline(timeout_s: float, time_left_s: float) -> bool:
+    """Return whether a server may be given `timeout_s` when the client's deadline is `time_left_s` away."""
+    return timeout_s <= time_left_s + DEADLINE_SLACK_S
 
 
-def slow_start_bound(calls: float) -> float:
-    """Return the calls of mean work that a server bears in one window of its slow start.
+def slow_start_bound(requests: float) -> float:
+    """Return the most requests of mean size that a server may get in one window of its slow start.
 
-    `calls` is what the settings allow; beside it stands what chance may add.
+    `requests` is the number that the settings allow; a margin for random variation is added to it.
     """
-    root = max(0.0, calls) ** 0.5
-    return calls + 3.0 * root + 3.0 if calls < FEW_CALLS else calls + 2.0 * root + 2.0
+    root = max(0.0, requests) ** 0.5
+    return requests + 3.0 * root + 3.0 if requests < SMALL_REQUEST_COUNT else requests + 2.0 * root + 2.0
 
 
 def event_time(now: float, stamped: float) -> float:
-    """Return when an event took place that was told just now, by the stamp of its sender's wall clock.
+    """Return when an event that was received at `now` took place.
 
-    A stamp of the future, or of longer ago than events are told late, is that of a clock that was set: now
-    is taken, which tightens every rule.
+    `stamped` is the sender's wall-clock timestamp, converted to the caller's clock. A timestamp in the
+    future, or older than PLAUSIBLE_DELAY_S, means that a clock was set; `now` is returned for it, which makes
+    every rule stricter.
     """
     return stamped if now - PLAUSIBLE_DELAY_S <= stamped <= now else now
 
 
 def known_event_time(now: float, stamped: float, newest: float) -> float:
-    """Return when an event took place that was known at the start, by its sender's stamp.
+    """Return when an event that was already known at the start took place, from its sender's timestamp.
 
-    The newest one of its kind cannot be later than now; by how much earlier it was a clock that is ahead
-    cannot tell, so all count from it. That tightens every rule.
+    `newest` is the latest timestamp of its kind. That event cannot lie in the future, but if the sender's
+    clock is ahead nothing shows how long ago it was, so the ages of all events are counted from it. This
+    makes every rule stricter.
     """
     return max(min(stamped, now), now - (newest - stamped))
 
 
 def stamp_is_plausible(now: float, stamped: float) -> bool:
-    """Whether a copy's age can be told by its stamp: one of the future would make it younger than it is."""
+    """Return whether a timestamp may be used for a copy's age: one in the future would make it too young."""
     return stamped <= now + STAMP_SLACK_S
--- a/brookhinge/decisions/server_selection.py
+++ b/brookhinge/decisions/server_selection.py
@@ -1,8 +1,8 @@
-"""Which cache a request goes to.
+"""Selects the cache for a request.
 
-A holder of the object, else its home on the beacon rings, else who stands in for that.
+It is a holder of the object, or else its home on the beacon rings, or else a substitute for that.
 
-An object in demand gets one cache more, filled from a holder.
+An object in demand gets an additional replica, filled from a holder.
 """
 
 from collections.abc import Sequence
@@ -18,9 +18,8 @@
 from brookhinge.decisions.request_state import RequestState
 from brookhinge.decisions.settings import SiblingFills
 
-SLOW_EVIDENCE_S = (
-    2.0  # seconds of transfer that must speak of a cache before it counts as slower than its peers
-)
+# Seconds of transfers that must have been observed before a cache may count as slower than its peers.
+SLOW_EVIDENCE_S = 2.0
 
 
 class CacheChoice(NamedTuple):
@@ -28,12 +27,12 @@
 
     server: int
     has_capacity: bool
-    is_holder: bool  # it served a fresh copy lately
-    sibling: int | None = None  # the holder that it is to be filled from
+    is_holder: bool  # whether it recently served a copy that is still fresh
+    sibling: int | None = None  # the holder from which the cache is filled, or None
 
 
 class ServerSelector:
-    """Chooses the cache of a request. Times are seconds."""
+    """Selects the cache for each request. Times are seconds."""
 
     def __init__(
         self,
@@ -57,7 +56,10 @@
         self._rng = rng
 
     def choose(self, request: RequestState, share: float, now: float) -> CacheChoice | None:
-        """Return the cache for a request that has that share of a limit; None if no cache may take it."""
+        """Return the cache for a request; None if no cache may serve it.
+
+        `share` is the fraction of a concurrency limit that is open to the request.
+        """
         work = self._statistics.transfer_s[request.class_index]
         holders, candidates = self._candidates(request, now)
         home = next(
@@ -70,11 +72,10 @@
         )
         if home is None:
             return None
-        server, has_capacity = self._with_capacity(home, request, holders, candidates, share, now)
+        server, has_capacity = self._find_capacity(home, request, holders, candidates, share, now)
         fresh_s = request.request_class.fresh_s
-        is_stale = (
-            0.0 < fresh_s < now - request.object.filled_at
-        )  # a holder's copy past its fresh time is a fill
+        # A holder's copy that is no longer fresh has to be filled again.
+        is_stale = 0.0 < fresh_s < now - request.object.filled_at
         is_holder = server in holders and not is_stale
         if is_holder and request.attempts == 0:
             replica = self._new_replica(server, request, holders, share, now)
@@ -83,14 +84,14 @@
         return CacheChoice(server, has_capacity, is_holder)
 
     def _candidates(self, request: RequestState, now: float) -> tuple[list[int], list[int]]:
-        """Return the holders that may be asked, and all caches that may be.
+        """Return the known holders, and all available caches in order of preference.
 
-        The latter in order: holders by load, home, stand-ins.
+        That order is the holders by load, then the home, then its substitutes.
         """
         endpoints = self._endpoints
         beacon_order = self._rings.beacon_order(request.object.code)
         holders: list[int] = []
-        if not request.is_uncacheable:  # what runs at the origin is held by nobody
+        if not request.is_uncacheable:  # nothing executed at the origin is cached
             known = self._eligibility.current_holders(request.object, now)
             holders = [
                 server for server in known if server in beacon_order and server not in request.failed_servers
@@ -105,9 +106,9 @@
                 for server in holders
             }
             order = sorted(holders, key=load.get) + [server for server in beacon_order if server not in load]
-        return holders, [server for server in order if self._eligibility.is_open(server, request, now)]
+        return holders, [server for server in order if self._eligibility.is_available(server, request, now)]
 
-    def _with_capacity(
+    def _find_capacity(
         self,
         home: int,
         request: RequestState,
@@ -116,10 +117,10 @@
         share: float,
         now: float,
     ) -> tuple[int, bool]:
-        """The chosen cache, or another in its place that has capacity; and whether it has.
+        """Return the chosen cache or a substitute with capacity, and whether the returned cache has capacity.
 
-        Elsewhere than at a holder the request would miss and be filled anew, so only holders stand in for
-        one another, unless the cache alone is crowded and not all are.
+        A cache that is not a holder would miss and need another fill, so normally only holders substitute
+        for each other. Any cache may substitute for one that is slower than its peers.
         """
         if self._eligibility.has_capacity(home, share, now):
             return home, True
@@ -143,22 +144,27 @@
     def _new_replica(
         self, holder: int, request: RequestState, holders: Sequence[int], share: float, now: float
     ) -> int | None:
-        """The cache that should hold the object too, if its demand asks for one more and that can take it."""
+        """Return a cache for another replica, or None if demand is too low or the cache cannot fill it."""
         caches = self._endpoints.local_caches
         max_holders = (len(caches) + 1) // 2
         if len(holders) >= max_holders:
             return None
         if self._objects.replication_utility(request.object, len(holders), now) <= 1.0:
             return None
-        last = caches.index(holders[-1])
+        last_position = caches.index(holders[-1])
         replica = next(
-            (server for server in caches[last + 1 :] + caches[:last] if server not in holders), None
+            (
+                server
+                for server in caches[last_position + 1 :] + caches[:last_position]
+                if server not in holders
+            ),
+            None,
         )
         if replica is None or self._siblings is SiblingFills.NONE:
             return None
         work = self._statistics.transfer_s[request.class_index]
         can_fill = (
-            self._eligibility.is_open(replica, request, now)
+            self._eligibility.is_available(replica, request, now)
             and not self._eligibility.is_warming_up(holder, now)
             and self._eligibility.has_capacity(replica, share, now)
             and self._eligibility.admits_work(replica, work, request, now)
--- a/brookhinge/decisions/sink.py
+++ b/brookhinge/decisions/sink.py
@@ -1,4 +1,4 @@
-"""The sink that decisions go to, and the attempt as it is decided."""
+"""The interface through which decisions are carried out, and the attempts that are decided on."""
 
 import enum
 from typing import NamedTuple, Protocol
@@ -7,7 +7,7 @@
 
 
 class Retention(enum.IntEnum):
-    """How much a cache should want to keep the copy that it fills."""
+    """The priority with which a cache should keep the copy that it fills."""
 
     NONE = 0
     NORMAL = 1
@@ -15,38 +15,38 @@
 
 
 class Attempt(NamedTuple):
-    """One try to have a request answered by a server."""
+    """One attempt to have a server answer a request."""
 
     server: int | str
-    deadline: float  # when it is given up, seconds of the caller's clock
-    fill_from: int | str  # where the server may fill from; itself: it answers from what it holds
+    deadline: float  # when the attempt times out, in seconds on the caller's clock
+    fill_from: int | str  # the fill source; the server itself: it may answer only from its cache
     retention: Retention
-    max_age_s: float  # the oldest copy that will do; 0: as the request class has it
-    joins_fill: bool  # it may wait for a fill of the same object that is under way
-    cached_only: bool  # the source is asked for what it holds, it fetches nothing itself
-    revalidates: bool  # an aged copy is answered and renewed behind
+    max_age_s: float  # age of the oldest acceptable copy; 0: as configured for the request class
+    joins_fill: bool  # the server may wait for a fill of the same object that is in progress
+    cached_only: bool  # the fill source may answer only from its cache
+    revalidates: bool  # the server may answer with a stale copy and revalidate it in the background
 
 
 class DecisionSink(Protocol):
-    """Takes the decisions of a round, in the order in which they take effect."""
+    """Receives the decisions of a round in the order in which they take effect."""
 
     def forward(self, request_id: int, attempt: Attempt) -> None:
         """Send a request to a server."""
 
     def reject(self, request_id: int, retry_after_s: float, reason: Refusal | None = None) -> None:
-        """Answer finally that nothing was done; the client may ask again after that time."""
+        """Respond that the request was not executed; the client may retry after `retry_after_s` seconds."""
 
     def fail(self, request_id: int, reason: Refusal | None = None) -> None:
-        """Answer finally with an error: asking again could do harm."""
+        """Respond with an error: a retry could execute the request twice."""
 
     def respond_from_copy(self, request_id: int, name: tuple) -> None:
-        """Answer finally with a copy kept under that name."""
+        """Respond with the copy that is kept under `name`."""
 
     def keep_copy(self, request_id: int, name: tuple) -> None:
-        """Keep the body that this request has just been answered with."""
+        """Keep the body with which this request was just answered under `name`."""
 
     def drop_copy(self, name: tuple) -> None:
-        """Forget a copy."""
+        """Drop the copy that is kept under `name`."""
 
     def log(self, text: str) -> None:
-        """Tell operators of a decision."""
+        """Log a decision for operators."""
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -66,7 +66,7 @@
         ),
         (
             {"settings": {**settings(), "Rules": {"FallMultiple": 2.0}}},
-            "settings.Rules.FallNs: expected more than 0 where cold servers fall at a multiple, got 0",
+            "settings.Rules.FallNs: expected more than 0 with FallMultiple or ParentBreaksAt above 0, got 0",
         ),
         (
             {"settings": {**settings(), "Rules": {"ColdFrom": 1.5}}},
@@ -94,7 +94,7 @@
         ),
         (
             {"settings": {"Classes": [{"Name": "a", "AimNs": 1, "DeadlineNs": 1}] * 2}},
-            "settings.Classes[1].Name: expected another name, 'a' stands there twice",
+            "settings.Classes[1].Name: expected a name that no other class has, got 'a'",
         ),
         ({"settings": settings(Multiplex=0)}, "settings.Limits.Multiplex: expected more than 0, got 0"),
         (
