--- a/brookhinge/decisions/router.py
+++ b/brookhinge/decisions/router.py
@@ -369,7 +369,7 @@
         self.sink.forward(request.request_id, attempt)
 
     def retry(self, request: RequestState, result: AttemptResult) -> None:
-        """Send another attempt or the final response after a failed attempt; execute nothing twice."""
+        """Send another attempt or the final response after a failed attempt, without a second execution."""
         is_shed_or_missed = result in (AttemptResult.FULL, AttemptResult.MISS)
         # A failed sibling fill is retried from elsewhere without using the retry budget.
         if request.fill is FillKind.SIBLING and is_shed_or_missed:
--- a/tests/overload/test_decisions.py
+++ b/tests/overload/test_decisions.py
@@ -69,10 +69,10 @@
 
 
 def test_new_requests_go_before_late_retries_on_a_cold_fleet():
-    new_beside_late, late = count_sent([(0.0, False), (5.0, False)])
-    new_beside_prompt, prompt = count_sent([(0.0, False), (0.05, False)])
-    print(new_beside_late, late, new_beside_prompt, prompt)
-    assert late < 0.35 * new_beside_late and prompt > 0.7 * new_beside_prompt
+    new_with_late, late = count_sent([(0.0, False), (5.0, False)])
+    new_with_prompt, prompt = count_sent([(0.0, False), (0.05, False)])
+    print(new_with_late, late, new_with_prompt, prompt)
+    assert late < 0.35 * new_with_late and prompt > 0.7 * new_with_prompt
 
 
 def test_late_retries_are_served_when_nothing_else_needs_the_budget():
