--- a/brookhinge/decisions/eligibility.py
+++ b/brookhinge/decisions/eligibility.py
@@ -13,8 +13,8 @@
 from brookhinge.decisions.throughput import ThroughputEstimate
 
 HOLDER_TTL_S = 20.0  # how long after its last response a cache counts as a holder
-LATE_RETRY_RESERVED_SHARE = 0.5  # of a budget's credit, left to others by retries without utility
-SCHEDULED_RETRY_BORROWED_SHARE = 0.25  # of a budget's credit, open to scheduled retries on loan
+LATE_RETRY_RESERVED_SHARE = 0.5  # of a budget's credit; a retry without utility leaves it to others
+SCHEDULED_RETRY_BORROWED_SHARE = 0.25  # of a budget's credit that such a retry may borrow
 
 
 class ServerEligibility:
