--- a/brookhinge/decisions/endpoints.py
+++ b/brookhinge/decisions/endpoints.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from brookhinge.decisions.messages import Endpoint
-from brookhinge.decisions.rules import NEVER, SEND_STATE, event_time, known_event_time
+from brookhinge.decisions.rules import NEVER, READY_STATE, event_time, known_event_time
 
 # Nothing that was sent to a server can still be in flight this long after it left the list, so that its index
 # may be reused.
@@ -89,13 +89,13 @@
     def is_ready_local_cache(self, server: int) -> bool:
         """Return whether a server is a ready cache server in this router's zone."""
         is_local = self.role[server] is ServerRole.CACHE and self.zone[server] == self.own_zone
-        return is_local and self.state[server] == SEND_STATE
+        return is_local and self.state[server] == READY_STATE
 
     def _update_row(self, now: float, row: Endpoint) -> int:
         """Apply one row of the list; return the index of its server."""
         server = self._index_of(now, row.server)
         is_other_start = self.started_at[server] != row.started_at
-        if row.state != SEND_STATE or is_other_start:  # removed, drained or restarted: its copies are lost
+        if row.state != READY_STATE or is_other_start:  # removed, drained or restarted: its copies are lost
             self.emptied_at[server] = now
         if is_other_start or server in self.newly_indexed:
             self.warming_since[server] = self._effective_start(now, row.started_at)
