--- a/brookhinge/__main__.py
+++ b/brookhinge/__main__.py
@@ -1,6 +1,6 @@
-"""The entry of both programs: the platform's router without arguments, the command line with some.
+"""Entry point of both programs: the router without arguments, the command line tool with arguments.
 
-Each imports nothing of the other: the platform gives a router little memory.
+Neither imports modules of the other, because the platform gives a router little memory.
 """
 
 import signal
@@ -8,13 +8,15 @@
 
 
 def main() -> int | None:
-    """Run the program that the arguments ask for and return its exit code."""
+    """Run the program selected by the arguments and return its exit code."""
     if len(sys.argv) > 1:
         from brookhinge.cli import main as command_line
 
         return command_line()
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # it would end a router that has not read its file yet
-    sys.modules["curses"] = None  # tornado would load it to colour logs: half a megabyte of a small limit
+    # SIGHUP would end a router that has not read its configuration yet.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
+    # Keeps tornado from importing curses for colored logs, which takes half a megabyte of little memory.
+    sys.modules["curses"] = None
     from brookhinge.net.program import main as router
 
     return router()
--- a/brookhinge/net/cachewire.py
+++ b/brookhinge/net/cachewire.py
@@ -1,6 +1,7 @@
-"""The lines that routers and cache servers exchange: words, with bodies by length. No I/O.
+"""Codec of the line protocol between routers and cache servers. Does no I/O.
 
-This module is the only one of the router that knows the names of this wire.
+A message is a line of space-separated words; the line states the length of the body that may follow it. No
+other module of the router uses the field names of this protocol.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 MAX_BODY_BYTES = 240_000
 LINE_END = b"\r\n"
 
-# Results of an attempt, by the word of its answer.
+# Result of an attempt by the status word of its answer.
 RESULTS = {
     b"data": AttemptResult.SATISFIED,
     b"unchanged": AttemptResult.SATISFIED,
@@ -26,7 +27,7 @@
     b"moot": AttemptResult.MOOT,
 }
 UNCHANGED = b"unchanged"
-# Notes on how a server came to its result; the decisions know them by number, from 1.
+# Notes on how a server obtained its result. The decisions identify them by number, starting at 1.
 _NOTE_NAMES = (
     b"hit",
     b"filled",
@@ -43,28 +44,28 @@
 
 
 class AnswerLine(NamedTuple):
-    """An answer as it came."""
+    """An answer as received, with its fields still undecoded."""
 
     request_id: bytes
-    word: bytes
+    status: bytes
     fields: dict[bytes, bytes]
     body: bytes
 
 
 class Result(NamedTuple):
-    """What an answer says."""
+    """The decoded status and fields of an answer."""
 
     result: AttemptResult
-    note: int  # one of NOTES; 0: none
-    source_wait_s: float  # how long the server waited for its source
+    note: int  # a value of NOTES, or 0 if the answer has no known note
+    source_wait_s: float  # time that the server waited for the source of its fill
     load_report: list[float] | None
-    dated_at: float | None  # when the copy was made, in Unix seconds
-    version: bytes | None  # tag of the copy
+    dated_at: float | None  # Unix time at which the copy was made
+    version: bytes | None  # version tag of the copy
     purge_group: bytes | None
 
 
 def encode_pull(attempt: SendAttempt, timeout_s: float) -> bytes:
-    """Encode an attempt, with the time that is left for its answer."""
+    """Encode an attempt as a PULL line that gives the server `timeout_s` to answer."""
     fields = [
         b"sort=" + attempt.class_name,
         b"asset=" + attempt.object_key,
@@ -102,21 +103,21 @@
 
 
 def encode_kill(request_id: bytes) -> bytes:
-    """Encode that an attempt is given up."""
+    """Encode the cancellation of an attempt."""
     return b"KILL %b\r\n" % request_id
 
 
 def encode_echo(tag: bytes) -> bytes:
-    """Encode a health check of the connection; the answer bears the tag as its id."""
+    """Encode a health check of the connection; its answer has the tag as its request id."""
     return b"ECHO %b\r\n" % tag
 
 
 class LineSplitter:
-    """Cuts a stream of bytes, in any pieces, into lines with the bodies that they announce.
+    """Splits a byte stream that arrives in arbitrary chunks into lines and their bodies.
 
     Attributes:
-        buffered: Bytes that belong to no item yet.
-        head: The values of a line whose body has not come whole, or None.
+        buffered: Received bytes that do not form a complete item yet.
+        head: Parsed values of a line whose body is still incomplete, or None.
     """
 
     def __init__(self) -> None:
@@ -126,18 +127,18 @@
 
     @staticmethod
     def begin(line: bytes) -> tuple[tuple, int | None]:
-        """Return the values of a line, and how many bytes follow as its body; None where none do.
+        """Parse a line into its values and the size of the body that follows, None if no body follows.
 
         Raises:
-            UnreadableError: The line cannot be read.
+            UnreadableError: The line is malformed.
         """
         raise NotImplementedError
 
     def feed(self, data: bytes) -> list[tuple]:
-        """Return the items that are complete with `data`: the values of the line, and its body if it has one.
+        """Return the items that `data` completes: the values of each line, and its body if it has one.
 
         Raises:
-            UnreadableError: The bytes are not of this protocol.
+            UnreadableError: The bytes violate the protocol.
         """
         buffered = self.buffered
         buffered += data
@@ -148,7 +149,9 @@
                 line_end = buffered.find(LINE_END, position, position + MAX_LINE_BYTES)
                 if line_end < 0:
                     if len(buffered) - position >= MAX_LINE_BYTES:
-                        raise UnreadableError("a line that is too long")
+                        raise UnreadableError(
+                            f"expected a line of at most {MAX_LINE_BYTES} bytes, got a longer one"
+                        )
                     break
                 head, body_size = self.begin(bytes(buffered[position:line_end]))
                 position = line_end + len(LINE_END)
@@ -162,7 +165,7 @@
             if len(buffered) < item_end:
                 break
             if buffered[body_end:item_end] != LINE_END:
-                raise UnreadableError("a body that does not end with its length")
+                raise UnreadableError(f"expected a line end after a body of {self._body_size} bytes")
             items.append((*self.head, bytes(buffered[position:body_end])))
             self.head = None
             position = item_end
@@ -171,48 +174,49 @@
 
 
 class AnswerSplitter(LineSplitter):
-    """Cuts what a cache server sends into answers; each item has the values of an `AnswerLine`."""
+    """Splits the output of a cache server into answers; each item holds the values of an `AnswerLine`."""
 
     @staticmethod
     def begin(line: bytes) -> tuple[tuple[bytes, bytes, dict[bytes, bytes]], int]:
-        """Return id, word and fields of an answer, and the size of its body.
+        """Parse a line into request id, status and fields of an answer, and the size of its body.
 
         Raises:
-            UnreadableError: The line cannot be read.
+            UnreadableError: The line is malformed.
         """
         words = line.split(b" ")
         if len(words) != 4 or not is_body_size(words[3]):
-            raise UnreadableError(f"the line {line[:80]!r}")
-        request_id, word, fields, size = words
-        return (request_id, word, read_fields(fields)), int(size)
+            raise UnreadableError(f"expected an answer line, got {line[:80]!r}")
+        request_id, status, fields, size = words
+        return (request_id, status, read_fields(fields)), int(size)
 
 
 def is_body_size(text: bytes) -> bool:
-    """Return whether a word is the size of a body, within its bound."""
+    """Return whether a word is a valid body size, at most MAX_BODY_BYTES."""
     return text.isdigit() and len(text) <= 7 and int(text) <= MAX_BODY_BYTES
 
 
 def read_fields(text: bytes) -> dict[bytes, bytes]:
-    """Read name=value pairs; `-` stands for none."""
+    """Parse comma-separated name=value pairs; `-` or an empty text means no fields."""
     if text in (b"-", b""):
         return {}
     return dict(pair.partition(b"=")[::2] for pair in text.split(b","))
 
 
-def read_result(word: bytes, fields: dict[bytes, bytes], load_columns: Sequence[bytes]) -> Result:
-    """Read what an answer says.
+def read_result(status: bytes, fields: dict[bytes, bytes], load_columns: Sequence[bytes]) -> Result:
+    """Decode the status and the fields of an answer.
 
     Args:
-        word: Of the answer.
-        fields: Of the answer.
-        load_columns: The names whose values make up a load report, in this order; none: reports are not read.
+        status: Status word of the answer.
+        fields: Fields of the answer.
+        load_columns: Names of the values that make up a load report, in this order. If empty, load reports
+            are ignored.
 
     Raises:
-        UnreadableError: The word is unknown, or a field is no number.
+        UnreadableError: The status is unknown, or a numeric field is not a number.
     """
     try:
         return Result(
-            result=RESULTS[word],
+            result=RESULTS[status],
             note=NOTES.get(fields.get(b"n"), 0),
             source_wait_s=float(fields.get(b"first", 0.0)) / 1000.0,
             load_report=_read_load_report(fields.get(b"l"), load_columns),
@@ -221,7 +225,9 @@
             purge_group=fields.get(b"lot"),
         )
     except (KeyError, ValueError):
-        raise UnreadableError(f"the answer {word!r} {fields!r:.80}") from None
+        raise UnreadableError(
+            f"unknown status or invalid number in answer {status!r} {fields!r:.80}"
+        ) from None
 
 
 def _read_load_report(text: bytes | None, columns: Sequence[bytes]) -> list[float] | None:
--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -1,7 +1,6 @@
-"""What a router of a fleet shares with its peers, as its block `fleet` of the operator's file says.
+"""Connects a router to the state that it shares with its peers, as configured by its `fleet` block.
 
-The packages of the fleet are imported only where the block turns them on: a router without peers does not
-pay for them.
+Fleet packages are imported only if the block enables them, so that a router without peers does not load them.
 """
 
 from __future__ import annotations
@@ -23,14 +22,14 @@
     from brookhinge.operator.settings import Control, Fleet
     from brookhinge.purgelog.client import LogClient
 
-JOIN_RETRY_S = 0.05  # between two tries to bind the address that the process before still holds
+JOIN_RETRY_S = 0.05  # between attempts to bind the address that the previous process still holds
 
 
 def safety_notices(started_at: float) -> SafetyNotices:
-    """Return the store of what peers tell that tightens a rule.
+    """Return a store for safety notices: notices from peers that tighten a rule.
 
     Args:
-        started_at: When this router started, in Unix seconds.
+        started_at: Unix time at which this router started.
     """
     from brookhinge.membership.safety_notices import SafetyNotices
 
@@ -38,7 +37,7 @@
 
 
 def router_class(fleet: Fleet | None) -> type[Router]:
-    """Return the class of the decisions, extended by what the fleet shares."""
+    """Return the decision class, extended with a mixin for each kind of state that the fleet shares."""
     extensions = []
     if fleet is not None and fleet.share_limits:
         from brookhinge.limits.shared import SharedLimitsMixin
@@ -60,10 +59,10 @@
 
 
 class FleetLink:
-    """This router's membership in the fleet, and its client of the purge log where there is one.
+    """This router's membership in the fleet, and its purge log client if it reads the purge log.
 
     Attributes:
-        before_round: Functions to call before each round; what they post goes before all else.
+        before_round: Functions to call before each round. Events that they post come first in that round.
     """
 
     def __init__(
@@ -78,8 +77,8 @@
     ) -> None:
         from brookhinge.membership.udp_transport import UdpTransport
 
-        place = site.decisions.location
-        configured_sizes = (place.routers_here, place.routers)
+        location = site.decisions.location
+        configured_sizes = (location.routers_here, location.routers)
         self._fleet = fleet
         self._state = state
         self._log = log
@@ -139,9 +138,9 @@
         self.before_round.append(self._purge_log.before)
 
     def notify_peers(self, effect: NotifyPeers) -> None:
-        """Tell the peers something that tightens a rule.
+        """Send peers a notice that tightens a rule.
 
-        Purges are left out where the settings say so, for as long as the purge log delivers them.
+        Purges are omitted if the settings say so, while the purge log delivers them.
         """
         is_in_purge_log = (
             effect.kind == "purge" and self._purge_log is not None and self._purge_log.replaces_notices()
@@ -150,19 +149,19 @@
             self._transport.spread(effect.kind, *effect.values)
 
     async def join(self) -> None:
-        """Begin to exchange messages with the peers and to read the purge log.
+        """Start exchanging messages with peers and reading the purge log.
 
         Raises:
-            OSError: The address of the fleet cannot be bound.
+            OSError: A fleet address cannot be bound.
         """
         if self._purge_log is not None and self._purge_log.closed():
             await self._purge_log.start()
         await self._transport.start()
 
     async def join_after_predecessor(self) -> None:
-        """Join the fleet once the process before this one has left it.
+        """Join the fleet once the previous process of this router has left it.
 
-        The two have the same name and address.
+        Both processes have the same name and address.
         """
         while True:
             try:
@@ -176,7 +175,7 @@
             await asyncio.sleep(JOIN_RETRY_S)
 
     async def leave(self) -> None:
-        """Leave the fleet; this router's share of the limits was in use until now."""
+        """Leave the fleet; this router's share of the limits is in use until then."""
         if self._purge_log is not None:
             self._purge_log.stop()
         await self._transport.leave()
--- a/brookhinge/net/graceful_shutdown.py
+++ b/brookhinge/net/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The way of the process from SIGTERM to its end, with every request answered."""
+"""Graceful shutdown: from SIGTERM to exit, with an answer to every request."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,24 +7,25 @@
 from brookhinge.net.client_connections import ClientConnections
 from brookhinge.net.lingering_closes import LINGER_S
 
-DRAIN_S = 0.7  # connections and requests are still accepted for so long after SIGTERM
-MAX_FINISH_S = 3.0  # then open requests have their deadline, but no longer than this, less CLOSE_RESERVE_S
-CLOSE_RESERVE_S = 0.25  # kept for failing what is still open and for sending those answers
-CHECK_INTERVAL_S = 0.005  # between two checks whether everything is answered
-EXIT_MARGIN_S = 0.02  # kept between the last read and the time at which the process may be killed
-MIN_LAST_READ_S = 0.03  # what lies in the system is read for so long at least, even after a stall
+DRAIN_S = 0.7  # connections and requests are still accepted for this long after SIGTERM
+# After DRAIN_S open requests may run to their deadline, but at most this long; includes CLOSE_RESERVE_S.
+MAX_FINISH_S = 3.0
+CLOSE_RESERVE_S = 0.25  # time reserved to fail the remaining requests and send those answers
+CHECK_INTERVAL_S = 0.005  # interval of the checks for remaining work
+EXIT_MARGIN_S = 0.02  # between the last read and the earliest time at which the process may be killed
+MIN_FINAL_READ_S = 0.03  # input buffered by the kernel is read for at least this long, even after a stall
 
 
 class GracefulShutdown:
-    """Drains and finishes the router once it was asked to end.
+    """Drains the router and finishes its open requests once a shutdown is requested.
 
-    The process may be killed once the longest deadline and DRAIN_S have passed: what is open then is failed
-    before.
+    The process may be killed when DRAIN_S plus the longest request timeout have passed. Requests that are
+    still open shortly before that are failed.
 
     Attributes:
-        is_requested: Whether the end was asked for, also before the router was ready.
-        deadline: When whatever is still open is failed, in seconds of `now`.
-        done: Set once nothing is open any more, or when the time is over.
+        is_requested: Whether a shutdown was requested, possibly before the router was ready.
+        deadline: Time by `now` at which requests that are still open are failed.
+        done: Set once no work is left or the deadline has passed.
     """
 
     def __init__(
@@ -40,12 +41,12 @@
         """Prepare for a shutdown that may be requested at any time.
 
         Args:
-            now: The clock of the router, in seconds since its start.
-            lifecycle: The lifecycle of the program.
-            has_open_work: Whether events, requests or connections in the backlog are left.
-            fail_open_requests: Answers every open request with an error, and rejects those that follow.
-            client_connections: The connections on which clients are still read.
-            longest_deadline_s: The longest time that any request class gives a request.
+            now: Returns the seconds since the router started.
+            lifecycle: Lifecycle of the process.
+            has_open_work: Returns whether events, open requests or connections in the backlog are left.
+            fail_open_requests: Answers every open request with an error, and rejects later requests.
+            client_connections: Client connections, which are still read during the shutdown.
+            longest_deadline_s: Longest request timeout of all request classes.
         """
         self.is_requested = False
         self.deadline = float("inf")
@@ -58,7 +59,7 @@
         self._longest_deadline_s = longest_deadline_s
 
     def request(self) -> None:
-        """Begin to drain; before the router is ready this is only noted."""
+        """Start draining; before the router is ready, only record the request."""
         self.is_requested = True
         if not self._lifecycle.is_ready:
             return
@@ -67,25 +68,26 @@
         self.deadline = self._now() + DRAIN_S + finish_s
         asyncio.get_running_loop().call_later(DRAIN_S, self._finish)
 
-    def last_read_at(self) -> float:
-        """Return until when connections that clients leave open are read on.
+    def read_deadline(self) -> float:
+        """Return the time until which connections that clients leave open are still read.
 
-        After a stall the deadline may have passed: what came meanwhile is read and rejected all the same.
+        After a stall the deadline may have passed already. Requests that arrived meanwhile are read and
+        rejected nevertheless.
         """
-        at = self._now() + LINGER_S
+        linger_end = self._now() + LINGER_S
         if self._lifecycle.phase is not Phase.FINISHING:
-            return at
+            return linger_end
         latest = self.deadline + CLOSE_RESERVE_S - EXIT_MARGIN_S
-        return max(self._now() + MIN_LAST_READ_S, min(at, latest))
+        return max(self._now() + MIN_FINAL_READ_S, min(linger_end, latest))
 
     def _finish(self) -> None:
         self._lifecycle.advance(Phase.FINISHING)
-        # Scheduled first: the process has to end even if the listener fails as it closes.
+        # Scheduled first so that the process ends even if closing the listener raises an exception.
         asyncio.get_running_loop().call_soon(self.check_done)
         self._client_connections.stop()
 
     def check_done(self) -> None:
-        """Set `done` once everything is answered and sent or the time is over, else check again soon."""
+        """Set `done` once all answers are sent or the time is up, otherwise schedule another check."""
         has_open_work = self._has_open_work()
         if not has_open_work or self._now() >= self.deadline:
             self._fail_open_requests()
--- a/brookhinge/net/metrics_report.py
+++ b/brookhinge/net/metrics_report.py
@@ -1,4 +1,4 @@
-"""Figures of the router in its log: every few seconds, and in total as it ends."""
+"""Metrics in the log of the router: differences every few seconds, and totals at exit."""
 
 import asyncio
 import collections
@@ -13,7 +13,7 @@
 
 
 class MetricsReport:
-    """Counts what was done since the start and logs the differences at regular intervals."""
+    """Collects the counters of the router and logs their increase at regular intervals."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._upstream_connections = upstream_connections
 
     def counts(self) -> dict[str, float]:
-        """Return totals since the start: of requests, and of the stalls of the event loop."""
+        """Return request and event loop stall totals since the start."""
         return {
             **self._state.totals.counts,
             "stalls": self._watch.stalls,
@@ -41,7 +41,7 @@
         }
 
     def reasons(self) -> dict[str, collections.Counter[str]]:
-        """Return totals by reason: of rejects, retries, withdrawals, holds, closes and violations."""
+        """Return totals by reason of rejects, retries, withdrawals, holds, closes and violations."""
         counters = {
             "refusals": self._state.totals.refusals,
             "retries": self._state.totals.retries,
@@ -57,7 +57,7 @@
         }
 
     async def run(self) -> None:
-        """Log what was done since the last line, and by how much the event loop lags, until cancelled."""
+        """Log the increase since the previous report and the lag of the event loop, until cancelled."""
         counts_before = self.counts()
         reasons_before = self.reasons()
         while True:
@@ -79,7 +79,7 @@
             reasons_before = reasons
 
     async def log_scores(self, interval_s: float) -> None:
-        """Log the scores of requests every `interval_s` seconds, until cancelled."""
+        """Log the score totals of requests every `interval_s` seconds, until cancelled."""
         while True:
             await asyncio.sleep(interval_s)
             self._log("scores", totals=self._state.scores.totals)
--- a/brookhinge/net/program.py
+++ b/brookhinge/net/program.py
@@ -1,4 +1,4 @@
-"""One router on sockets as a program, configured by the file that BALANCER_CONFIG names."""
+"""The router program: one router on sockets, configured by the file named in BALANCER_CONFIG."""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 if TYPE_CHECKING:
     from brookhinge.operator.settings import Control, Fleet
 
-EXIT_CONFIGURATION = 2  # also where an address cannot be bound
+EXIT_CONFIGURATION = 2  # unusable configuration, or an address that cannot be bound
 
 
 class FleetBlocks(NamedTuple):
-    """What the operator's file says of this router's fleet."""
+    """The blocks of the operator's file that configure this router's fleet."""
 
     fleet: Fleet | None
     controls: dict[str, Control]
 
 
 class AgentSettings(NamedTuple):
-    """What an agent hands the routers that it keeps."""
+    """Settings that an agent passes to its routers in the environment."""
 
-    listener_fd: int | None  # descriptor of the listening socket
-    scores_interval_s: float  # seconds between two log lines of scores; 0: none
+    listener_fd: int | None  # descriptor of the inherited listening socket; None if there is none
+    scores_interval_s: float  # seconds between log lines of scores; 0 for none
 
 
 def read_fleet(site: Site, environ: Mapping[str, str]) -> FleetBlocks:
-    """Return the block `fleet` of the file that BROOKHINGE_FLEET names, and its blocks `control`.
+    """Read this router's `fleet` block and all `control` blocks from the file named in BROOKHINGE_FLEET.
 
-    Without a file nothing of the fleet is imported.
+    If the variable is unset, returns no blocks and imports no fleet packages.
 
     Raises:
-        StartError: The file cannot be used, or has no block for this router.
+        StartError: The file is invalid, or has no `fleet` block for this router.
     """
     path = environ.get("BROOKHINGE_FLEET")
     if not path:
@@ -57,10 +57,10 @@
 
 
 def read_agent_settings(environ: Mapping[str, str]) -> AgentSettings:
-    """Return what an agent set in the environment.
+    """Read the settings that an agent set in the environment.
 
     Raises:
-        StartError: A value is no number.
+        StartError: A value is not a number.
     """
     listener_fd = environ.get("BROOKHINGE_LISTENER")
     scores_interval_s = environ.get("BROOKHINGE_SCORES_S")
@@ -77,28 +77,28 @@
 
 
 def limit_descriptors(site: Site) -> Site:
-    """Return the site with no more descriptors than the system gives.
+    """Return the site with its descriptor limit lowered to the soft limit of the process.
 
-    What clients, servers and command channel may hold is shared out of that number.
+    The descriptors for clients, servers and the command channel are allotted from this number.
 
     Raises:
-        StartError: The system gives too few to run at all.
+        StartError: The soft limit is too low to run.
     """
     soft_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if soft_limit == resource.RLIM_INFINITY or soft_limit >= site.bounds.sockets:
         return site
     if soft_limit < MIN_DESCRIPTORS:
         raise StartError(
-            f"limits.sockets: expected {MIN_DESCRIPTORS} descriptors at least, the system gives {soft_limit}"
+            f"limits.sockets: expected at least {MIN_DESCRIPTORS} descriptors, process limit is {soft_limit}"
         )
     return site._replace(bounds=site.bounds._replace(sockets=soft_limit))
 
 
 def open_trace(site: Site, environ: Mapping[str, str]) -> Callable[..., None] | None:
-    """Return the trace that BROOKHINGE_TRACE asks for, or None.
+    """Open the trace file named in BROOKHINGE_TRACE, and return None if the variable is unset.
 
     Raises:
-        StartError: The file cannot be written.
+        StartError: The file cannot be opened for writing.
     """
     path = environ.get("BROOKHINGE_TRACE")
     if not path:
@@ -112,7 +112,7 @@
 
 
 def reload(service: Service) -> None:
-    """Read the configuration again; one that cannot be used is logged and the old one stays in force."""
+    """Reload the configuration; log an unusable one and keep the current one."""
     try:
         service.reload(read_site(os.environ))
     except StartError as error:
@@ -130,11 +130,11 @@
     """Run a router until a signal ends it.
 
     Args:
-        site: The router's configuration.
-        blocks: What the operator's file says of its fleet.
-        agent: What an agent handed over.
-        trace: Takes each step of each request, or None.
-        early_reloads: Gets an entry for each SIGHUP that comes before the loop handles them.
+        site: Configuration of the router.
+        blocks: Fleet configuration from the operator's file.
+        agent: Settings passed by an agent.
+        trace: Called as trace(step, request id, **values) for each request and connection, or None.
+        early_reloads: Receives an entry for each SIGHUP that arrives before the event loop handles it.
 
     Raises:
         OSError: An address cannot be bound.
@@ -151,7 +151,7 @@
     for end_signal in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(end_signal, service.stop)
     loop.add_signal_handler(signal.SIGHUP, reload, service)
-    if early_reloads:  # looked at only now: from here on the loop handles the signal
+    if early_reloads:  # checked only now, after the event loop handles SIGHUP
         reload(service)
     await service.run()
 
@@ -175,7 +175,7 @@
         if blocks.fleet:
             addresses += [blocks.fleet.listen, blocks.fleet.log_listen]
         print(
-            f"brookhinge: listen: expected an address that is free here, got {addresses} ({error.strerror})",
+            f"brookhinge: listen: expected a free local address, got {addresses} ({error.strerror})",
             file=sys.stderr,
         )
         return EXIT_CONFIGURATION
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -1,4 +1,4 @@
-"""The router on sockets as one object that others can embed.
+"""The router on sockets as an embeddable object.
 
 `await Service(site).run()` serves until `stop()` is called.
 """
@@ -46,16 +46,16 @@
     from brookhinge.operator.settings import Control, Fleet
     from brookhinge.overload.ingress import Ingress
 
-RESERVED_DESCRIPTORS = 24  # neither clients nor cache servers take these
+RESERVED_DESCRIPTORS = 24  # not available to client or upstream connections
 MIN_CLIENT_DESCRIPTORS = 8
-CLIENT_MEMORY_SHARE = 4  # bytes held for clients are bounded by memory divided by this
-STALE_ATTEMPT_S = 0.05  # an attempt that waited longer for its connection is decided anew
-LISTEN_TIMEOUT_S = 8.0  # a start waits so long for a socket to listen on
-SWEEP_INTERVAL_S = 0.05  # between two checks for idle and silent connections
+CLIENT_MEMORY_DIVISOR = 4  # bytes held for clients are limited to the memory divided by this
+STALE_ATTEMPT_S = 0.05  # an attempt that waited longer for its connection is decided again
+LISTEN_TIMEOUT_S = 8.0  # maximum wait at startup for a socket to listen on
+SWEEP_INTERVAL_S = 0.05  # between checks for idle and silent connections
 
 
 class Service:
-    """Joins sockets and engine, from start to exit."""
+    """Connects the sockets to the engine, from startup to exit."""
 
     def __init__(
         self,
@@ -71,13 +71,14 @@
         """Build a router that serves once `run` is awaited.
 
         Args:
-            site: The router's configuration.
-            log: Takes (event, **values); the JSON log on standard output by default.
-            fleet: The block `fleet` of the operator's file under this router's name; None shares nothing.
-            controls: The blocks `control` of that file by name.
-            listener_fd: Descriptor of a listening socket that an agent holds.
-            scores_interval_s: Seconds between two log lines of what became of requests; 0 logs none.
-            trace: Takes (step, request id, **values) of each request and connection (engine/trace.py).
+            site: Configuration of the router.
+            log: Called as log(event, **values); None for the JSON log on standard output.
+            fleet: The operator file's `fleet` block for this router; None if it shares no state with peers.
+            controls: The `control` blocks of that file by name.
+            listener_fd: Descriptor of a listening socket that an agent holds; None to open one.
+            scores_interval_s: Seconds between log lines of request scores; 0 to log none.
+            trace: Called as trace(step, request id, **values) for each request and connection
+                (engine/trace.py); None for no trace.
         """
         self.site = site
         self.log = log or Log(site.name)
@@ -85,7 +86,7 @@
         self._scores_interval_s = scores_interval_s
         self.tracer = trace
         self.started_at = time.time()
-        self._steady_started_at = time.monotonic()
+        self._monotonic_started_at = time.monotonic()
         self.watch = LoopWatch(self.now)
         self.watch.listeners.append(self._log_stall)
         self.lifecycle = Lifecycle(self.log)
@@ -118,7 +119,7 @@
     def _build_state(self, fleet: Fleet | None) -> RouterState:
         decisions = self.site.decisions
         request_classes = decisions.request_classes
-        scores = lineage = returns = None
+        scores = lineage = retry_schedule = None
         if self._scores_interval_s:
             from brookhinge.engine.scores import Scores
 
@@ -128,9 +129,9 @@
             from brookhinge.overload.retry_schedule import RetrySchedule
 
             lineage = RetryLineage()
-            returns = RetrySchedule(decisions.limits.max_retry_after_s)
+            retry_schedule = RetrySchedule(decisions.limits.max_retry_after_s)
         router = router_class(fleet)(
-            self.site.seed, machine=self.site.bounds, retry_schedule=returns, **decisions._asdict()
+            self.site.seed, machine=self.site.bounds, retry_schedule=retry_schedule, **decisions._asdict()
         )
         return RouterState(
             router,
@@ -160,7 +161,7 @@
                 for request_class in self.site.decisions.request_classes
             },
             max_connections=sockets,
-            memory_limit_bytes=self.site.bounds.memory_mb * 1024 * 1024 // CLIENT_MEMORY_SHARE,
+            memory_limit_bytes=self.site.bounds.memory_mb * 1024 * 1024 // CLIENT_MEMORY_DIVISOR,
             ingress=self.ingress,
             trace=self.tracer,
         )
@@ -246,25 +247,25 @@
             }
         )
 
-    # what the parts ask
+    # state queried by the components
 
     def now(self) -> float:
-        """Return seconds since the start, by a clock that nobody sets.
+        """Return the seconds since the router started, by the monotonic clock.
 
-        `started_at` is that moment in Unix time.
+        `started_at` is the Unix time of the start.
         """
-        return time.monotonic() - self._steady_started_at
+        return time.monotonic() - self._monotonic_started_at
 
     def has_open_requests(self, client: int) -> bool:
-        """Return whether a client has requests open, those included that the next round takes."""
+        """Return whether a client has open requests, including those queued for the next round."""
         return self.state.clients.has_open_requests(client) or any(
             isinstance(event, RequestReceived) and event.client == client for event in self.scheduler.events
         )
 
     def is_current(self) -> bool:
-        """Return whether what the command channel told during the last stall is known.
+        """Return whether all commands that arrived during the last stall are known.
 
-        As the process ends nothing is sent any more, so nothing needs to be known.
+        Always true during shutdown, when nothing more is sent.
         """
         return self.state.context.is_shutting_down or self.command_channel.is_current()
 
@@ -276,11 +277,11 @@
     # effects
 
     def write_log(self, effect: WriteLog) -> None:
-        """Write a line of the log."""
+        """Write a log line."""
         self.log(effect.event, **effect.values)
 
     def write_trace(self, effect: WriteTrace) -> None:
-        """Write a step of a request to the trace."""
+        """Write a request's step to the trace."""
         self.tracer(effect.step, effect.client_request_id, **effect.values)
 
     def _log_stall(self, stall: Stall) -> None:
@@ -300,14 +301,14 @@
     # lifecycle
 
     async def run(self) -> None:
-        """Serve until told to stop; return when everything is answered.
+        """Serve until `stop` is called, and return once all requests are answered.
 
         Raises:
-            OSError: The address to listen on, or that of the fleet, cannot be bound.
+            OSError: The listen address or the fleet address cannot be bound.
         """
         asyncio.get_running_loop().set_exception_handler(self._log_loop_exception)
         self.watch.begin()
-        self.scheduler.open()  # what is known at the start comes before the first request
+        self.scheduler.open()  # applies the commands known at startup before the first request
         host, port = await self._listen()
         if self.fleet_link is not None and self._listener_fd is None:
             await self.fleet_link.join()
@@ -326,16 +327,16 @@
         self.lifecycle.advance(Phase.ENDED)
 
     async def _listen(self) -> tuple[str, int]:
-        """Return the address on which clients are accepted.
+        """Listen for clients and return the address.
 
-        A shortage of the system passes by itself, so it ends no start.
+        A shortage of system resources is temporary, so retries until LISTEN_TIMEOUT_S has passed.
         """
-        until = self.now() + LISTEN_TIMEOUT_S
+        deadline = self.now() + LISTEN_TIMEOUT_S
         while True:
             try:
                 return self.client_connections.listen(*self.site.listen, self._listener_fd)
             except OSError as error:
-                if error.errno not in SHORTAGES or self.now() > until:
+                if error.errno not in SHORTAGES or self.now() > deadline:
                     raise
                 self.log("not accepting", why=f"no socket: {error.strerror}")
             await asyncio.sleep(RETRY_ACCEPT_S)
@@ -354,7 +355,7 @@
             due = self.now() + SWEEP_INTERVAL_S
             await asyncio.sleep(SWEEP_INTERVAL_S)
             self.watch.tick()
-            if not self.scheduler.is_catching_up():  # else what is late may lie there unread
+            if not self.scheduler.is_catching_up():  # until then the missing input may just be unread
                 self.upstream_connections.sweep()
                 self.client_connections.sweep()
             if self.ingress is not None:
@@ -368,20 +369,20 @@
             self.log("storm", **change._asdict())
 
     def reload(self, site: Site) -> None:
-        """Take the command channel of a new configuration; all else is read at a start alone."""
+        """Switch to the command channel of a new configuration; all other settings apply only at startup."""
         host, port = site.channel
         self.log("configuration", channel=f"{host}:{port}")
         self.command_channel.move(site.channel)
 
     def stop(self) -> None:
-        """End gracefully: drain, answer what is open, then return from `run`."""
+        """Shut down gracefully: drain, answer open requests, then return from `run`."""
         self.shutdown.request()
 
     async def _close(self) -> None:
         self.command_channel.close()
         self.scheduler.finish()
         self.client_connections.listener.close()
-        await self.client_connections.end(self.shutdown.last_read_at())
+        await self.client_connections.end(self.shutdown.read_deadline())
         self.upstream_connections.close_all()
         if self.fleet_link is not None:
             await self.fleet_link.leave()
--- a/brookhinge/net/upstream_connection.py
+++ b/brookhinge/net/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server: what is in flight on it, and the ids that it must not carry again."""
+"""State of one connection to a server: its attempts, and the ids that must not be reused on it."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from brookhinge.net.cachewire import AnswerSplitter
 from brookhinge.net.stream import Stream
 
-MAX_USED_IDS = 200  # then the connection takes no more at all
+MAX_USED_IDS = 200  # a connection with this many used ids accepts no further attempts
 
 
 class PendingAttempt(NamedTuple):
-    """An attempt that is not written yet."""
+    """An attempt that has not been written yet."""
 
     effect: SendAttempt
     queued_at: float
 
 
 class SentAttempt(NamedTuple):
-    """An attempt that was written and is not answered yet."""
+    """An attempt that was written and has not been answered yet."""
 
     request_id: int
     attempt: int
@@ -28,24 +28,24 @@
 
 
 class UpstreamConnection:
-    """The state of one connection. Ids are those that clients gave their requests.
+    """The state of one connection. Attempts are identified by the request ids that clients chose.
 
     Attributes:
-        server: The start of a server that it leads to.
-        stream: The connection itself.
-        is_connected: Whether the connect has succeeded.
-        is_closed: Whether it is closed by us.
-        is_retired: Whether it takes nothing new.
-        used_at: When something was last written or answered on it.
-        received_at: When bytes last came.
-        echo_sent_at: When a health check was sent that is not answered; None if there is none.
-        echo_checks: How often silence was noticed since then.
-        in_flight: What was written and is not answered, by id, oldest first.
-        waiting: What is to be written, by id.
-        used_ids: Ids that an answer may still come for.
-        cancelled_ids: Those among them whose answer is no error.
-        answers: Cuts what comes into answers.
-        stuck_since: Since when it has been stuck; None if it is not.
+        server: Server instance at the other end, that is, one start of a server.
+        stream: Byte stream of the connection.
+        is_connected: Whether the connection has been established.
+        is_closed: Whether this router has closed it.
+        is_retired: Whether it accepts no further attempts.
+        used_at: Time of the last attempt or answer on it.
+        received_at: Time of the last received bytes.
+        echo_sent_at: Time at which the unanswered health check was sent, or None if there is none.
+        echo_checks: Number of sweeps that found it silent since the health check or the last received bytes.
+        in_flight: Attempts that were written and not answered yet, by id, oldest first.
+        waiting: Attempts to be written, by id.
+        used_ids: Ids that are not reused because another answer to them may still arrive.
+        cancelled_ids: Ids of cancelled attempts, whose late answer is not a protocol error.
+        answers: Splits the received bytes into answers.
+        stuck_since: Time at which a sweep first found it stuck, or None if it is not stuck.
     """
 
     def __init__(self, server: ServerInstance, stream: Stream, now: float) -> None:
@@ -67,11 +67,11 @@
 
     @property
     def load(self) -> int:
-        """How many attempts it carries or is to carry."""
+        """The number of attempts in flight or waiting."""
         return len(self.in_flight) + len(self.waiting)
 
     def accepts(self, client_request_id: bytes, max_load: int) -> bool:
-        """Return whether an attempt may be written on it, now or once it is connected."""
+        """Return whether an attempt may be written, now or once the connection is established."""
         return (
             not (self.is_closed or self.is_retired or self.stream.closed())
             and self.load < max_load
@@ -79,18 +79,18 @@
             and client_request_id not in self.used_ids
             and client_request_id not in self.waiting
             and not self.is_stuck()
-            and not self.stream.writing()  # what is written behind it could come after a drain or a purge
+            and not self.stream.writing()  # behind unsent bytes it could be sent after a drain or a purge
         )
 
     def is_stuck(self) -> bool:
-        """Return whether it waits for the rest of an answer that no attempt waits for."""
+        """Return whether a partial answer was received that belongs to no attempt in flight."""
         if self.answers.head is not None:
             client_request_id = self.answers.head[0]
             return client_request_id not in self.in_flight
         return bool(self.answers.buffered) and not self.in_flight
 
     def retire_id(self, client_request_id: bytes) -> None:
-        """Carry no further attempt with an id: an answer may come that must not pass for that attempt's."""
+        """Bar an id from reuse: a late answer could be mistaken for the answer to a later attempt."""
         self.used_ids.add(client_request_id)
         if len(self.used_ids) >= MAX_USED_IDS:
             self.is_retired = True
--- a/brookhinge/net/upstream_connections.py
+++ b/brookhinge/net/upstream_connections.py
@@ -1,4 +1,4 @@
-"""Connections to cache servers, parents and the origin. Decides nothing."""
+"""Connections to cache servers, parents and the origin. Makes no routing decisions."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 if TYPE_CHECKING:
     from brookhinge.startup import UpstreamSettings
 
-# An attempt that is held back so long, what was to be read having been read meanwhile, is decided anew.
+# An attempt held back for longer than this is decided again, with the input that was read meanwhile.
 MAX_HOLD_S = 0.25
 HOLD_CHECK_INTERVAL_S = 0.002
 
 
 class Placement(NamedTuple):
-    """Where an attempt is written, or waits to be."""
+    """The connection on which an attempt is written or waits to be written."""
 
     connection: UpstreamConnection
     client_request_id: bytes
@@ -41,12 +41,12 @@
     """Writes attempts, reads answers, and closes connections.
 
     Attributes:
-        pool: The connections.
-        placements: Where each attempt is that is not over, by the numbers of request and attempt.
-        closes: Counts of closes by reason.
-        holds: Counts of attempts that were not written when they could be, by reason.
-        log: Takes (event, **values).
-        trace: Takes (step, request id, **values) of each attempt and connection, or None.
+        pool: Pool of the open connections.
+        placements: Placement of each attempt that has not ended, by request id and attempt number.
+        closes: Number of closed connections by reason.
+        holds: Number of times that an attempt was held back, by reason.
+        log: Called as log(event, **values).
+        trace: Called as trace(step, request id, **values) for each attempt and connection, or None.
     """
 
     def __init__(
@@ -64,23 +64,22 @@
         trace: Callable[..., None] | None = None,
         watch: LoopWatch | None = None,
     ) -> None:
-        """Begin without connections.
+        """Start with an empty pool.
 
         Args:
-            post: Takes the events.
-            log: Takes (event, **values).
-            now: The clock of the router.
-            started_at: When that clock began, in Unix seconds.
-            settings: How connections are used.
-            max_connections: How many may be open.
-            load_columns: Names of the values of a load report.
-            max_wait_s: An attempt that waited longer for its connection is not written but ends as unsent,
-                to be
-                decided anew: what was known when it was decided, drains, purges and slow starts, may hold
-                no more.
-            hold_reason: Why an attempt may not be written now, or None.
-            trace: Takes (step, request id, **values) of each attempt and connection, or None.
-            watch: The watch of the loop, or None.
+            post: Called with each event.
+            log: Called as log(event, **values).
+            now: Returns the router's time in seconds.
+            started_at: Unix time at which `now` was 0.
+            settings: Timeouts and limits of the connections.
+            max_connections: Maximum number of open connections.
+            load_columns: Names of the values in a load report.
+            max_wait_s: Maximum time that an attempt waits for its connection. After a longer wait the attempt
+                ends as unsent and is decided again, because the drains, purges and slow starts that the
+                decision was based on may have changed.
+            hold_reason: Returns why an attempt must not be written now, or None.
+            trace: Called as trace(step, request id, **values) for each attempt and connection, or None.
+            watch: Monitor of stalls of the event loop, or None.
         """
         self.now = now
         self.log = log
@@ -116,48 +115,53 @@
     # effects
 
     def send_attempt(self, effect: SendAttempt) -> None:
-        """Write an attempt, on a connection that has not carried its id before, or on a new one."""
+        """Write an attempt on a pooled connection that may carry its request id, or on a new one."""
         connection = self.choose(effect)
-        if connection is None:  # no descriptor left for one more: nothing was sent
+        if connection is None:  # no descriptor left for a new connection; nothing was sent
             self._end(effect.request_id, effect.attempt, AttemptResult.UNREACHABLE)
             return
         self.place(connection, PendingAttempt(effect, self.now()))
 
     def end_stale(self, effect: SendAttempt) -> bool:
-        """End an attempt that comes long after its decision: what was known then may hold no more."""
+        """End an attempt as unsent because it comes long after its decision, which may be outdated.
+
+        Returns True: the effect needs no further handling.
+        """
         self._end(effect.request_id, effect.attempt, AttemptResult.UNSENT)
         return True
 
     def end_failed(self, effect: SendAttempt) -> None:
-        """End an attempt that could not be written."""
+        """End an attempt whose write raised an exception."""
         self._end(effect.request_id, effect.attempt, AttemptResult.BROKEN)
 
     def cancel_attempt(self, effect: CancelAttempt) -> None:
-        """Give an attempt up.
+        """Cancel an attempt.
 
-        Its id is not used again on its connection: an answer may be under way and must not pass for that of
-        a later attempt. A connection with a health check that is not answered then is suspect.
+        Its id is not reused on the connection, because an answer that is already on its way could be mistaken
+        for the answer to a later attempt. A connection with an unanswered health check is retired.
         """
         placement = self.placements.pop((effect.request_id, effect.attempt), None)
         if placement is None:
             return
         connection, client_request_id = placement
         if connection.waiting.pop(client_request_id, None) is None:
-            self._withdraw(connection, client_request_id)
+            self._cancel_written(connection, client_request_id)
         self._close_if_unused(connection)
 
-    def _withdraw(self, connection: UpstreamConnection, client_request_id: bytes) -> None:
+    def _cancel_written(self, connection: UpstreamConnection, client_request_id: bytes) -> None:
         del connection.in_flight[client_request_id]
         if connection.echo_sent_at is not None:
             connection.is_retired = True
         connection.cancelled_ids.add(client_request_id)
         connection.retire_id(client_request_id)
         self.write(connection, cachewire.encode_kill(client_request_id))
-        if connection.stream.writing():  # it may not arrive: closing gives the attempt up for sure
+        if (
+            connection.stream.writing()
+        ):  # the cancel may not arrive; closing the connection cancels for certain
             self.close(connection, CloseReason.UNSENT)
 
     def retire_server(self, effect: RetireServer) -> None:
-        """Take nothing new on the connections to a server that is gone or another process now."""
+        """Retire the connections to a server that is gone or has been restarted."""
         for connection in self.pool.remove_server(effect.server):
             connection.is_retired = True
             self._close_if_unused(connection)
@@ -165,21 +169,21 @@
     # writing
 
     def choose(self, effect: SendAttempt) -> UpstreamConnection | None:
-        """Return the connection for an attempt, or None."""
+        """Return a connection for an attempt, or None if there is none and none can be opened."""
         return self.pool.choose(effect.server, effect.client_request_id)
 
     def place(
         self, connection: UpstreamConnection, pending: PendingAttempt, max_wait_s: float | None = None
     ) -> None:
-        """Write an attempt, if nothing forbids it at this moment.
+        """Write an attempt, unless it has to wait or there is a reason to hold it back.
 
-        Between the decision and this line the process may have stood still: what clients and the command
-        channel sent meanwhile counts.
+        The process may have stalled since the decision. Input from clients and from the command channel that
+        arrived meanwhile has to be taken into account.
 
         Args:
-            connection: Where to write it.
-            pending: The attempt.
-            max_wait_s: How long it may have waited, where that is not what connections may take.
+            connection: Connection to write on.
+            pending: Attempt to write.
+            max_wait_s: Maximum time since the attempt was queued; None for the limit of this object.
         """
         effect = pending.effect
         client_request_id = effect.client_request_id
@@ -195,16 +199,16 @@
         if reason is None:
             self._write_attempt(connection, effect, now)
         elif reason in UNREAD:
-            self._note_hold(effect, reason)
+            self._record_hold(effect, reason)
             connection.waiting[client_request_id] = pending
             asyncio.get_running_loop().call_later(
-                HOLD_CHECK_INTERVAL_S, self._place_again, connection, client_request_id
+                HOLD_CHECK_INTERVAL_S, self._retry_place, connection, client_request_id
             )
         else:
-            self._take_back(effect, reason)
+            self._end_unsent(effect, reason)
 
     def _write_attempt(self, connection: UpstreamConnection, effect: SendAttempt, now: float) -> None:
-        """Write an attempt at once: the trace comes after the system call."""
+        """Write an attempt now; the trace entry follows the system call."""
         client_request_id = effect.client_request_id
         connection.in_flight[client_request_id] = SentAttempt(effect.request_id, effect.attempt, now)
         self.write(connection, cachewire.encode_pull(effect, effect.deadline - now))
@@ -216,20 +220,20 @@
                 attempt=effect.attempt,
             )
 
-    def _place_again(self, connection: UpstreamConnection, client_request_id: bytes) -> None:
-        """Write an attempt that was held back, or decide it anew."""
+    def _retry_place(self, connection: UpstreamConnection, client_request_id: bytes) -> None:
+        """Try again to write an attempt that was held back."""
         pending = connection.waiting.pop(client_request_id, None)
-        if pending is not None:  # else it was given up, or went to another connection
+        if pending is not None:  # None if it was cancelled or moved to another connection
             self.place(connection, pending, MAX_HOLD_S)
             self._close_if_unused(connection)
 
-    def _take_back(self, effect: SendAttempt, reason: HeldBack) -> None:
-        """End an attempt of which nothing was sent: it is decided anew, if it is still wanted."""
-        self._note_hold(effect, reason)
+    def _end_unsent(self, effect: SendAttempt, reason: HeldBack) -> None:
+        """End an attempt before any of it was sent; it is decided again if it is still needed."""
+        self._record_hold(effect, reason)
         del self.placements[effect.request_id, effect.attempt]
         self._end(effect.request_id, effect.attempt, AttemptResult.UNSENT)
 
-    def _note_hold(self, effect: SendAttempt, reason: HeldBack) -> None:
+    def _record_hold(self, effect: SendAttempt, reason: HeldBack) -> None:
         self.holds[reason] += 1
         if self.trace is not None:
             self.trace(
@@ -240,10 +244,10 @@
             )
 
     def write(self, connection: UpstreamConnection, line: bytes) -> None:
-        """Write without waiting; a connection that takes nothing any more is closed."""
+        """Write without waiting; a connection that does not accept the bytes is closed."""
         try:
             connection.stream.write(line)
-        except Exception:  # closed, or its buffer is full: what is in flight on it is broken
+        except Exception:  # closed or buffer full; closing ends the attempts in flight as broken
             self.close(connection, CloseReason.FAILED)
 
     # reading
@@ -254,8 +258,8 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _run(self, connection: UpstreamConnection) -> None:
-        """Serve one connection from the connect to its end."""
-        fault = None
+        """Connect, then read answers until the connection ends."""
+        failure = None
         reason = CloseReason.PEER
         try:
             connect = connection.stream.connect(connection.server.address)
@@ -267,20 +271,20 @@
                 data = await connection.stream.read_bytes(READ_BYTES, partial=True)
                 received_at = connection.received_at = self.now()
                 for item in connection.answers.feed(data):
-                    self._take_answer(connection, received_at, cachewire.AnswerLine(*item))
+                    self._handle_answer(connection, received_at, cachewire.AnswerLine(*item))
         except (StreamClosedError, OSError):
             pass
         except TimeoutError:
-            fault = "no connection in time"
+            failure = "connect timed out"
         except UnreadableError as error:
-            fault = f"unreadable: {error}"
+            failure = f"unreadable: {error}"
             reason = CloseReason.UNREADABLE
         except Exception as error:
-            fault = f"{type(error).__name__}: {error}"
+            failure = f"{type(error).__name__}: {error}"
             reason = CloseReason.FAILED
         finally:
-            if fault:
-                self._report(connection.server, fault)
+            if failure:
+                self._report(connection.server, failure)
             self.close(connection, reason if connection.is_connected else CloseReason.NO_CONNECTION)
 
     def _place_waiting(self, connection: UpstreamConnection) -> None:
@@ -289,26 +293,26 @@
         for pending in waiting.values():
             self.place(connection, pending)
 
-    def _take_answer(
+    def _handle_answer(
         self, connection: UpstreamConnection, received_at: float, answer: cachewire.AnswerLine
     ) -> None:
         client_request_id = answer.request_id
         if client_request_id == ECHO_TAG:
             connection.echo_sent_at = None
             return
-        if client_request_id in connection.cancelled_ids:  # it crossed the cancel
+        if client_request_id in connection.cancelled_ids:  # the answer crossed the cancel
             connection.cancelled_ids.remove(client_request_id)
             return
         if client_request_id not in connection.in_flight:
-            # A second answer, or one that nobody asked for: the connection is not to be trusted further.
+            # A duplicate or unsolicited answer: the connection is no longer trusted.
             connection.is_retired = True
             self._close_if_unused(connection)
             return
-        result = cachewire.read_result(answer.word, answer.fields, self._load_columns)
+        result = cachewire.read_result(answer.status, answer.fields, self._load_columns)
         connection.used_at = received_at
         sent = connection.in_flight.pop(client_request_id)
         if result.result is not AttemptResult.SATISFIED:
-            # A further attempt may follow on it, and a second copy of this answer.
+            # Another attempt with this id may follow, and so may a duplicate of this answer.
             connection.retire_id(client_request_id)
         del self.placements[sent.request_id, sent.attempt]
         event = AttemptEnded(
@@ -319,7 +323,7 @@
             source_wait_s=result.source_wait_s,
             load_report=result.load_report,
             body=answer.body,
-            is_unchanged=answer.word == cachewire.UNCHANGED,
+            is_unchanged=answer.status == cachewire.UNCHANGED,
             received_at=received_at,
             dated_at=None if result.dated_at is None else result.dated_at - self._started_at,
             version=result.version,
@@ -332,7 +336,7 @@
         self.log("cache connection", server=server.server, why=why)
 
     def _end(self, request_id: int, attempt: int, result: AttemptResult) -> None:
-        """Report an attempt that ended without an answer."""
+        """Post the end of an attempt that received no answer."""
         event = AttemptEnded(
             request_id=request_id,
             attempt=attempt,
@@ -355,8 +359,9 @@
     def close(self, connection: UpstreamConnection, reason: CloseReason) -> None:
         """Close a connection.
 
-        What is in flight on it is broken. What was never written goes to another connection that is
-        connected; without one the refusal proves that nothing ran.
+        Attempts in flight end as broken. Attempts that were not written move to another established
+        connection to the same server. If there is none, they end as unreachable, which proves that they never
+        ran.
         """
         if connection.is_closed:
             return
@@ -377,18 +382,18 @@
 
     def _place_elsewhere(self, pending: PendingAttempt) -> None:
         effect = pending.effect
-        other = self.pool.connected(effect.server, effect.client_request_id)
-        if other is not None:
-            self.place(other, pending)
+        substitute = self.pool.connected(effect.server, effect.client_request_id)
+        if substitute is not None:
+            self.place(substitute, pending)
             return
         del self.placements[effect.request_id, effect.attempt]
         self._end(effect.request_id, effect.attempt, AttemptResult.UNREACHABLE)
 
     def sweep(self) -> None:
-        """Close connections that are idle, silent or stuck."""
+        """Close connections that are idle, silent or stuck, and send health checks."""
         self._sweeper.sweep()
 
     def close_all(self) -> None:
-        """Close every connection: the process ends."""
+        """Close every connection because the process is ending."""
         for connection in list(self.pool.connections):
             self.close(connection, CloseReason.STOPPING)
--- a/brookhinge/net/upstream_pool.py
+++ b/brookhinge/net/upstream_pool.py
@@ -1,4 +1,4 @@
-"""The connections to all servers: which one takes an attempt, and when one more is opened."""
+"""Connection pool for all servers: chooses a connection for an attempt and opens new ones."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 READ_BYTES = 64 * 1024
 MAX_BUFFER_BYTES = 4 * 1024 * 1024
-MAX_CONNECTIONS_PER_SERVER = 8  # as far as the share of descriptors reaches
-SPARE_CONNECTIONS = 2  # one more is opened where fewer are without load
+MAX_CONNECTIONS_PER_SERVER = 8  # fewer if `max_connections` is reached
+MIN_IDLE_CONNECTIONS = 2  # another connection is opened when fewer than this are idle
 
 
 class UpstreamPool:
     """Chooses connections and opens them.
 
     Attributes:
-        connections: All that are not closed.
-        max_connections: How many may be open.
+        connections: All connections that are not closed.
+        max_connections: Maximum number of open connections to all servers.
     """
 
     def __init__(
@@ -33,15 +33,15 @@
         on_opened: Callable[[UpstreamConnection], None],
         close_for_capacity: Callable[[UpstreamConnection], None],
     ) -> None:
-        """Begin without connections.
+        """Create an empty pool.
 
         Args:
-            now: The clock of the router.
-            report: Logs what went wrong with a connection to a server.
-            max_load: How many attempts one connection carries at once.
-            max_connections: How many connections may be open.
-            on_opened: Begins the connect of a new connection.
-            close_for_capacity: Closes an idle connection because another needs its descriptor.
+            now: Returns the router's time in seconds.
+            report: Logs the reason for a failed connection to a server.
+            max_load: Maximum number of concurrent attempts on one connection.
+            max_connections: Maximum number of open connections to all servers.
+            on_opened: Starts connecting a new connection.
+            close_for_capacity: Closes an idle connection to free its descriptor for another.
         """
         self.connections: set[UpstreamConnection] = set()
         self.max_connections = max_connections
@@ -53,20 +53,20 @@
         self._by_server: dict[ServerInstance, list[UpstreamConnection]] = {}
 
     def choose(self, server: ServerInstance, client_request_id: bytes) -> UpstreamConnection | None:
-        """Return the connection to a server that carries least; None where no descriptor is left for one.
+        """Return the least loaded connection to a server, or None if no descriptor is left for one.
 
-        One more is opened ahead where less than two are without load: answers that take long do not hold up
-        the rest, and a connect is seldom waited for.
+        Opens another connection in advance when fewer than MIN_IDLE_CONNECTIONS are idle, so that slow
+        answers do not delay other attempts and attempts seldom wait for a connect.
         """
         connections = self._by_server.setdefault(server, [])
         usable = [
             connection for connection in connections if connection.accepts(client_request_id, self._max_load)
         ]
         if not usable and len(self.connections) >= self.max_connections:
-            self._make_capacity()
-        spare = sum(not connection.load for connection in usable)
+            self._close_idle_connection()
+        idle_count = sum(not connection.load for connection in usable)
         if (
-            spare < SPARE_CONNECTIONS
+            idle_count < MIN_IDLE_CONNECTIONS
             and len(connections) < MAX_CONNECTIONS_PER_SERVER
             and len(self.connections) < self.max_connections
         ):
@@ -78,46 +78,49 @@
         )
 
     def connected(self, server: ServerInstance, client_request_id: bytes) -> UpstreamConnection | None:
-        """Return a connection to a server that can be written on at once, or None."""
+        """Return an established connection to a server that accepts the attempt, or None."""
         for connection in self._by_server.get(server, ()):
             if connection.is_connected and connection.accepts(client_request_id, self._max_load):
                 return connection
         return None
 
     def remove(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection from the pool."""
         self.connections.discard(connection)
-        siblings = self._by_server.get(connection.server, ())
-        if connection in siblings:
-            siblings.remove(connection)
+        same_server = self._by_server.get(connection.server, ())
+        if connection in same_server:
+            same_server.remove(connection)
 
     def remove_server(self, server: ServerInstance) -> list[UpstreamConnection]:
-        """Choose no connection to a server any more, and return those that it had."""
+        """Stop choosing connections to a server, and return those that it had."""
         return self._by_server.pop(server, [])
 
-    def _make_capacity(self) -> None:
-        """Close the connection that is idle longest, of a server that has most: each server must get one."""
+    def _close_idle_connection(self) -> None:
+        """Close the longest idle connection among the servers with the most connections.
+
+        Every server must be able to get a connection.
+        """
         idle = [
             connection for connection in self.connections if connection.is_connected and not connection.load
         ]
         if idle:
-            longest = max(
+            victim = max(
                 idle,
                 key=lambda connection: (
                     len(self._by_server.get(connection.server, ())),
                     -connection.used_at,
                 ),
             )
-            self._close_for_capacity(longest)
+            self._close_for_capacity(victim)
 
     def _open(self, server: ServerInstance) -> UpstreamConnection | None:
         try:
-            made = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        except OSError as error:  # no descriptor
+            sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        except OSError as error:  # no descriptor left
             self._report(server, f"{error.strerror}")
             return None
         stream = Stream(
-            made,
+            sock,
             max_buffer_size=MAX_BUFFER_BYTES,
             read_chunk_size=READ_BYTES,
             max_write_buffer_size=MAX_BUFFER_BYTES,
--- a/brookhinge/net/upstream_sweeper.py
+++ b/brookhinge/net/upstream_sweeper.py
@@ -1,4 +1,4 @@
-"""Regular checks of the connections to servers: which are idle, silent or stuck."""
+"""Periodic checks for idle, silent and stuck connections to servers."""
 
 from __future__ import annotations
 
@@ -14,18 +14,20 @@
 if TYPE_CHECKING:
     from brookhinge.startup import UpstreamSettings
 
-ECHO_TAG = b"echo"  # no request's id: those are hex digits
-MIN_ECHO_CHECKS = 3  # sweeps between a health check and the end of a connection: our own lag is not silence
-IDLE_SHARE = 0.6  # of the time after which servers close: we close before them
+ECHO_TAG = b"echo"  # differs from every request id: those are hex digits
+# Sweeps between the detection of silence and the close: the router's own lag must not count as silence.
+MIN_ECHO_CHECKS = 3
+IDLE_TIMEOUT_FRACTION = 0.6  # of the servers' idle timeout, so that the router closes first
 
 
 class UpstreamSweeper:
-    """Closes connections of which nothing is to be expected.
+    """Closes connections that are idle, silent or stuck.
 
-    A machine that vanished leaves its connections open, and so does noise that nothing readable follows.
-    Where something is in flight and nothing came for half the time that a connect may take, a health check
-    asks whether the connection works; it has as long again. An answer that stops short has that time to go
-    on, one that nobody waits for has it to end.
+    A connection stays open after its machine vanishes, or after garbage that nothing readable follows.
+    If attempts are in flight and nothing was received for half the connect timeout, a health check is sent,
+    and its answer may take as long again. While an answer is partially received no health check is sent: more
+    of the answer must arrive within that time. A partial answer that belongs to no attempt must be complete
+    within that time.
     """
 
     def __init__(
@@ -40,14 +42,14 @@
     ) -> None:
         self._now = now
         self._report = report
-        self._idle_timeout_s = IDLE_SHARE * settings.idle_timeout_s
+        self._idle_timeout_s = IDLE_TIMEOUT_FRACTION * settings.idle_timeout_s
         self._max_silence_s = settings.connect_timeout_s / 2
         self._pool = pool
         self._write = write
         self._close = close
 
     def sweep(self) -> None:
-        """Check all connections once."""
+        """Check every established connection once."""
         now = self._now()
         connected = [c for c in self._pool.connections if c.is_connected and not c.is_closed]
         for connection in connected:
@@ -65,7 +67,7 @@
         connection.stuck_since = connection.stuck_since or now
         if now - connection.stuck_since <= self._max_silence_s:
             return False
-        self._report(connection.server, "an answer without end")
+        self._report(connection.server, "incomplete answer that belongs to no attempt in flight")
         self._close(connection, CloseReason.SLOW)
         return True
 
@@ -76,8 +78,8 @@
 
     def _check_silence(self, connection: UpstreamConnection, now: float) -> None:
         oldest = next(iter(connection.in_flight.values()))
-        quiet_s = now - max(connection.received_at, connection.echo_sent_at or oldest.sent_at)
-        if quiet_s <= self._max_silence_s:
+        silence_s = now - max(connection.received_at, connection.echo_sent_at or oldest.sent_at)
+        if silence_s <= self._max_silence_s:
             connection.echo_checks = 0
         elif connection.echo_sent_at is None and not connection.answers.buffered:
             connection.echo_sent_at = now
@@ -86,5 +88,5 @@
         elif connection.echo_checks < MIN_ECHO_CHECKS:
             connection.echo_checks += 1
         else:
-            self._report(connection.server, "silent")
+            self._report(connection.server, "nothing received in time")
             self._close(connection, CloseReason.SILENT)
--- a/brookhinge/net/write_guard.py
+++ b/brookhinge/net/write_guard.py
@@ -1,4 +1,4 @@
-"""The last check before an attempt is written to a server."""
+"""Checks an attempt once more immediately before it is written to a server."""
 
 from collections.abc import Callable
 
@@ -10,15 +10,15 @@
 from brookhinge.net.client_connections import ClientConnections
 from brookhinge.net.command_channel import CommandChannel
 
-MIN_TIME_LEFT_S = 0.002  # an attempt with less time than this cannot be answered in time
+MIN_TIME_LEFT_S = 0.002  # no server can answer within less time than this
 
 
 class WriteGuard:
-    """Finds reasons against writing an attempt that was decided a moment ago.
+    """Detects reasons not to write an attempt that was decided a moment ago.
 
-    An attempt is decided on what had been read by then. Since then the process may have been stopped, or
-    may have read a server's answer before the end of the client's connection. So the client's connection
-    and the command channel are checked once more.
+    The decision used only the input that had been read by then. Since then the process may have been
+    suspended, or it may have read a server's answer before the close of the client's connection. Therefore
+    the client's connection and the command channel are checked again for unread input.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self._client_connections = client_connections
 
     def hold_reason(self, attempt: SendAttempt) -> HeldBack | None:
-        """Return why the attempt may not be written at this very moment, or None if it may."""
+        """Return why the attempt must not be written now, or None if it may be."""
         if attempt.deadline - self._now() < MIN_TIME_LEFT_S:
             return HeldBack.NO_TIME
         reason = self._state.hold_reason(attempt.request_id, attempt.attempt)
--- a/brookhinge/settings_reader.py
+++ b/brookhinge/settings_reader.py
@@ -1,4 +1,4 @@
-"""Checked access to a configuration in JSON. An error names the key's path and what was expected there."""
+"""Validated access to a JSON configuration. Errors name the path of the key and the expected value."""
 
 from __future__ import annotations
 
@@ -7,38 +7,38 @@
 from typing import NamedTuple, TypeVar
 
 NANOSECOND_S = 1e-9
-SHOWN_CHARACTERS = 60  # of an unusable value in a message
+SHOWN_CHARACTERS = 60  # maximum length of an invalid value in an error message
 
 Meaning = TypeVar("Meaning")
 
 
 class StartError(ValueError):
-    """A configuration that can't be used; the message names the key and what was expected."""
+    """The configuration is invalid; the message names the key and the expected value."""
 
 
 class Form(NamedTuple):
-    """What kind of value a key must have."""
+    """The JSON type that a value must have."""
 
     types: tuple[type, ...]
     description: str
 
 
-TEXT = Form((str,), "a text")
+TEXT = Form((str,), "a string")
 NUMBER = Form((int, float), "a number")
-INTEGER = Form((int,), "a whole number")
+INTEGER = Form((int,), "an integer")
 FLAG = Form((bool, int), "true or false")
 OBJECT = Form((dict,), "an object")
 LIST = Form((list,), "a list")
 
 
 def check(path: str, value: object, form: Form) -> object:
-    """Return a value that has a form.
+    """Return `value` if it has the expected type.
 
     Raises:
-        StartError: The value is of another kind, or no finite number.
+        StartError: The value has another type, or is a number that is not finite.
     """
-    is_wrong_flag = isinstance(value, bool) and bool not in form.types
-    if not isinstance(value, form.types) or is_wrong_flag:
+    is_unexpected_bool = isinstance(value, bool) and bool not in form.types
+    if not isinstance(value, form.types) or is_unexpected_bool:
         raise StartError(f"{path}: expected {form.description}, got {value!r:.{SHOWN_CHARACTERS}}")
     if isinstance(value, float) and not math.isfinite(value):
         raise StartError(f"{path}: expected {form.description}, got {value!r}")
@@ -46,14 +46,14 @@
 
 
 class SettingsReader:
-    """A JSON object that knows its path in the configuration.
+    """Reads validated values from a JSON object of the configuration.
 
-    All methods raise a `StartError` that names the key. Those that take a default return it where the key
-    is missing; without one the key must be there.
+    All methods raise a `StartError` that names the key of an invalid value. Methods that accept a default
+    return it if the key is missing; without a default the key is required.
 
     Attributes:
-        values: The object.
-        path: Of the object, empty for the whole configuration.
+        values: The JSON object.
+        path: Path of the object in the configuration; empty for the whole configuration.
     """
 
     def __init__(self, values: Mapping[str, object], path: str = "") -> None:
@@ -61,7 +61,7 @@
         self.path = path
 
     def path_of(self, key: str) -> str:
-        """Return the path of a key, for messages."""
+        """Return the path of a key for error messages."""
         return f"{self.path}.{key}" if self.path else key
 
     def get(self, key: str, form: Form, *default: object) -> object:
@@ -74,13 +74,13 @@
         raise StartError(f"{self.path_of(key)}: missing, expected {form.description}")
 
     def get_flag(self, key: str) -> bool:
-        """Return a flag, false where it is missing."""
+        """Return a flag, False if the key is missing."""
         return bool(self.get(key, FLAG, False))
 
     def get_in_range(
         self, key: str, minimum: float, maximum: float, *default: float, form: Form = NUMBER
     ) -> float:
-        """Return a number between two bounds, both included."""
+        """Return a number in a closed range."""
         value = self.get(key, form, *default)
         if not minimum <= value <= maximum:
             bound = f"from {minimum} to {maximum}" if maximum < math.inf else f"of {minimum} or more"
@@ -95,7 +95,7 @@
         return value
 
     def get_word(self, key: str, meanings: Mapping[str, Meaning], default: str) -> Meaning:
-        """Return the meaning of one of a few words."""
+        """Return the entry of `meanings` for the word under a key."""
         word = self.get(key, TEXT, default)
         if word not in meanings:
             words = ", ".join(filter(None, meanings))
@@ -105,14 +105,14 @@
         return meanings[word]
 
     def get_duration_s(self, key: str, *default: float) -> float:
-        """Return a time that stands there in nanoseconds, in seconds."""
+        """Return a duration in seconds; the configuration states it in nanoseconds."""
         value = self.get(key, NUMBER, *default)
         if value < 0:
-            raise StartError(f"{self.path_of(key)}: expected a time of 0 or more, got {value!r}")
+            raise StartError(f"{self.path_of(key)}: expected a duration of 0 or more, got {value!r}")
         return value * NANOSECOND_S
 
     def get_address(self, key: str) -> tuple[str, int]:
-        """Return host and port of a text HOST:PORT."""
+        """Return the host and port of a HOST:PORT string."""
         text = self.get(key, TEXT)
         host, colon, port = text.rpartition(":")
         if not host or not colon or not port.isdigit() or not int(port) < 65536:
@@ -120,11 +120,11 @@
         return host, int(port)
 
     def get_object(self, key: str, *default: Mapping[str, object]) -> SettingsReader:
-        """Return the reader of an object."""
+        """Return a reader of a nested object."""
         return SettingsReader(self.get(key, OBJECT, *default), self.path_of(key))
 
     def get_objects(self, key: str) -> list[SettingsReader]:
-        """Return the readers of a list of objects, empty where it is missing."""
+        """Return readers of the objects in a list, which is empty if the key is missing."""
         objects = self.get(key, LIST, [])
         paths = [f"{self.path_of(key)}[{i}]" for i in range(len(objects))]
         return [
@@ -133,12 +133,12 @@
         ]
 
     def get_texts(self, key: str) -> list[str]:
-        """Return a list of texts, empty where it is missing."""
+        """Return a list of strings, which is empty if the key is missing."""
         texts = self.get(key, LIST, [])
         return [check(f"{self.path_of(key)}[{i}]", text, TEXT) for i, text in enumerate(texts)]
 
     def get_element(self, key: str, index: int, form: Form, default: object) -> object:
-        """Return one value of a list; the default where the list is missing or shorter."""
+        """Return one value of a list, or the default if the list is missing or too short."""
         elements = self.get(key, LIST, [])
         if index >= len(elements):
             return default
--- a/brookhinge/startup.py
+++ b/brookhinge/startup.py
@@ -1,4 +1,4 @@
-"""The configuration of the router on sockets: read once, checked and given defaults."""
+"""Reads and validates the configuration of the router on sockets, and applies defaults."""
 
 from __future__ import annotations
 
@@ -31,43 +31,46 @@
 
 
 class Bounds(NamedTuple):
-    """What the machine gives, and the pace of what a router sends from its own memory; 0: it sends none."""
+    """Resource limits of the machine, and transfer rates of answers from the router's own memory.
+
+    If `link_bytes_s` is 0, no request is answered from memory.
+    """
 
     memory_mb: float
-    sockets: int
-    flow_bytes_s: float
-    link_bytes_s: float
+    sockets: int  # descriptors that the process may use
+    flow_bytes_s: float  # rate of a single transfer
+    link_bytes_s: float  # rate of the link, shared by all transfers
 
 
 class UpstreamSettings(NamedTuple):
-    """How connections to servers are used."""
+    """Timeouts and limits of connections to servers."""
 
     connect_timeout_s: float
-    idle_timeout_s: float  # after which servers close
-    multiplex: int  # attempts on one connection at once
+    idle_timeout_s: float  # servers close a connection that is idle for this long
+    multiplex: int  # maximum number of concurrent attempts on one connection
 
 
 class Site(NamedTuple):
-    """One router's place on the network, and what its parts are handed."""
+    """Configuration of one router: its addresses, and the settings of its components."""
 
     name: str
     listen: tuple[str, int]
     channel: tuple[str, int]
     seed: int
-    known: dict  # an answer of the command channel that was known before the start
+    known: dict  # command channel answer that was known before startup
     bounds: Bounds
     upstream: UpstreamSettings
     zones: list[str]
-    columns: list[bytes]  # of a load report, as servers name them
+    columns: list[bytes]  # names of the values in a server's load report
     decisions: DecisionSettings
-    storm: bool  # whether overload is watched and returns are planned
+    storm: bool  # whether overload is detected and client retries are scheduled
 
 
 def read_site(environ: Mapping[str, str]) -> Site:
-    """Return the router's configuration, from the file that BALANCER_CONFIG names.
+    """Read the router's configuration from the file named in BALANCER_CONFIG.
 
     Raises:
-        StartError: The file cannot be read or used; the message names the key.
+        StartError: The file cannot be read or has an invalid value; the message names the key.
     """
     config = _read_config(environ)
     settings = config.get_object("settings")
@@ -78,7 +81,7 @@
     decisions = read_decision_settings(settings)
     limits = settings.get_object("Limits", {})
     if not decisions.request_classes:
-        raise StartError("settings.Classes: missing, expected one class at least")
+        raise StartError("settings.Classes: missing, expected at least one class")
     return Site(
         name=config.get("name", TEXT),
         listen=config.get_address("listen"),
@@ -107,13 +110,13 @@
 def _read_config(environ: Mapping[str, str]) -> SettingsReader:
     path = environ.get("BALANCER_CONFIG")
     if not path:
-        raise StartError("BALANCER_CONFIG: missing, expected the path of the configuration")
+        raise StartError("BALANCER_CONFIG: missing, expected the path of the configuration file")
     try:
         with open(path, "rb") as file:
             values = json.load(file)
     except OSError as error:
         raise StartError(
-            f"BALANCER_CONFIG: expected a file that can be read, got {path!r} ({error.strerror})"
+            f"BALANCER_CONFIG: expected a readable file, got {path!r} ({error.strerror})"
         ) from None
     except ValueError as error:
         raise StartError(f"BALANCER_CONFIG: expected JSON, got {error}") from None
@@ -121,13 +124,13 @@
 
 
 def _check_known(known: SettingsReader) -> None:
-    """Check that every command that was known before the start can be read."""
+    """Check that every command known before startup can be parsed."""
     known.get("cursor", INTEGER)
     known.get("cmds", LIST)
     _, commands = read_commands(known.values, 0.0)
     for index, command in enumerate(commands):
         if isinstance(command, CommandSkipped):
-            raise StartError(f"known.cmds[{index}]: expected a command, cannot read {command.reason}")
+            raise StartError(f"known.cmds[{index}]: expected a valid command, got {command.reason}")
 
 
 def _read_seed(config: SettingsReader) -> int:
@@ -135,4 +138,4 @@
     try:
         return int(digits, 16)
     except ValueError:
-        raise StartError(f"seed: expected hex digits, got {digits!r:.{SHOWN_CHARACTERS}}") from None
+        raise StartError(f"seed: expected hexadecimal digits, got {digits!r:.{SHOWN_CHARACTERS}}") from None
--- a/tests/crossings/test_sockets.py
+++ b/tests/crossings/test_sockets.py
@@ -517,7 +517,7 @@
     monkeypatch.setattr(program.resource, "getrlimit", lambda what: (256, 256))
     assert program.limit_descriptors(site).bounds.sockets == 256
     monkeypatch.setattr(program.resource, "getrlimit", lambda what: (16, 16))
-    with pytest.raises(program.StartError, match=r"limits.sockets: .* gives 16"):
+    with pytest.raises(program.StartError, match=r"limits.sockets: .* limit is 16"):
         program.limit_descriptors(site)
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -159,7 +159,7 @@
         for n in range(2, 8):
             t.caller.ask(n, lookup=f"{n:016x}")
         heard = [await t.caller.hear() for _ in range(7)]
-        return {text for _, text in heard}, f"cache connection {home} silent" in t.lines
+        return {text for _, text in heard}, f"cache connection {home} nothing received in time" in t.lines
 
     assert played(scene, tmp_path, machines=caches(act="silent")) == ({"satisfied 19"}, True)
 
@@ -192,7 +192,7 @@
         return (
             first,
             await t.caller.hear(),
-            any("unreadable: the line b'what is this'" in line for line in t.lines),
+            any("unreadable: expected an answer line, got b'what is this'" in line for line in t.lines),
         )
 
     assert played(scene, tmp_path, machines=caches(act="garbage")) == (
@@ -571,7 +571,7 @@
         return bad["why"], other.polls[0].partition("&")[0], await program.wait()
 
     assert played(scene, tmp_path, commands=Commands()) == (
-        "channel: expected a text, got 1",
+        "channel: expected a string, got 1",
         "/cmd/next?resume=3",
         0,
     )
@@ -656,7 +656,7 @@
     assert (done.returncode, done.stdout, done.stderr) == (
         2,
         "",
-        "brookhinge: BALANCER_CONFIG: missing, expected the path of the configuration\n",
+        "brookhinge: BALANCER_CONFIG: missing, expected the path of the configuration file\n",
     )
 
 
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -30,26 +30,26 @@
 @pytest.mark.parametrize(
     "change, message",
     [
-        ({"name": None}, "name: missing, expected a text"),
+        ({"name": None}, "name: missing, expected a string"),
         ({"listen": "here"}, "listen: expected HOST:PORT, got 'here'"),
         ({"channel": "127.0.0.1:70000"}, "channel: expected HOST:PORT, got '127.0.0.1:70000'"),
-        ({"seed": 7}, "seed: expected a text, got 7"),
-        ({"seed": "xyz"}, "seed: expected hex digits, got 'xyz'"),
+        ({"seed": 7}, "seed: expected a string, got 7"),
+        ({"seed": "xyz"}, "seed: expected hexadecimal digits, got 'xyz'"),
         ({"known": None}, "known: missing, expected an object"),
         ({"known": {"cursor": 1}}, "known.cmds: missing, expected a list"),
         (
             {"known": {"cursor": 1, "cmds": [{"cursor": 1, "nodes": {"hosts": [{"host": "s-1"}]}}]}},
-            "known.cmds[0]: expected a command, cannot read KeyError 'dial': "
+            "known.cmds[0]: expected a valid command, got KeyError 'dial': "
             "{'cursor': 1, 'nodes': {'hosts': [{'host': 's-1'}]}}",
         ),
         ({"limits": {"memory_mb": 0}}, "limits.memory_mb: expected more than 0, got 0"),
-        ({"limits": {"sockets": "many"}}, "limits.sockets: expected a whole number, got 'many'"),
-        ({"settings": {}}, "settings.Classes: missing, expected one class at least"),
+        ({"limits": {"sockets": "many"}}, "limits.sockets: expected an integer, got 'many'"),
+        ({"settings": {}}, "settings.Classes: missing, expected at least one class"),
         ({"settings": {"Classes": [{"Name": "a"}]}}, "settings.Classes[0].AimNs: missing, expected a number"),
         ({"settings": {"Classes": [7]}}, "settings.Classes[0]: expected an object, got 7"),
         (
             {"settings": {"Classes": [{"Name": "a", "AimNs": -1, "DeadlineNs": 1}]}},
-            "settings.Classes[0].AimNs: expected a time of 0 or more, got -1",
+            "settings.Classes[0].AimNs: expected a duration of 0 or more, got -1",
         ),
         (
             {"settings": settings(ConnectTimeoutNs=0)},
@@ -57,12 +57,12 @@
         ),
         (
             {"settings": settings(MaxAttempts=0)},
-            "settings.Limits.MaxAttempts: expected a whole number of 1 or more, got 0",
+            "settings.Limits.MaxAttempts: expected an integer of 1 or more, got 0",
         ),
         ({"settings": {**settings(), "Az": "nowhere"}}, "settings.Az: expected one of Zones, got 'nowhere'"),
         (
             {"settings": {**settings(), "Instances": 0}},
-            "settings.Instances: expected a whole number of 1 or more, got 0",
+            "settings.Instances: expected an integer of 1 or more, got 0",
         ),
         (
             {"settings": {**settings(), "Rules": {"FallMultiple": 2.0}}},
@@ -74,7 +74,7 @@
         ),
         (
             {"settings": {**settings(), "Specifics": {"UpperKind": 3}}},
-            "settings.Specifics.UpperKind: expected a whole number from -1 to 2, got 3",
+            "settings.Specifics.UpperKind: expected an integer from -1 to 2, got 3",
         ),
         (
             {"settings": {**settings(), "Specifics": {"Says": "much"}}},
@@ -110,9 +110,7 @@
 
 
 def test_no_file_no_json_no_object(tmp_path):
-    with pytest.raises(
-        StartError, match=r"^BALANCER_CONFIG: expected a file that can be read, got '/no/such'"
-    ):
+    with pytest.raises(StartError, match=r"^BALANCER_CONFIG: expected a readable file, got '/no/such'"):
         read_site({"BALANCER_CONFIG": "/no/such"})
     with pytest.raises(StartError, match=r"^BALANCER_CONFIG: expected JSON, got "):
         read("{", tmp_path)
