--- a/brookhinge/cache_server/protocol.py
+++ b/brookhinge/cache_server/protocol.py
@@ -71,7 +71,7 @@
     """Cuts what a router sends into commands: (PULL, id, fields, body), (KILL, id) and (ECHO, id)."""
 
     @staticmethod
-    def begin(line: bytes) -> tuple[tuple, int | None]:
+    def parse_line(line: bytes) -> tuple[tuple, int | None]:
         """Return the values of a command, and the size of its body; None where none follows.
 
         Raises:
--- a/brookhinge/decision_settings.py
+++ b/brookhinge/decision_settings.py
@@ -25,7 +25,7 @@
     NANOSECOND_S,
     NUMBER,
     SHOWN_CHARACTERS,
-    TEXT,
+    STRING,
     SettingsReader,
     StartError,
 )
@@ -74,11 +74,11 @@
     limits = settings.get_object("Limits", {})
     specifics = settings.get_object("Specifics", {})
     report = settings.get_object("Report", {})
-    zones = settings.get_texts("Zones")
-    machine_types = settings.get_texts("MachineTypes")
+    zones = settings.get_strings("Zones")
+    machine_types = settings.get_strings("MachineTypes")
     zone = _read_zone(settings, zones)
     request_classes = _read_request_classes(settings, specifics)
-    routers = settings.get_in_range("Instances", 1, math.inf, 1, form=INTEGER)
+    routers = settings.get_in_range("Instances", 1, math.inf, 1, json_type=INTEGER)
     max_retry_after_s = 0.0
     if limits.get("RetryAfter", FLAG, False):
         max_retry_after_s = limits.get_duration_s("MaxRetryAfterNs", 0)
@@ -90,19 +90,19 @@
             routers_here=max(1, specifics.get_element("ZoneBalancers", zone, INTEGER, routers)),
             routers=routers,
             number=settings.get("MyNumber", INTEGER, 0),
-            weights_known=settings.get("WeightSource", TEXT, "silent") in WEIGHT_WORDS,
+            weights_known=settings.get("WeightSource", STRING, "silent") in WEIGHT_WORDS,
         ),
         limits=RouterLimits(
-            max_attempts=limits.get_in_range("MaxAttempts", 1, math.inf, 1, form=INTEGER),
+            max_attempts=limits.get_in_range("MaxAttempts", 1, math.inf, 1, json_type=INTEGER),
             probes=limits.get_flag("Probes"),
             cancel=limits.get_flag("Cancel"),
             max_retry_after_s=max_retry_after_s,
         ),
         fill_policy=FillPolicy(
-            siblings=specifics.get_word("PeersFill", SIBLING_WORDS, "none"),
+            siblings=specifics.get_choice("PeersFill", SIBLING_WORDS, "none"),
             allows_direct=specifics.get_flag("Straight"),
             joins_fills=specifics.get_flag("SharesFills"),
-            notes=specifics.get_word("Says", NOTE_WORDS, "none"),
+            notes=specifics.get_choice("Says", NOTE_WORDS, "none"),
             transfer_kb_s=specifics.get("OneFlowKbPerS", NUMBER, 0.0),
             uplink_kb_s=specifics.get_element("InletKbPerS", zone, NUMBER, 0.0),
         ),
@@ -114,19 +114,19 @@
             _read_machine_type(specifics, "MasterKind", machine_types),
         ),
     )
-    report.get_texts("Columns")  # both programs check them, though only the router on sockets uses them
+    report.get_strings("Columns")  # both programs check them, though only the router on sockets uses them
     return decisions
 
 
 def read_report_columns(settings: SettingsReader) -> list[str]:
     """Return the columns of a load report, as servers name them."""
-    columns = settings.get_object("Report", {}).get_texts("Columns")
+    columns = settings.get_object("Report", {}).get_strings("Columns")
     return [REPORT_COLUMNS.get(column, column) for column in columns]
 
 
 def _read_zone(settings: SettingsReader, zones: list[str]) -> int:
     """Return the index of the zone where this router stands; the first where it is not told."""
-    name = settings.get("Az", TEXT, "")
+    name = settings.get("Az", STRING, "")
     if name and name not in zones:
         raise StartError(f"{settings.path_of('Az')}: expected one of Zones, got {name!r:.{SHOWN_CHARACTERS}}")
     return zones.index(name) if name else 0
@@ -151,9 +151,9 @@
 def _read_request_class(values: SettingsReader, specifics: SettingsReader, index: int) -> RequestClass:
     """Read a request class; some of its values stand in lists of `Specifics`, in the order of classes."""
     return RequestClass(
-        name=values.get("Name", TEXT),
-        idempotency=values.get_word("Effect", IDEMPOTENCY_WORDS, "fragile"),
-        deduplication_scope=values.get_word("Group", SCOPE_WORDS, "all"),
+        name=values.get("Name", STRING),
+        idempotency=values.get_choice("Effect", IDEMPOTENCY_WORDS, "fragile"),
+        deduplication_scope=values.get_choice("Group", SCOPE_WORDS, "all"),
         deduplication_window_s=values.get_duration_s("WindowNs", 0),
         latency_objective_s=values.get_duration_s("AimNs"),
         objective_stretch=values.get_in_range("AimStretch", 0, math.inf, 0.0),
@@ -191,6 +191,6 @@
 def _read_machine_type(specifics: SettingsReader, key: str, machine_types: list[str]) -> str:
     """Return the name of a machine type that is told by its index; empty where there is none."""
     index = specifics.get_in_range(
-        key, NO_MACHINE_TYPE, len(machine_types) - 1, NO_MACHINE_TYPE, form=INTEGER
+        key, NO_MACHINE_TYPE, len(machine_types) - 1, NO_MACHINE_TYPE, json_type=INTEGER
     )
     return machine_types[index] if index != NO_MACHINE_TYPE else ""
--- a/brookhinge/net/cachewire.py
+++ b/brookhinge/net/cachewire.py
@@ -126,7 +126,7 @@
         self._body_size = 0
 
     @staticmethod
-    def begin(line: bytes) -> tuple[tuple, int | None]:
+    def parse_line(line: bytes) -> tuple[tuple, int | None]:
         """Parse a line into its values and the size of the body that follows, None if no body follows.
 
         Raises:
@@ -153,7 +153,7 @@
                             f"expected a line of at most {MAX_LINE_BYTES} bytes, got a longer one"
                         )
                     break
-                head, body_size = self.begin(bytes(buffered[position:line_end]))
+                head, body_size = self.parse_line(bytes(buffered[position:line_end]))
                 position = line_end + len(LINE_END)
                 if body_size is None:
                     items.append(head)
@@ -177,7 +177,7 @@
     """Splits the output of a cache server into answers; each item holds the values of an `AnswerLine`."""
 
     @staticmethod
-    def begin(line: bytes) -> tuple[tuple[bytes, bytes, dict[bytes, bytes]], int]:
+    def parse_line(line: bytes) -> tuple[tuple[bytes, bytes, dict[bytes, bytes]], int]:
         """Parse a line into request id, status and fields of an answer, and the size of its body.
 
         Raises:
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -98,10 +98,10 @@
         client_sockets = max(
             MIN_CLIENT_DESCRIPTORS, site.bounds.sockets - upstream_sockets - RESERVED_DESCRIPTORS
         )
-        if site.storm:
+        if site.detects_overload:
             self.ingress = self._build_ingress(client_sockets)
         self.client_connections = self._build_client_connections(client_sockets)
-        cursor, known_commands = read_commands(site.known, self.started_at)
+        cursor, known_commands = read_commands(site.initial_commands, self.started_at)
         self.command_channel = self._build_command_channel(cursor)
         self.write_guard = self._build_write_guard()
         self.upstream_connections = self._build_upstream_connections(upstream_sockets)
@@ -124,7 +124,7 @@
             from brookhinge.engine.scores import Scores
 
             scores = Scores(request_classes, decisions.fill_policy.transfer_kb_s)
-        if self.site.storm:
+        if self.site.detects_overload:
             from brookhinge.overload.retry_lineage import RetryLineage
             from brookhinge.overload.retry_schedule import RetrySchedule
 
@@ -174,7 +174,7 @@
             started_at=self.started_at,
             settings=self.site.upstream,
             max_connections=sockets,
-            load_columns=self.site.columns,
+            load_columns=self.site.load_columns,
             max_wait_s=STALE_ATTEMPT_S,
             hold_reason=self.write_guard.hold_reason,
             trace=self.tracer,
@@ -183,7 +183,7 @@
 
     def _build_command_channel(self, cursor: int) -> CommandChannel:
         return CommandChannel(
-            self.post, self.log, self.site.channel, cursor, self.started_at, watch=self.watch
+            self.post, self.log, self.site.command_channel, cursor, self.started_at, watch=self.watch
         )
 
     def _build_write_guard(self) -> WriteGuard:
@@ -370,9 +370,9 @@
 
     def reload(self, site: Site) -> None:
         """Switch to the command channel of a new configuration; all other settings apply only at startup."""
-        host, port = site.channel
+        host, port = site.command_channel
         self.log("configuration", channel=f"{host}:{port}")
-        self.command_channel.move(site.channel)
+        self.command_channel.move(site.command_channel)
 
     def stop(self) -> None:
         """Shut down gracefully: drain, answer open requests, then return from `run`."""
--- a/brookhinge/settings_reader.py
+++ b/brookhinge/settings_reader.py
@@ -16,32 +16,32 @@
     """The configuration is invalid; the message names the key and the expected value."""
 
 
-class Form(NamedTuple):
+class JsonType(NamedTuple):
     """The JSON type that a value must have."""
 
     types: tuple[type, ...]
     description: str
 
 
-TEXT = Form((str,), "a string")
-NUMBER = Form((int, float), "a number")
-INTEGER = Form((int,), "an integer")
-FLAG = Form((bool, int), "true or false")
-OBJECT = Form((dict,), "an object")
-LIST = Form((list,), "a list")
+STRING = JsonType((str,), "a string")
+NUMBER = JsonType((int, float), "a number")
+INTEGER = JsonType((int,), "an integer")
+FLAG = JsonType((bool, int), "true or false")
+OBJECT = JsonType((dict,), "an object")
+LIST = JsonType((list,), "a list")
 
 
-def check(path: str, value: object, form: Form) -> object:
+def check(path: str, value: object, json_type: JsonType) -> object:
     """Return `value` if it has the expected type.
 
     Raises:
         StartError: The value has another type, or is a number that is not finite.
     """
-    is_unexpected_bool = isinstance(value, bool) and bool not in form.types
-    if not isinstance(value, form.types) or is_unexpected_bool:
-        raise StartError(f"{path}: expected {form.description}, got {value!r:.{SHOWN_CHARACTERS}}")
+    is_unexpected_bool = isinstance(value, bool) and bool not in json_type.types
+    if not isinstance(value, json_type.types) or is_unexpected_bool:
+        raise StartError(f"{path}: expected {json_type.description}, got {value!r:.{SHOWN_CHARACTERS}}")
     if isinstance(value, float) and not math.isfinite(value):
-        raise StartError(f"{path}: expected {form.description}, got {value!r}")
+        raise StartError(f"{path}: expected {json_type.description}, got {value!r}")
     return value
 
 
@@ -64,39 +64,39 @@
         """Return the path of a key for error messages."""
         return f"{self.path}.{key}" if self.path else key
 
-    def get(self, key: str, form: Form, *default: object) -> object:
+    def get(self, key: str, json_type: JsonType, *default: object) -> object:
         """Return the value of a key."""
         value = self.values.get(key)
         if value is not None:
-            return check(self.path_of(key), value, form)
+            return check(self.path_of(key), value, json_type)
         if default:
             return default[0]
-        raise StartError(f"{self.path_of(key)}: missing, expected {form.description}")
+        raise StartError(f"{self.path_of(key)}: missing, expected {json_type.description}")
 
     def get_flag(self, key: str) -> bool:
         """Return a flag, False if the key is missing."""
         return bool(self.get(key, FLAG, False))
 
     def get_in_range(
-        self, key: str, minimum: float, maximum: float, *default: float, form: Form = NUMBER
+        self, key: str, minimum: float, maximum: float, *default: float, json_type: JsonType = NUMBER
     ) -> float:
         """Return a number in a closed range."""
-        value = self.get(key, form, *default)
+        value = self.get(key, json_type, *default)
         if not minimum <= value <= maximum:
             bound = f"from {minimum} to {maximum}" if maximum < math.inf else f"of {minimum} or more"
-            raise StartError(f"{self.path_of(key)}: expected {form.description} {bound}, got {value!r}")
+            raise StartError(f"{self.path_of(key)}: expected {json_type.description} {bound}, got {value!r}")
         return value
 
-    def get_above(self, key: str, bound: float, form: Form, *default: float) -> float:
+    def get_above(self, key: str, bound: float, json_type: JsonType, *default: float) -> float:
         """Return a number greater than a bound."""
-        value = self.get(key, form, *default)
+        value = self.get(key, json_type, *default)
         if value <= bound:
             raise StartError(f"{self.path_of(key)}: expected more than {bound}, got {value!r}")
         return value
 
-    def get_word(self, key: str, meanings: Mapping[str, Meaning], default: str) -> Meaning:
+    def get_choice(self, key: str, meanings: Mapping[str, Meaning], default: str) -> Meaning:
         """Return the entry of `meanings` for the word under a key."""
-        word = self.get(key, TEXT, default)
+        word = self.get(key, STRING, default)
         if word not in meanings:
             words = ", ".join(filter(None, meanings))
             raise StartError(
@@ -113,10 +113,10 @@
 
     def get_address(self, key: str) -> tuple[str, int]:
         """Return the host and port of a HOST:PORT string."""
-        text = self.get(key, TEXT)
-        host, colon, port = text.rpartition(":")
+        address = self.get(key, STRING)
+        host, colon, port = address.rpartition(":")
         if not host or not colon or not port.isdigit() or not int(port) < 65536:
-            raise StartError(f"{self.path_of(key)}: expected HOST:PORT, got {text!r:.{SHOWN_CHARACTERS}}")
+            raise StartError(f"{self.path_of(key)}: expected HOST:PORT, got {address!r:.{SHOWN_CHARACTERS}}")
         return host, int(port)
 
     def get_object(self, key: str, *default: Mapping[str, object]) -> SettingsReader:
@@ -132,14 +132,14 @@
             for path, values in zip(paths, objects, strict=True)
         ]
 
-    def get_texts(self, key: str) -> list[str]:
+    def get_strings(self, key: str) -> list[str]:
         """Return a list of strings, which is empty if the key is missing."""
-        texts = self.get(key, LIST, [])
-        return [check(f"{self.path_of(key)}[{i}]", text, TEXT) for i, text in enumerate(texts)]
+        strings = self.get(key, LIST, [])
+        return [check(f"{self.path_of(key)}[{i}]", string, STRING) for i, string in enumerate(strings)]
 
-    def get_element(self, key: str, index: int, form: Form, default: object) -> object:
+    def get_element(self, key: str, index: int, json_type: JsonType, default: object) -> object:
         """Return one value of a list, or the default if the list is missing or too short."""
         elements = self.get(key, LIST, [])
         if index >= len(elements):
             return default
-        return check(f"{self.path_of(key)}[{index}]", elements[index], form)
+        return check(f"{self.path_of(key)}[{index}]", elements[index], json_type)
--- a/brookhinge/startup.py
+++ b/brookhinge/startup.py
@@ -16,7 +16,7 @@
     NUMBER,
     OBJECT,
     SHOWN_CHARACTERS,
-    TEXT,
+    STRING,
     SettingsReader,
     StartError,
     check,
@@ -55,15 +55,15 @@
 
     name: str
     listen: tuple[str, int]
-    channel: tuple[str, int]
+    command_channel: tuple[str, int]
     seed: int
-    known: dict  # command channel answer that was known before startup
+    initial_commands: dict  # command channel answer that was known before startup
     bounds: Bounds
     upstream: UpstreamSettings
     zones: list[str]
-    columns: list[bytes]  # names of the values in a server's load report
+    load_columns: list[bytes]  # names of the values in a server's load report
     decisions: DecisionSettings
-    storm: bool  # whether overload is detected and client retries are scheduled
+    detects_overload: bool  # whether overload is detected and client retries are scheduled
 
 
 def read_site(environ: Mapping[str, str]) -> Site:
@@ -83,11 +83,11 @@
     if not decisions.request_classes:
         raise StartError("settings.Classes: missing, expected at least one class")
     return Site(
-        name=config.get("name", TEXT),
+        name=config.get("name", STRING),
         listen=config.get_address("listen"),
-        channel=config.get_address("channel"),
+        command_channel=config.get_address("channel"),
         seed=seed,
-        known=known.values,
+        initial_commands=known.values,
         bounds=Bounds(
             memory_mb=bounds.get_above("memory_mb", 0, NUMBER, DEFAULT_MEMORY_MB),
             sockets=bounds.get_above("sockets", MIN_DESCRIPTORS - 1, INTEGER, DEFAULT_DESCRIPTORS),
@@ -100,10 +100,10 @@
             idle_timeout_s=limits.get_duration_s("IdleCloseNs", DEFAULT_IDLE_TIMEOUT_NS),
             multiplex=limits.get_above("Multiplex", 0, INTEGER, DEFAULT_MULTIPLEX),
         ),
-        zones=settings.get_texts("Zones"),
-        columns=[column.encode() for column in read_report_columns(settings)],
+        zones=settings.get_strings("Zones"),
+        load_columns=[column.encode() for column in read_report_columns(settings)],
         decisions=decisions,
-        storm=config.get_flag("storm"),
+        detects_overload=config.get_flag("storm"),
     )
 
 
@@ -134,7 +134,7 @@
 
 
 def _read_seed(config: SettingsReader) -> int:
-    digits = config.get("seed", TEXT)
+    digits = config.get("seed", STRING)
     try:
         return int(digits, 16)
     except ValueError:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -261,7 +261,7 @@
             self.router, [t.name.encode() for t in site.decisions.request_classes], site.zones
         )
         self.now, self.asked = 0.0, 0
-        self.hear(*read_commands(site.known, 0.0)[1])
+        self.hear(*read_commands(site.initial_commands, 0.0)[1])
 
     def hear(self, *posted, at=None):
         self.now = self.now + 0.01 if at is None else at
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -10,7 +10,7 @@
 
 def test_a_configuration_as_read(tmp_path):
     site = read(configuration(), tmp_path)
-    assert (site.name, site.listen, site.channel, site.seed) == (
+    assert (site.name, site.listen, site.command_channel, site.seed) == (
         "n1",
         ("127.0.0.1", 0),
         ("127.0.0.1", 9),
@@ -19,7 +19,7 @@
     assert (
         site.bounds == (192, 1024, 0, 0)
         and site.upstream == pytest.approx((0.2, 30.0, 32))
-        and site.columns == [b"util", b"x0"]
+        and site.load_columns == [b"util", b"x0"]
     )
     assert [(t.name, t.idempotency, t.timeout_s) for t in site.decisions.request_classes] == [
         ("page", Idempotency.REPEATABLE, 3.0),
