--- a/tests/crossings/test_rare.py
+++ b/tests/crossings/test_rare.py
@@ -20,7 +20,7 @@
 from brookhinge.overload.retry_lineage import RetryLineage
 from tests.crossings.test_sockets import Raw, warm
 from tests.helpers import Bench, Desk, Machine, configuration, request_class, settings
-from tests.test_service import caches, played, until
+from tests.test_service import caches, run_scenario, until
 
 HOUR_S = 3600.0
 
@@ -42,7 +42,7 @@
         return received
 
     machines = caches(delay=0.1)
-    assert played(scene, tmp_path, machines=machines) == [(n, "satisfied 19") for n in range(1, 12)]
+    assert run_scenario(scene, tmp_path, machines=machines) == [(n, "satisfied 19") for n in range(1, 12)]
 
 
 class FailingListener:
@@ -86,7 +86,7 @@
         t.caller.ask(1)
         return await t.caller.hear()
 
-    assert played(scene, tmp_path) == (1, "satisfied 19")
+    assert run_scenario(scene, tmp_path) == (1, "satisfied 19")
 
 
 def test_who_came_while_accept_failed_is_answered_as_the_router_ends(tmp_path):
@@ -104,7 +104,7 @@
         return answer and answer[0]
 
     for error in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-        assert played(lambda t, error=error: scene(t, error), tmp_path) == 1, errno.errorcode[error]
+        assert run_scenario(lambda t, error=error: scene(t, error), tmp_path) == 1, errno.errorcode[error]
 
 
 def test_who_came_while_clients_held_all_descriptors_is_answered_as_the_router_ends(tmp_path):
@@ -120,7 +120,7 @@
         await t.task
         return [answer and answer[0] for answer in answers]
 
-    assert played(scene, tmp_path, machines=caches(delay=1.0)) == [1, 1]
+    assert run_scenario(scene, tmp_path, machines=caches(delay=1.0)) == [1, 1]
 
 
 def test_who_writes_slowly_has_the_answer_to_what_came_whole(tmp_path):
@@ -133,7 +133,7 @@
         caller = await raw.send().caller()
         return await caller.hear(), await caller.hear()
 
-    assert played(scene, tmp_path, machines=caches(delay=client_connections.CALL_TIMEOUT_S + 0.4)) == (
+    assert run_scenario(scene, tmp_path, machines=caches(delay=client_connections.CALL_TIMEOUT_S + 0.4)) == (
         (1, "satisfied 19"),
         None,
     )
@@ -175,7 +175,7 @@
         await asyncio.sleep(0.3)
         return await pulls_of_the_first_once_its_server_fails(t, raw)
 
-    assert len(played(scene, tmp_path)) == 1
+    assert len(run_scenario(scene, tmp_path)) == 1
 
 
 class DeafMachine(Machine):
@@ -227,7 +227,7 @@
 
     machines = {server: DeafMachine() for server in ("s-21", "s-22", "s-23")}
     patient = settings(ConnectTimeoutNs=2e9)  # a server that is silent is given up only after half of it
-    assert played(scene, tmp_path, machines=machines, settings=patient) == (True, 1)
+    assert run_scenario(scene, tmp_path, machines=machines, settings=patient) == (True, 1)
 
 
 class FailingSocket:
@@ -274,7 +274,7 @@
 
     for case in itertools.product(("recv_into", "send"), (errno.ENOMEM, errno.ENOBUFS)):
         with pytest.MonkeyPatch.context() as patch:
-            answer = played(lambda t: scene(t, patch, *case), tmp_path, machines=caches())
+            answer = run_scenario(lambda t: scene(t, patch, *case), tmp_path, machines=caches())
         assert answer is not None and answer[1] == "satisfied 19", case
 
 
@@ -322,7 +322,7 @@
         await t.caller.hear()
         return patience_told(t)
 
-    first, second = played(scene, tmp_path)
+    first, second = run_scenario(scene, tmp_path)
     assert first <= 2900 - 600 + 150 and second > 1600
 
 
@@ -340,7 +340,7 @@
         await t.caller.hear()
         return answer, patience_told(t)
 
-    answer, (first, second) = played(scene, tmp_path)
+    answer, (first, second) = run_scenario(scene, tmp_path)
     assert answer == (1, "satisfied 19") and first <= 2900 - 600 + 150 and second > 1600
 
 
@@ -402,7 +402,7 @@
         numbers = {answer[0] - t.caller.number for answer in answers}
         return numbers, {answer[1] for answer in answers}, sorted(patience_told(t))
 
-    numbers, answers, (second, first) = played(scene, tmp_path, machines=caches())
+    numbers, answers, (second, first) = run_scenario(scene, tmp_path, machines=caches())
     assert numbers == {-1, 0} and answers == {"satisfied 19"}
     assert second <= 2900 - 500 + 150 < first
 
@@ -427,7 +427,7 @@
         await asyncio.sleep(0.2)
         return await pulls_of_the_first_once_its_server_fails(t, raw)
 
-    assert len(played(scene, tmp_path)) == 1
+    assert len(run_scenario(scene, tmp_path)) == 1
 
 
 def test_a_listener_that_fails_as_the_router_ends_does_not_keep_it_from_ending(tmp_path):
@@ -441,7 +441,7 @@
         await asyncio.wait_for(t.task, 5.0)
         return t.service.lifecycle.phase
 
-    assert played(scene, tmp_path) == "ended"
+    assert run_scenario(scene, tmp_path) == "ended"
 
 
 def test_a_connection_that_was_reset_keeps_no_buffer(tmp_path):
@@ -463,7 +463,7 @@
     gc.disable()
     tracemalloc.start()
     try:
-        assert played(scene, tmp_path, machines=caches()) < 32_000
+        assert run_scenario(scene, tmp_path, machines=caches()) < 32_000
     finally:
         tracemalloc.stop()
         gc.enable()
--- a/tests/crossings/test_sockets.py
+++ b/tests/crossings/test_sockets.py
@@ -20,7 +20,7 @@
 from brookhinge.net import client_calls, client_connection, client_connections, program, upstream_pool
 from brookhinge.net.service import Service
 from tests.helpers import Caller, Commands, Desk, configuration, host, listed, read, settings
-from tests.test_service import ROOT, caches, played, until
+from tests.test_service import ROOT, caches, run_scenario, until
 
 DATA = b"ID data n=hit 3\r\nyes\r\n"
 
@@ -86,7 +86,7 @@
         await asyncio.sleep(0.1)
         return heard[1], len(pulls(t)), t.service.state.requests.open
 
-    assert played(scene, tmp_path) == ("satisfied 19", 1, {})
+    assert run_scenario(scene, tmp_path) == ("satisfied 19", 1, {})
 
 
 def test_a_query_that_waits_behind_a_call_refused_goes_with_its_client(tmp_path, monkeypatch):
@@ -103,7 +103,7 @@
             t.service.client_connections.memory.buffered_bytes,
         )
 
-    assert played(scene, tmp_path) == ([], 1, 0)
+    assert run_scenario(scene, tmp_path) == ([], 1, 0)
 
 
 def test_no_further_push_once_the_client_went_while_the_loop_stood_still(tmp_path):
@@ -123,7 +123,7 @@
         await asyncio.sleep(0.1)
         return len(pulls(t)), t.service.state.requests.open
 
-    assert played(scene, tmp_path) == (1, {})
+    assert run_scenario(scene, tmp_path) == (1, {})
 
 
 def test_no_further_push_on_an_answer_that_lay_there_with_the_clients_end(tmp_path):
@@ -145,7 +145,7 @@
         await asyncio.sleep(0.2)
         return len(pulls(t)), t.service.state.requests.open
 
-    assert played(scene, tmp_path) == (1, {})
+    assert run_scenario(scene, tmp_path) == (1, {})
 
 
 # closes of ours and calls that come just then
@@ -164,7 +164,7 @@
         t.caller.ask(1)
         return await t.caller.hear()
 
-    assert played(scene, tmp_path) == (1, "satisfied 19")
+    assert run_scenario(scene, tmp_path) == (1, "satisfied 19")
 
 
 def test_a_call_that_lies_unread_keeps_its_idle_connection(tmp_path, monkeypatch):
@@ -181,7 +181,7 @@
         t.service.client_connections.release(t.service.client_connections.clients[2], CloseReason.IDLE)
         return await (await raw.caller()).hear()
 
-    assert played(scene, tmp_path) == (1, "satisfied 19")
+    assert run_scenario(scene, tmp_path) == (1, "satisfied 19")
 
 
 def test_a_call_that_crosses_a_close_of_ours_resets_nothing(tmp_path, monkeypatch):
@@ -200,7 +200,7 @@
             len(t.service.client_connections.lingering) > 0,
         )
 
-    assert played(scene, tmp_path) == ([(1, "satisfied 19"), None], None, 1, True)
+    assert run_scenario(scene, tmp_path) == ([(1, "satisfied 19"), None], None, 1, True)
 
 
 def test_who_breaks_the_protocol_still_hears_what_was_answered_over_unread_bytes(tmp_path, monkeypatch):
@@ -213,7 +213,7 @@
         heard = [await caller.hear() for _ in range(9)]
         return [h and h[1] for h in heard], caller.reader.exception()
 
-    heard, fault = played(scene, tmp_path)
+    heard, fault = run_scenario(scene, tmp_path)
     assert heard == ["exception room: missing or unusable"] * 8 + [None] and fault is None
 
 
@@ -227,7 +227,7 @@
         caller = await raw.send().caller()
         return {await caller.hear(), await caller.hear()}, await caller.hear(), len(pulls(t))
 
-    assert played(scene, tmp_path, machines=caches(delay=0.1)) == (
+    assert run_scenario(scene, tmp_path, machines=caches(delay=0.1)) == (
         {(1, "satisfied 19"), (2, "satisfied 19")},
         None,
         2,
@@ -254,7 +254,7 @@
         caller = await raw.caller()
         return await caller.hear(), await caller.hear(), caller.reader.exception(), pulls(t)
 
-    assert played(scene, tmp_path) == ((1, "nack"), None, None, [])
+    assert run_scenario(scene, tmp_path) == ((1, "nack"), None, None, [])
 
 
 def test_what_is_read_after_the_end_began_is_refused(tmp_path):
@@ -301,7 +301,7 @@
         return await scene(t, server)
 
     monkeypatch.setattr(upstream_pool, "Stream", Held)
-    return played(play, folder, settings=settings(ConnectTimeoutNs=2e9), **town)
+    return run_scenario(play, folder, settings=settings(ConnectTimeoutNs=2e9), **town)
 
 
 @pytest.mark.parametrize("health", ["draining", "removed"])
@@ -400,7 +400,7 @@
         await until(lambda: used[0].is_closed)
         return heard, used[0] in used[1:]
 
-    assert played(scene, tmp_path) == (
+    assert run_scenario(scene, tmp_path) == (
         [(1, "satisfied 3")] + [(n, "satisfied 19") for n in range(2, 6)],
         False,
     )
@@ -423,7 +423,7 @@
             await asyncio.sleep(0.01)
         return heard, line.is_closed, t.service.upstream_connections.placements
 
-    assert played(scene, tmp_path) == ((1, "nack"), True, {})
+    assert run_scenario(scene, tmp_path) == ((1, "nack"), True, {})
 
 
 # descriptors, and the program's start
@@ -449,7 +449,7 @@
         half.socket.sendall(wire[30:])
         return gone, await late[-1].hear(), await (await half.caller()).hear()
 
-    assert played(scene, tmp_path) == (None, (1, "satisfied 19"), (1, "satisfied 19"))
+    assert run_scenario(scene, tmp_path) == (None, (1, "satisfied 19"), (1, "satisfied 19"))
 
 
 def test_small_writes_are_never_held_back(tmp_path):
@@ -466,7 +466,7 @@
             streams
         ) > 2
 
-    assert played(scene, tmp_path) == ({True}, True)
+    assert run_scenario(scene, tmp_path) == ({True}, True)
 
 
 def test_idle_clients_at_the_systems_bound_starve_neither_discovery_nor_servers(tmp_path):
@@ -509,7 +509,7 @@
             raw.close()
         return heard, code
 
-    assert played(scene, tmp_path) == ((1, "satisfied 19"), 0)
+    assert run_scenario(scene, tmp_path) == ((1, "satisfied 19"), 0)
 
 
 def test_the_share_of_descriptors_is_of_what_the_system_gives(tmp_path, monkeypatch):
@@ -548,7 +548,7 @@
         router.terminate()
         return await router.wait()
 
-    assert played(scene, tmp_path) == 0
+    assert run_scenario(scene, tmp_path) == 0
 
 
 def test_a_frame_in_pieces_is_one_call(tmp_path):
@@ -562,7 +562,7 @@
             await asyncio.sleep(0)
         return await (await raw.caller()).hear(), len(pulls(t))
 
-    assert played(scene, tmp_path) == ((1, "satisfied 19"), 1)
+    assert run_scenario(scene, tmp_path) == ((1, "satisfied 19"), 1)
 
 
 def test_a_client_that_is_gone_leaves_nothing_behind(tmp_path):
@@ -583,7 +583,7 @@
         finally:
             gc.enable()
 
-    assert played(scene, tmp_path) == 1
+    assert run_scenario(scene, tmp_path) == 1
 
 
 def test_the_command_line_leaves_the_word_to_hang_up_as_it_found_it():
--- a/tests/engine/test_invariants.py
+++ b/tests/engine/test_invariants.py
@@ -14,7 +14,7 @@
 from brookhinge.engine.log import Log
 from brookhinge.engine.trace import Trace
 from tests.helpers import Desk, request_class
-from tests.test_service import caches, played, until
+from tests.test_service import caches, run_scenario, until
 
 
 def violations(desk):
@@ -171,7 +171,7 @@
         t.service.client_connections.drop(client, CloseReason.IDLE)
         return await t.caller.hear(), dict(t.service.state.invariants.violations)
 
-    assert played(scene, tmp_path, machines=caches(delay=0.3)) == (None, {"one_answer": 1, "close": 1})
+    assert run_scenario(scene, tmp_path, machines=caches(delay=0.3)) == (None, {"one_answer": 1, "close": 1})
 
 
 def test_a_response_that_crosses_its_cancel_breaks_nothing(tmp_path):
@@ -184,7 +184,7 @@
         t.caller.ask(2)
         return await t.caller.hear(), dict(t.service.state.invariants.violations)
 
-    assert played(scene, tmp_path, machines=caches(delay=0.1)) == ((2, "satisfied 19"), {})
+    assert run_scenario(scene, tmp_path, machines=caches(delay=0.1)) == ((2, "satisfied 19"), {})
 
 
 def test_a_trace_follows_a_request_by_its_id(tmp_path):
@@ -200,7 +200,7 @@
         t.caller.ask(1)
         return await t.caller.hear()
 
-    played(scene, tmp_path)
+    run_scenario(scene, tmp_path)
     steps = [json.loads(line) for line in (tmp_path / "trace").read_text().splitlines()]
     way = [(s["step"], s.get("result") or s.get("after")) for s in steps if s.get("ref") == f"{1:016x}"]
     assert way == [
@@ -235,7 +235,7 @@
         t.service.shutdown.done.set()
         await t.task
 
-    played(scene, tmp_path, machines=caches(act="full"))
+    run_scenario(scene, tmp_path, machines=caches(act="full"))
     totals = [json.loads(line) for line in lines if b"totals" in line]
     assert len(totals) == 1 and sum(totals[0]["refusals"].values()) == 1 and totals[0]["violations"] == {}
 
@@ -258,5 +258,5 @@
         t.caller.ask(1)
         return await t.caller.hear(), dict(t.service.state.totals.refusals)
 
-    answer, refusals = played(scene, tmp_path, machines=caches(act="full"))
+    answer, refusals = run_scenario(scene, tmp_path, machines=caches(act="full"))
     assert answer == (1, "nack") and sum(refusals.values()) == 1 and set(refusals) <= set(Refusal)
--- a/tests/overload/test_daemon.py
+++ b/tests/overload/test_daemon.py
@@ -10,7 +10,7 @@
 
 from brookhinge.emulator.local_deployment import LocalDeployment as Processes
 
-del test_a_slow_transfer_does_not_hold_up_the_rest
+del test_slow_transfer_does_not_delay_other_attempts
 
 
 @pytest.fixture(autouse=True)
@@ -35,7 +35,7 @@
         heard += [await t.caller.hear() for _ in range(4)]
         return heard, sum(line.split()[2].endswith("3") for line in t.pulled() if "PULL" in line)
 
-    heard, beside = played(scene, tmp_path)
+    heard, beside = run_scenario(scene, tmp_path)
     assert sorted(heard[1:3]) == [(4, "satisfied 19"), (5, "satisfied 19")] and beside == 0
     assert sorted(n for n, _ in heard[3:]) == [2, 3]
 
@@ -113,7 +113,7 @@
             [line.split()[1] for line in t.lines if line.startswith("storm")],
         )
 
-    heard, kept, away, states = played(scene, tmp_path, limits={"memory_mb": 192, "sockets": 160})
+    heard, kept, away, states = run_scenario(scene, tmp_path, limits={"memory_mb": 192, "sockets": 160})
     assert (
         heard == [(1, "satisfied 19"), (2, "satisfied 19")]
         and kept <= 83
--- a/tests/standstill/test_held_back.py
+++ b/tests/standstill/test_held_back.py
@@ -10,7 +10,7 @@
 from brookhinge.net.upstream_connection import PendingAttempt
 from tests.crossings.test_sockets import Raw
 from tests.helpers import host
-from tests.test_service import caches, played, until
+from tests.test_service import caches, run_scenario, until
 
 
 async def one_out(t):
@@ -54,7 +54,7 @@
         )
         return before, t.service.write_guard.hold_reason(change(t, raw, decided) or decided)
 
-    before, after = played(scene, tmp_path, machines=caches(act="silent"))
+    before, after = run_scenario(scene, tmp_path, machines=caches(act="silent"))
     assert before is None
     return after
 
@@ -128,4 +128,4 @@
         t.service.upstream_connections.place(line, PendingAttempt(other, queued_at))
         return dict(t.service.upstream_connections.holds)
 
-    assert played(scene, tmp_path, machines=caches(act="silent")) == {HeldBack.LATE: 1}
+    assert run_scenario(scene, tmp_path, machines=caches(act="silent")) == {HeldBack.LATE: 1}
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -19,7 +19,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def played(scene, folder, **town):
+def run_scenario(scene, folder, **town):
     async def play():
         async with LocalDeployment(folder, **town) as t:
             return await asyncio.wait_for(scene(t), 20)
@@ -48,7 +48,7 @@
         )
         return sorted([await t.caller.hear() for _ in asked])
 
-    heard = played(scene, tmp_path)
+    heard = run_scenario(scene, tmp_path)
     assert heard == [(1, "satisfied 19"), (2, "well True"), (3, "satisfied 0 unchanged")]
 
 
@@ -61,7 +61,7 @@
         await t.caller.hear()
         return lines
 
-    (line,) = played(scene, tmp_path)
+    (line,) = run_scenario(scene, tmp_path)
     name, fields = line.split()[1:3]
     fields = dict(f.split("=") for f in fields.split(","))
     assert name == f"{1:016x}" and 0 < int(fields.pop("patience")) < 3000
@@ -101,7 +101,7 @@
         t.caller.ask(2)
         return bad, await t.caller.hear()
 
-    assert played(scene, tmp_path) == ((1, "exception " + why), (2, "satisfied 19"))
+    assert run_scenario(scene, tmp_path) == ((1, "exception " + why), (2, "satisfied 19"))
 
 
 def test_an_unknown_method_and_a_frame_that_cannot_be_read(tmp_path):
@@ -119,7 +119,13 @@
         t.caller.ask(1)
         return [*heard, await t.caller.hear()]
 
-    assert played(scene, tmp_path) == [(1, "exception no method sing"), None, None, None, (2, "satisfied 19")]
+    assert run_scenario(scene, tmp_path) == [
+        (1, "exception no method sing"),
+        None,
+        None,
+        None,
+        (2, "satisfied 19"),
+    ]
 
 
 async def one_cancels_and_one_leaves(t):
@@ -139,7 +145,7 @@
         t.caller.call(b"isWell")
         return await t.caller.hear(), sorted(line[5:9] for line in t.pulled()), t.service.state.requests.open
 
-    assert played(scene, tmp_path, machines=caches(act="silent")) == (
+    assert run_scenario(scene, tmp_path, machines=caches(act="silent")) == (
         (3, "well True"),
         ["KILL", "KILL", "PULL", "PULL"],
         {},
@@ -161,7 +167,7 @@
         heard = [await t.caller.hear() for _ in range(7)]
         return {text for _, text in heard}, f"cache connection {home} nothing received in time" in t.lines
 
-    assert played(scene, tmp_path, machines=caches(act="silent")) == ({"satisfied 19"}, True)
+    assert run_scenario(scene, tmp_path, machines=caches(act="silent")) == ({"satisfied 19"}, True)
 
 
 def test_a_server_that_refuses_proves_that_nothing_ran(tmp_path):
@@ -179,7 +185,7 @@
         t.caller.ask(20, service="order")
         return set(heard), await t.caller.hear()
 
-    assert played(scene, tmp_path) == ({"satisfied 19"}, (13, "error"))
+    assert run_scenario(scene, tmp_path) == ({"satisfied 19"}, (13, "error"))
 
 
 def test_an_unreadable_answer_closes_that_connection(tmp_path):
@@ -195,7 +201,7 @@
             any("unreadable: expected an answer line, got b'what is this'" in line for line in t.lines),
         )
 
-    assert played(scene, tmp_path, machines=caches(act="garbage")) == (
+    assert run_scenario(scene, tmp_path, machines=caches(act="garbage")) == (
         (1, "error"),
         (2, "satisfied 19"),
         True,
@@ -236,7 +242,7 @@
             t.caller.ask(n, lookup=f"{n:016x}")
         return sorted([await t.caller.hear() for _ in range(5)]), said
 
-    heard, said = played(scene, tmp_path)
+    heard, said = run_scenario(scene, tmp_path)
     assert heard == [(n, "satisfied 3") for n in range(1, 6)] and said == ["cache connection"]
 
 
@@ -250,7 +256,7 @@
         return [await t.caller.hear(), await t.caller.hear()], lines[0][2].split(",")[-1]
 
     machines = caches(act=lambda line: lines.append(line) or "data")
-    assert played(scene, tmp_path, machines=machines) == (
+    assert run_scenario(scene, tmp_path, machines=machines) == (
         [(2, "exception replay: missing or unusable"), (1, "satisfied 19")],
         "op=1ff975b0a6ce2c84d2617523a0b82bf6",
     )
@@ -268,7 +274,7 @@
         t.caller.ask(3)
         return sorted([await t.caller.hear() for _ in range(3)]), sizes
 
-    assert played(scene, tmp_path) == (
+    assert run_scenario(scene, tmp_path) == (
         [(1, "satisfied 19"), (2, "exception room: out of range"), (3, "satisfied 19")],
         [0.0, 100.0],
     )
@@ -293,7 +299,7 @@
         t.caller.ask(2)
         return [*heard, await t.caller.hear()], len(lines), t.service.upstream_connections.placements
 
-    assert played(scene, tmp_path) == ([(1, "satisfied 3"), (2, "satisfied 3")], 3, {})
+    assert run_scenario(scene, tmp_path) == ([(1, "satisfied 3"), (2, "satisfied 3")], 3, {})
 
 
 def test_counts_in_flight_are_what_is_out_on_sockets_over_all_endings(tmp_path):
@@ -348,7 +354,7 @@
             t.service.upstream_connections.placements,
         )
 
-    assert played(scene, tmp_path) == ({True}, 0, 0, {}, {})
+    assert run_scenario(scene, tmp_path) == ({True}, 0, 0, {}, {})
 
 
 def test_a_server_without_a_connection_gets_one_at_the_share_of_descriptors(tmp_path):
@@ -363,10 +369,10 @@
             {line[:4] for line in t.pulled()},
         )
 
-    assert played(scene, tmp_path) == ({"satisfied 19"}, True, {"s-21", "s-22", "s-23"})
+    assert run_scenario(scene, tmp_path) == ({"satisfied 19"}, True, {"s-21", "s-22", "s-23"})
 
 
-def test_a_slow_transfer_does_not_hold_up_the_rest(tmp_path):
+def test_slow_transfer_does_not_delay_other_attempts(tmp_path):
     """An answer of which half has come blocks its connection; later pushes to that cache go by others."""
 
     async def scene(t):
@@ -379,7 +385,7 @@
             heard += [await t.caller.hear()] if n > 2 else []
         return heard, {line[:4] for line in t.pulled()}
 
-    heard, servers = played(scene, tmp_path)
+    heard, servers = run_scenario(scene, tmp_path)
     assert heard == [(n, "satisfied 19") for n in (1, 3, 4, 5)] and len(servers) == 1
 
 
@@ -392,7 +398,7 @@
         await until(lambda: len(t.pulled()) == 2)
         return heard, [line[5:9] for line in t.pulled()]
 
-    assert played(scene, tmp_path, machines=caches(act="silent")) == ((1, "nack"), ["KILL", "PULL"])
+    assert run_scenario(scene, tmp_path, machines=caches(act="silent")) == ((1, "nack"), ["KILL", "PULL"])
 
 
 def test_a_reused_address_belongs_to_the_new_server(tmp_path):
@@ -413,7 +419,7 @@
             "s-21" in t.service.state.endpoints.instances,
         )
 
-    assert played(scene, tmp_path) == ((2, "satisfied 19"), True, False)
+    assert run_scenario(scene, tmp_path) == ((2, "satisfied 19"), True, False)
 
 
 def test_the_command_channel_fails_in_every_way_and_goes_on(tmp_path):
@@ -434,7 +440,7 @@
         cursors = [int(poll.partition("resume=")[2].partition("&")[0]) for poll in t.commands.polls]
         return heard, cursors, [line for line in t.lines if "command" in line][-2:]
 
-    heard, cursors, said = played(scene, tmp_path, commands=Commands(*bad))
+    heard, cursors, said = run_scenario(scene, tmp_path, commands=Commands(*bad))
     assert (heard, cursors) == ((1, "satisfied 19"), [3, 3, 3, 3, 3, 4, 5])
     assert said == [
         "command skipped 4 KeyError 'drop': {'cursor': 4, 'play': {}}",
@@ -463,7 +469,7 @@
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
-    first, second = played(scene, tmp_path)
+    first, second = run_scenario(scene, tmp_path)
     assert first[1] in ("satisfied 19", "nack") and second[1] in ("satisfied 19", "nack")
 
 
@@ -487,7 +493,7 @@
         )
 
     machines = caches(body=b"x" * 240_000)
-    assert played(scene, tmp_path, machines=machines) == ((1, "satisfied 240000"), 0, True)
+    assert run_scenario(scene, tmp_path, machines=machines) == ((1, "satisfied 240000"), 0, True)
 
 
 def test_told_to_end_it_takes_queries_for_a_while_and_finishes_what_is_open(tmp_path):
@@ -503,7 +509,7 @@
         await t.task
         return heard, [line for line in t.lines if "phase" in line]
 
-    assert played(scene, tmp_path, machines=caches(delay=1.0)) == (
+    assert run_scenario(scene, tmp_path, machines=caches(delay=1.0)) == (
         [(2, "well False"), (1, "satisfied 19"), (1, "satisfied 19"), None],
         ["phase ready", "phase leaving", "phase finishing", "phase ended"],
     )
@@ -534,7 +540,7 @@
             codes.append(await program.wait())
         return codes
 
-    assert played(scene, tmp_path, machines=caches(delay=0.2)) == [-signal.SIGKILL, 0]
+    assert run_scenario(scene, tmp_path, machines=caches(delay=0.2)) == [-signal.SIGKILL, 0]
 
 
 def test_sighup_switches_the_command_channel_in_mid_poll_and_a_bad_file_changes_nothing(tmp_path):
@@ -570,7 +576,7 @@
         program.terminate()
         return bad["why"], other.polls[0].partition("&")[0], await program.wait()
 
-    assert played(scene, tmp_path, commands=Commands()) == (
+    assert run_scenario(scene, tmp_path, commands=Commands()) == (
         "channel: expected a string, got 1",
         "/cmd/next?resume=3",
         0,
@@ -591,7 +597,7 @@
         monkeypatch.setattr(client_connections, "IDLE_TIMEOUT_S", 0.2)
         return [*heard, await t.caller.hear()]
 
-    assert played(scene, tmp_path) == [(1, "satisfied 19"), None, None, (2, "satisfied 19"), None]
+    assert run_scenario(scene, tmp_path) == [(1, "satisfied 19"), None, None, (2, "satisfied 19"), None]
 
 
 def test_at_the_share_of_descriptors_the_silent_and_then_the_longest_idle_make_room(tmp_path):
@@ -610,7 +616,7 @@
             any("not accepting" in line for line in t.lines),
         )
 
-    assert played(scene, tmp_path) == ({"satisfied 19"}, True, False)
+    assert run_scenario(scene, tmp_path) == ({"satisfied 19"}, True, False)
 
 
 def test_a_frame_that_goes_on_after_its_message_is_not_taken(tmp_path):
@@ -619,7 +625,7 @@
         t.caller.writer.write(call)
         return await t.caller.hear()
 
-    assert played(scene, tmp_path) is None
+    assert run_scenario(scene, tmp_path) is None
 
 
 def test_who_sends_what_cannot_be_taken_again_and_again_is_closed(tmp_path):
@@ -628,7 +634,7 @@
             t.caller.ask(n, room="-1")
         return [await t.caller.hear() for _ in range(20)][-1], await Caller.connect(t.address)
 
-    assert played(scene, tmp_path)[0] is None
+    assert run_scenario(scene, tmp_path)[0] is None
 
 
 def test_told_to_end_it_errors_what_is_open_before_it_may_be_killed(tmp_path, monkeypatch):
@@ -642,7 +648,7 @@
         await t.task
         return heard
 
-    assert played(scene, tmp_path, machines=caches(act=lambda line: "silent")) == [(1, "error"), None]
+    assert run_scenario(scene, tmp_path, machines=caches(act=lambda line: "silent")) == [(1, "error"), None]
 
 
 def test_a_configuration_that_cannot_be_used_ends_the_start_with_one_line():
@@ -667,7 +673,7 @@
         await until(lambda: any(line.startswith("stalled 0.") for line in t.lines))
         return t.service.watch.stalls, t.service.metrics.counts()["stalls"]
 
-    stalls, counted = played(scene, tmp_path)
+    stalls, counted = run_scenario(scene, tmp_path)
     assert stalls == counted >= 1
 
 
@@ -678,4 +684,4 @@
         return t.service.metrics.reasons()["withdrawals"]
 
     machines = caches(act="silent")
-    assert played(scene, tmp_path, machines=machines) == {"cancelled": 1, "client_gone": 1}
+    assert run_scenario(scene, tmp_path, machines=machines) == {"cancelled": 1, "client_gone": 1}
