--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""A service on sockets among stand-ins: what clients hear and what comes to cache servers."""
+"""Tests of the service on sockets between emulated clients, cache servers and command channel."""
 
 import asyncio
 import json
@@ -19,52 +19,55 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def run_scenario(scene, folder, **town):
-    async def play():
-        async with LocalDeployment(folder, **town) as t:
-            return await asyncio.wait_for(scene(t), 20)
+def run_scenario(scenario, folder, **options):
+    async def run():
+        async with LocalDeployment(folder, **options) as deployment:
+            return await asyncio.wait_for(scenario(deployment), 20)
 
-    return asyncio.run(play())
+    return asyncio.run(run())
 
 
-def caches(**all_as):
-    """The same behaviour for the three caches."""
-    return {s: Machine(**all_as) for s in ("s-21", "s-22", "s-23")}
+def caches(**behavior):
+    """Return three cache servers with the same behavior."""
+    return {server: Machine(**behavior) for server in ("s-21", "s-22", "s-23")}
 
 
-async def until(true):
+async def until(condition):
     for _ in range(1000):
-        if true():
+        if condition():
             return
         await asyncio.sleep(0.005)
-    raise AssertionError("did not come about")
+    raise AssertionError("the condition did not become true within 5 s")
 
 
-def test_served_unchanged_and_well(tmp_path):
-    async def scene(t):
-        asked = [t.caller.ask(1), t.caller.call(b"isWell"), t.caller.ask(2, ver="4be0c1927d55a6f3")]
-        t.machines["s-21"].act = t.machines["s-22"].act = t.machines["s-23"].act = lambda line: (
-            "unchanged" if "got=4be0" in line[2] else "data"
-        )
-        return sorted([await t.caller.hear() for _ in asked])
+def test_request_with_current_version_is_answered_unchanged_and_health_check_succeeds(tmp_path):
+    async def scenario(deployment):
+        calls = [
+            deployment.caller.ask(1),
+            deployment.caller.call(b"isWell"),
+            deployment.caller.ask(2, ver="4be0c1927d55a6f3"),
+        ]
+        for server in ("s-21", "s-22", "s-23"):
+            deployment.machines[server].act = lambda line: "unchanged" if "got=4be0" in line[2] else "data"
+        return sorted([await deployment.caller.hear() for _ in calls])
 
-    heard = run_scenario(scene, tmp_path)
-    assert heard == [(1, "satisfied 19"), (2, "well True"), (3, "satisfied 0 unchanged")]
+    responses = run_scenario(scenario, tmp_path)
+    assert responses == [(1, "satisfied 19"), (2, "well True"), (3, "satisfied 0 unchanged")]
 
 
-def test_what_passes_goes_on_as_it_came(tmp_path):
-    async def scene(t):
+def test_fields_are_forwarded_to_the_server_unchanged(tmp_path):
+    async def scenario(deployment):
         lines = []
-        for m in t.machines.values():
-            m.act = lambda line: lines.append(" ".join(line)) or "data"
-        t.caller.ask(1, piece="007", lookup="00ab" * 4, ver="aa")
-        await t.caller.hear()
+        for machine in deployment.machines.values():
+            machine.act = lambda line: lines.append(" ".join(line)) or "data"
+        deployment.caller.ask(1, piece="007", lookup="00ab" * 4, ver="aa")
+        await deployment.caller.hear()
         return lines
 
-    (line,) = run_scenario(scene, tmp_path)
-    name, fields = line.split()[1:3]
-    fields = dict(f.split("=") for f in fields.split(","))
-    assert name == f"{1:016x}" and 0 < int(fields.pop("patience")) < 3000
+    (line,) = run_scenario(scenario, tmp_path)
+    request_id, fields = line.split()[1:3]
+    fields = dict(field.split("=") for field in fields.split(","))
+    assert request_id == f"{1:016x}" and 0 < int(fields.pop("patience")) < 3000
     assert fields.pop("parent") in ("s-11", "s-12")
     assert fields == {
         "sort": "page",
@@ -94,32 +97,32 @@
         ({"room": "0.0"}, "room: out of range"),
     ],
 )
-def test_a_call_that_cannot_be_taken_is_answered_under_its_number(tmp_path, fields, why):
-    async def scene(t):
-        t.caller.ask(1, **fields)
-        bad = await t.caller.hear()
-        t.caller.ask(2)
-        return bad, await t.caller.hear()
+def test_invalid_field_is_answered_with_an_exception_for_that_call(tmp_path, fields, why):
+    async def scenario(deployment):
+        deployment.caller.ask(1, **fields)
+        exception = await deployment.caller.hear()
+        deployment.caller.ask(2)
+        return exception, await deployment.caller.hear()
 
-    assert run_scenario(scene, tmp_path) == ((1, "exception " + why), (2, "satisfied 19"))
+    assert run_scenario(scenario, tmp_path) == ((1, "exception " + why), (2, "satisfied 19"))
 
 
-def test_an_unknown_method_and_a_frame_that_cannot_be_read(tmp_path):
-    async def scene(t):
-        t.caller.call(b"sing")
-        heard = [await t.caller.hear()]
-        for bad in (
+def test_unknown_method_is_answered_and_malformed_frame_closes_its_connection(tmp_path):
+    async def scenario(deployment):
+        deployment.caller.call(b"sing")
+        responses = [await deployment.caller.hear()]
+        for malformed in (
             b"\0\0\0\x05hello",
             b"\x7f\0\0\0",
             thrift.INT32.pack(20) + thrift.encode_message(b"serve", 1, 9)[4:20] + b"\r" * 4,
         ):
-            other = await Caller.connect(t.address)
-            other.writer.write(bad)
-            heard.append(await other.hear())
-        t.caller.ask(1)
-        return [*heard, await t.caller.hear()]
+            other = await Caller.connect(deployment.address)
+            other.writer.write(malformed)
+            responses.append(await other.hear())
+        deployment.caller.ask(1)
+        return [*responses, await deployment.caller.hear()]
 
-    assert run_scenario(scene, tmp_path) == [
+    assert run_scenario(scenario, tmp_path) == [
         (1, "exception no method sing"),
         None,
         None,
@@ -128,80 +131,89 @@
     ]
 
 
-async def one_cancels_and_one_leaves(t):
-    """Two clients with a query each at a server that is silent."""
-    other = await Caller.connect(t.address)
-    number = t.caller.ask(1)
+async def cancel_one_and_disconnect_another(deployment):
+    """Send a request from each of two clients; cancel the first, and abort the connection of the second."""
+    other = await Caller.connect(deployment.address)
+    number = deployment.caller.ask(1)
     other.ask(2, lookup="cd" * 8)
-    await until(lambda: len(t.pulled()) == 2)
-    t.caller.forget(number)
+    await until(lambda: len(deployment.pulled()) == 2)
+    deployment.caller.forget(number)
     other.writer.transport.abort()
 
 
-def test_forgotten_and_lost_clients_leave_nothing_out(tmp_path):
-    async def scene(t):
-        await one_cancels_and_one_leaves(t)
-        await until(lambda: len(t.pulled()) == 4)
-        t.caller.call(b"isWell")
-        return await t.caller.hear(), sorted(line[5:9] for line in t.pulled()), t.service.state.requests.open
+def test_attempts_are_cancelled_after_cancel_and_after_client_disconnect(tmp_path):
+    async def scenario(deployment):
+        await cancel_one_and_disconnect_another(deployment)
+        await until(lambda: len(deployment.pulled()) == 4)
+        deployment.caller.call(b"isWell")
+        return (
+            await deployment.caller.hear(),
+            sorted(line[5:9] for line in deployment.pulled()),
+            deployment.service.state.requests.open,
+        )
 
-    assert run_scenario(scene, tmp_path, machines=caches(act="silent")) == (
+    assert run_scenario(scenario, tmp_path, machines=caches(act="silent")) == (
         (3, "well True"),
         ["KILL", "KILL", "PULL", "PULL"],
         {},
     )
 
 
-def test_a_silent_server_is_found_by_echo_and_delays_no_other(tmp_path):
-    """Connections of a machine that vanished stay open: its attempts must not wait for their whole time."""
+def test_silent_server_is_detected_by_health_check_and_its_requests_go_elsewhere(tmp_path):
+    """The connections of a vanished machine stay open; attempts on them must not wait for their full timeout."""
 
-    async def scene(t):
-        t.service.state.decisions.retry_budget.tokens = 10.0
-        t.caller.ask(1)
-        await until(t.pulled)
-        home = t.pulled()[0][:4]
-        for s in ("s-21", "s-22", "s-23"):
-            t.machines[s].act = "silent" if s == home else "data"
+    async def scenario(deployment):
+        deployment.service.state.decisions.retry_budget.tokens = 10.0
+        deployment.caller.ask(1)
+        await until(deployment.pulled)
+        home = deployment.pulled()[0][:4]
+        for server in ("s-21", "s-22", "s-23"):
+            deployment.machines[server].act = "silent" if server == home else "data"
         for n in range(2, 8):
-            t.caller.ask(n, lookup=f"{n:016x}")
-        heard = [await t.caller.hear() for _ in range(7)]
-        return {text for _, text in heard}, f"cache connection {home} nothing received in time" in t.lines
+            deployment.caller.ask(n, lookup=f"{n:016x}")
+        responses = [await deployment.caller.hear() for _ in range(7)]
+        return {
+            text for _, text in responses
+        }, f"cache connection {home} nothing received in time" in deployment.lines
 
-    assert run_scenario(scene, tmp_path, machines=caches(act="silent")) == ({"satisfied 19"}, True)
+    assert run_scenario(scenario, tmp_path, machines=caches(act="silent")) == ({"satisfied 19"}, True)
 
 
-def test_a_server_that_refuses_proves_that_nothing_ran(tmp_path):
-    """A single-use query goes on to another cache; after a reset it may have run and ends in error."""
+def test_single_use_request_is_retried_after_refused_connection_but_not_after_reset(tmp_path):
+    """A refused connection proves that the request never ran; after a reset it may have run."""
 
-    async def scene(t):
-        t.service.state.decisions.retry_budget.tokens = 10.0
-        for machine in list(t.machines.values())[3:5]:
+    async def scenario(deployment):
+        deployment.service.state.decisions.retry_budget.tokens = 10.0
+        for machine in list(deployment.machines.values())[3:5]:
             await machine.stop()
-        heard = []
+        responses = []
         for n in range(1, 13):
-            t.caller.ask(n, service="order", lookup=f"{n:016x}")
-            heard.append((await t.caller.hear())[1])
-        t.machines["s-23"].act = "reset"
-        t.caller.ask(20, service="order")
-        return set(heard), await t.caller.hear()
-
-    assert run_scenario(scene, tmp_path) == ({"satisfied 19"}, (13, "error"))
-
-
-def test_an_unreadable_answer_closes_that_connection(tmp_path):
-    async def scene(t):
-        t.caller.ask(1, service="order")
-        first = await t.caller.hear()
-        for s in ("s-21", "s-22", "s-23"):
-            t.machines[s].act = "data"
-        t.caller.ask(2, service="order")
+            deployment.caller.ask(n, service="order", lookup=f"{n:016x}")
+            responses.append((await deployment.caller.hear())[1])
+        deployment.machines["s-23"].act = "reset"
+        deployment.caller.ask(20, service="order")
+        return set(responses), await deployment.caller.hear()
+
+    assert run_scenario(scenario, tmp_path) == ({"satisfied 19"}, (13, "error"))
+
+
+def test_unreadable_answer_closes_its_connection(tmp_path):
+    async def scenario(deployment):
+        deployment.caller.ask(1, service="order")
+        first = await deployment.caller.hear()
+        for server in ("s-21", "s-22", "s-23"):
+            deployment.machines[server].act = "data"
+        deployment.caller.ask(2, service="order")
         return (
             first,
-            await t.caller.hear(),
-            any("unreadable: expected an answer line, got b'what is this'" in line for line in t.lines),
+            await deployment.caller.hear(),
+            any(
+                "unreadable: expected an answer line, got b'what is this'" in line
+                for line in deployment.lines
+            ),
         )
 
-    assert run_scenario(scene, tmp_path, machines=caches(act="garbage")) == (
+    assert run_scenario(scenario, tmp_path, machines=caches(act="garbage")) == (
         (1, "error"),
         (2, "satisfied 19"),
         True,
@@ -212,7 +224,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"\x00\xff" * 3000,
         b"ID data - 3000000000\r\n",
@@ -224,68 +236,68 @@
     ],
     ids=range(7),
 )
-def test_a_spoilt_answer_ends_its_connection_and_its_queries_go_on(tmp_path, spoilt):
-    """Whether it can't be read, can't be so, stops short or never comes: what is open there goes elsewhere.
+def test_malformed_or_incomplete_answer_closes_its_connection_and_requests_go_elsewhere(tmp_path, malformed):
+    """Covers answers that are unreadable, contradictory, truncated or incomplete.
 
-    That happens in time, also while new attempts go on being written.
+    The requests are answered in time, even while new attempts continue to be written.
     """
 
-    async def scene(t):
-        t.service.state.decisions.retry_budget.tokens = 10.0
-        t.service.upstream_connections.log = lambda event, **values: said.append(event)
-        first, said = [], []
-        for machine in t.machines.values():
-            machine.act = lambda line: first.append(line) or spoilt if not first else DATA
-        t.caller.ask(1)
+    async def scenario(deployment):
+        deployment.service.state.decisions.retry_budget.tokens = 10.0
+        deployment.service.upstream_connections.log = lambda event, **values: events.append(event)
+        first, events = [], []
+        for machine in deployment.machines.values():
+            machine.act = lambda line: first.append(line) or malformed if not first else DATA
+        deployment.caller.ask(1)
         await until(lambda: first)
         for n in range(2, 6):
-            t.caller.ask(n, lookup=f"{n:016x}")
-        return sorted([await t.caller.hear() for _ in range(5)]), said
+            deployment.caller.ask(n, lookup=f"{n:016x}")
+        return sorted([await deployment.caller.hear() for _ in range(5)]), events
 
-    heard, said = run_scenario(scene, tmp_path)
-    assert heard == [(n, "satisfied 3") for n in range(1, 6)] and said == ["cache connection"]
+    responses, events = run_scenario(scenario, tmp_path)
+    assert responses == [(n, "satisfied 3") for n in range(1, 6)] and events == ["cache connection"]
 
 
-def test_the_mark_of_a_referenced_query_goes_on_as_it_came(tmp_path):
-    """Without it no server knows a repeat, and the effect happens twice."""
+def test_idempotency_key_is_forwarded_unchanged(tmp_path):
+    """Without the key no server recognizes a repeated request, and its effect happens twice."""
     lines = []
 
-    async def scene(t):
-        t.caller.ask(1, replay="1ff975b0a6ce2c84d2617523a0b82bf6")
-        t.caller.ask(2, replay="not a mark")
-        return [await t.caller.hear(), await t.caller.hear()], lines[0][2].split(",")[-1]
+    async def scenario(deployment):
+        deployment.caller.ask(1, replay="1ff975b0a6ce2c84d2617523a0b82bf6")
+        deployment.caller.ask(2, replay="not a mark")
+        return [await deployment.caller.hear(), await deployment.caller.hear()], lines[0][2].split(",")[-1]
 
     machines = caches(act=lambda line: lines.append(line) or "data")
-    assert run_scenario(scene, tmp_path, machines=machines) == (
+    assert run_scenario(scenario, tmp_path, machines=machines) == (
         [(2, "exception replay: missing or unusable"), (1, "satisfied 19")],
         "op=1ff975b0a6ce2c84d2617523a0b82bf6",
     )
 
 
-def test_a_size_that_is_not_told_is_not_made_up(tmp_path):
-    """A client that tells none: its request passed for 1 KB, and every answer for far too slow."""
+def test_missing_size_is_treated_as_unknown(tmp_path):
+    """A request without a size was once treated as 1 KB, so that every answer seemed far too slow."""
 
-    async def scene(t):
-        router, sizes = t.service.state.decisions, []
+    async def scenario(deployment):
+        router, sizes = deployment.service.state.decisions, []
         on_request = router.on_request
         router.on_request = lambda request: sizes.append(request.size_kb) or on_request(request)
-        t.caller.ask(1, room=None)
-        t.caller.ask(2, room="0")
-        t.caller.ask(3)
-        return sorted([await t.caller.hear() for _ in range(3)]), sizes
+        deployment.caller.ask(1, room=None)
+        deployment.caller.ask(2, room="0")
+        deployment.caller.ask(3)
+        return sorted([await deployment.caller.hear() for _ in range(3)]), sizes
 
-    assert run_scenario(scene, tmp_path) == (
+    assert run_scenario(scenario, tmp_path) == (
         [(1, "satisfied 19"), (2, "exception room: out of range"), (3, "satisfied 19")],
         [0.0, 100.0],
     )
 
 
-def test_second_copies_and_unknown_ids_are_passed_over(tmp_path):
-    """An answer that came twice must not end a later push of its query, which is then out unseen."""
+def test_duplicate_answers_and_unknown_ids_are_ignored(tmp_path):
+    """A duplicate answer must not end a later attempt of its request, which would then run untracked."""
 
-    async def scene(t):
+    async def scenario(deployment):
         lines = []
-        for machine in t.machines.values():
+        for machine in deployment.machines.values():
             machine.act = lambda line: (
                 lines.append(line)
                 or (
@@ -294,17 +306,21 @@
                     else b"no play n=x 2\r\nab\r\n" + DATA + DATA
                 )
             )
-        t.caller.ask(1)
-        heard = [await t.caller.hear()]
-        t.caller.ask(2)
-        return [*heard, await t.caller.hear()], len(lines), t.service.upstream_connections.placements
+        deployment.caller.ask(1)
+        responses = [await deployment.caller.hear()]
+        deployment.caller.ask(2)
+        return (
+            [*responses, await deployment.caller.hear()],
+            len(lines),
+            deployment.service.upstream_connections.placements,
+        )
 
-    assert run_scenario(scene, tmp_path) == ([(1, "satisfied 3"), (2, "satisfied 3")], 3, {})
+    assert run_scenario(scenario, tmp_path) == ([(1, "satisfied 3"), (2, "satisfied 3")], 3, {})
 
 
-def test_counts_in_flight_are_what_is_out_on_sockets_over_all_endings(tmp_path):
-    """A count that stays after an odd end shuts a cache for ever; one that is missing sends too much."""
-    ends = [
+def test_in_flight_counts_match_the_attempts_on_sockets_for_every_result(tmp_path):
+    """A count that is not decremented blocks a cache server forever; a missing one overloads it."""
+    results = [
         "data",
         "absent",
         "full",
@@ -320,111 +336,117 @@
         "unchanged",
     ]
 
-    async def scene(t):
-        router, seen, agreed = t.service.state.decisions, [], []
-        for machine in t.machines.values():
-            machine.act = lambda line: seen.append(line) or ends[len(seen) % len(ends)]
-        other = await Caller.connect(t.address)
+    async def scenario(deployment):
+        router, seen, matches = deployment.service.state.decisions, [], []
+        for machine in deployment.machines.values():
+            machine.act = lambda line: seen.append(line) or results[len(seen) % len(results)]
+        other = await Caller.connect(deployment.address)
         for n in range(120):
             router.retry_budget.tokens = 5.0
-            (other if n % 5 == 0 else t.caller).ask(n, lookup=f"{n % 40:016x}", allow="600")
+            (other if n % 5 == 0 else deployment.caller).ask(n, lookup=f"{n % 40:016x}", allow="600")
             if n % 7 == 0:
-                t.caller.forget(t.caller.number)
+                deployment.caller.forget(deployment.caller.number)
             if n % 25 == 24:
                 other.writer.transport.abort()
-                other = await Caller.connect(t.address)
+                other = await Caller.connect(deployment.address)
             if n == 60:
-                t.commands.answers.append(
+                deployment.commands.answers.append(
                     Commands.reply(4, listed(4, [host("s-21", health="removed")], whole=False))
                 )
             await asyncio.sleep(0.01)
-            out = [q for q in t.service.state.requests.open.values() if q.has_attempt_out]
-            if not t.service.scheduler.events:  # what has ended and is not reduced yet
-                agreed.append(
+            out = [
+                request
+                for request in deployment.service.state.requests.open.values()
+                if request.has_attempt_out
+            ]
+            if (
+                not deployment.service.scheduler.events
+            ):  # otherwise attempts may have ended that are not counted yet
+                matches.append(
                     sum(router.endpoints.in_flight)
                     == len(out)
-                    == len(t.service.upstream_connections.placements)
+                    == len(deployment.service.upstream_connections.placements)
                 )
-        await until(lambda: not t.service.state.requests.open)
+        await until(lambda: not deployment.service.state.requests.open)
         return (
-            set(agreed),
+            set(matches),
             sum(router.endpoints.in_flight),
             router.fills_in_flight,
             router.requests,
-            t.service.upstream_connections.placements,
+            deployment.service.upstream_connections.placements,
         )
 
-    assert run_scenario(scene, tmp_path) == ({True}, 0, 0, {}, {})
+    assert run_scenario(scenario, tmp_path) == ({True}, 0, 0, {}, {})
 
 
-def test_a_server_without_a_connection_gets_one_at_the_share_of_descriptors(tmp_path):
-    async def scene(t):
-        t.service.upstream_connections.pool.max_connections, heard = 3, set()
+def test_server_without_a_connection_gets_one_at_the_connection_limit(tmp_path):
+    async def scenario(deployment):
+        deployment.service.upstream_connections.pool.max_connections, responses = 3, set()
         for n in range(30):
-            t.caller.ask(n, lookup=f"{n:016x}")
-            heard.add((await t.caller.hear())[1])
+            deployment.caller.ask(n, lookup=f"{n:016x}")
+            responses.add((await deployment.caller.hear())[1])
         return (
-            heard,
-            len(t.service.upstream_connections.pool.connections) <= 3,
-            {line[:4] for line in t.pulled()},
+            responses,
+            len(deployment.service.upstream_connections.pool.connections) <= 3,
+            {line[:4] for line in deployment.pulled()},
         )
 
-    assert run_scenario(scene, tmp_path) == ({"satisfied 19"}, True, {"s-21", "s-22", "s-23"})
+    assert run_scenario(scenario, tmp_path) == ({"satisfied 19"}, True, {"s-21", "s-22", "s-23"})
 
 
 def test_slow_transfer_does_not_delay_other_attempts(tmp_path):
-    """An answer of which half has come blocks its connection; later pushes to that cache go by others."""
+    """A half-received answer blocks its connection; later attempts at that server use other connections."""
 
-    async def scene(t):
-        t.caller.ask(1)
-        heard = [await t.caller.hear()]
-        for machine in t.machines.values():
+    async def scenario(deployment):
+        deployment.caller.ask(1)
+        responses = [await deployment.caller.hear()]
+        for machine in deployment.machines.values():
             machine.act = lambda line: "half" if line[1].endswith("2") else "data"
         for n in range(2, 6):
-            t.caller.ask(n)
-            heard += [await t.caller.hear()] if n > 2 else []
-        return heard, {line[:4] for line in t.pulled()}
+            deployment.caller.ask(n)
+            responses += [await deployment.caller.hear()] if n > 2 else []
+        return responses, {line[:4] for line in deployment.pulled()}
 
-    heard, servers = run_scenario(scene, tmp_path)
-    assert heard == [(n, "satisfied 19") for n in (1, 3, 4, 5)] and len(servers) == 1
+    responses, servers = run_scenario(scenario, tmp_path)
+    assert responses == [(n, "satisfied 19") for n in (1, 3, 4, 5)] and len(servers) == 1
 
 
-def test_a_pushs_time_is_over(tmp_path):
-    """The router's own clock ends a push: KILL to the cache, an answer to the client in its time."""
+def test_attempt_is_cancelled_at_its_deadline(tmp_path):
+    """The router's own timer ends an attempt: it sends KILL to the server and answers the client in time."""
 
-    async def scene(t):
-        t.caller.ask(1, allow="200")
-        heard = await t.caller.hear()
-        await until(lambda: len(t.pulled()) == 2)
-        return heard, [line[5:9] for line in t.pulled()]
+    async def scenario(deployment):
+        deployment.caller.ask(1, allow="200")
+        response = await deployment.caller.hear()
+        await until(lambda: len(deployment.pulled()) == 2)
+        return response, [line[5:9] for line in deployment.pulled()]
 
-    assert run_scenario(scene, tmp_path, machines=caches(act="silent")) == ((1, "nack"), ["KILL", "PULL"])
+    assert run_scenario(scenario, tmp_path, machines=caches(act="silent")) == ((1, "nack"), ["KILL", "PULL"])
 
 
-def test_a_reused_address_belongs_to_the_new_server(tmp_path):
-    """s-21 goes and s-22 comes under its address: nothing for s-22 runs over a connection to s-21."""
+def test_reused_address_gets_new_connections(tmp_path):
+    """s-22 takes over the address of s-21; no attempt at s-22 may use a connection made to s-21."""
 
-    async def scene(t):
-        t.caller.ask(1)
-        await t.caller.hear()
-        port = t.machines["s-21"].port
-        rest = [host(s, t.machines[s].port) for s in ("s-01", "s-11", "s-12")]
-        made = t.machines["s-21"].made
-        t.commands.answers.append(Commands.reply(4, listed(4, [*rest, host("s-22", port)])))
-        await until(lambda: t.service.state.commands.cursor == 4)
-        t.caller.ask(2)
+    async def scenario(deployment):
+        deployment.caller.ask(1)
+        await deployment.caller.hear()
+        port = deployment.machines["s-21"].port
+        others = [host(server, deployment.machines[server].port) for server in ("s-01", "s-11", "s-12")]
+        connections_before = deployment.machines["s-21"].made
+        deployment.commands.answers.append(Commands.reply(4, listed(4, [*others, host("s-22", port)])))
+        await until(lambda: deployment.service.state.commands.cursor == 4)
+        deployment.caller.ask(2)
         return (
-            await t.caller.hear(),
-            t.machines["s-21"].made - made >= 1,
-            "s-21" in t.service.state.endpoints.instances,
+            await deployment.caller.hear(),
+            deployment.machines["s-21"].made - connections_before >= 1,
+            "s-21" in deployment.service.state.endpoints.instances,
         )
 
-    assert run_scenario(scene, tmp_path) == ((2, "satisfied 19"), True, False)
+    assert run_scenario(scenario, tmp_path) == ((2, "satisfied 19"), True, False)
 
 
-def test_the_command_channel_fails_in_every_way_and_goes_on(tmp_path):
-    """The known list stays in force; asked again from the last event that is known."""
-    bad = [
+def test_command_channel_recovers_from_every_kind_of_failure(tmp_path):
+    """The known endpoint list stays in force, and polls resume at the last known cursor."""
+    malformed = [
         b"",
         b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
         b"nonsense\r\n\r\n",
@@ -433,93 +455,96 @@
         b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{"cu\r\n14\r\nrsor":5,"cmds":[[]]}\r\n0\r\n\r\n',
     ]
 
-    async def scene(t):
-        await until(lambda: len(t.commands.polls) == 7)
-        t.caller.ask(1)
-        heard = await t.caller.hear()
-        cursors = [int(poll.partition("resume=")[2].partition("&")[0]) for poll in t.commands.polls]
-        return heard, cursors, [line for line in t.lines if "command" in line][-2:]
+    async def scenario(deployment):
+        await until(lambda: len(deployment.commands.polls) == 7)
+        deployment.caller.ask(1)
+        response = await deployment.caller.hear()
+        cursors = [int(poll.partition("resume=")[2].partition("&")[0]) for poll in deployment.commands.polls]
+        return response, cursors, [line for line in deployment.lines if "command" in line][-2:]
 
-    heard, cursors, said = run_scenario(scene, tmp_path, commands=Commands(*bad))
-    assert (heard, cursors) == ((1, "satisfied 19"), [3, 3, 3, 3, 3, 4, 5])
-    assert said == [
+    response, cursors, log_lines = run_scenario(scenario, tmp_path, commands=Commands(*malformed))
+    assert (response, cursors) == ((1, "satisfied 19"), [3, 3, 3, 3, 3, 4, 5])
+    assert log_lines == [
         "command skipped 4 KeyError 'drop': {'cursor': 4, 'play': {}}",
         "command skipped 0 no cursor: []",
     ]
 
 
-def test_descriptors_at_their_limit_do_not_end_the_accept_loop(tmp_path):
+def test_accept_loop_survives_descriptor_exhaustion(tmp_path):
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
 
-    async def scene(t):
-        others = [await Caller.connect(t.address) for _ in range(20)]
-        await until(lambda: len(t.service.client_connections.clients) == 21)
+    async def scenario(deployment):
+        others = [await Caller.connect(deployment.address) for _ in range(20)]
+        await until(lambda: len(deployment.service.client_connections.clients) == 21)
         used = len(os.listdir("/proc/self/fd"))
-        waiting = [asyncio.ensure_future(Caller.connect(t.address)) for _ in range(4)]
+        waiting = [asyncio.ensure_future(Caller.connect(deployment.address)) for _ in range(4)]
         resource.setrlimit(resource.RLIMIT_NOFILE, (used + 4, hard))
         try:
-            late = [await w for w in waiting]
-            await until(lambda: any("not accepting" in line for line in t.lines))
-            t.caller.ask(1)
-            first = await t.caller.hear()
+            latecomers = [await connect for connect in waiting]
+            await until(lambda: any("not accepting" in line for line in deployment.lines))
+            deployment.caller.ask(1)
+            first = await deployment.caller.hear()
             for other in others:
                 other.writer.close()
-            late[-1].ask(2)
-            return first, await late[-1].hear()
+            latecomers[-1].ask(2)
+            return first, await latecomers[-1].hear()
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
-    first, second = run_scenario(scene, tmp_path)
+    first, second = run_scenario(scenario, tmp_path)
     assert first[1] in ("satisfied 19", "nack") and second[1] in ("satisfied 19", "nack")
 
 
-def test_a_client_that_reads_nothing_is_given_up_and_delays_no_other(tmp_path):
-    async def scene(t):
-        t.service.client_connections.memory.limit_bytes = 500_000
-        made = socket.socket()
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        made.connect(t.address)
-        slow = Caller(*await asyncio.open_connection(sock=made, limit=4096))
+def test_client_that_does_not_read_is_dropped_without_delaying_others(tmp_path):
+    async def scenario(deployment):
+        deployment.service.client_connections.memory.limit_bytes = 500_000
+        sock = socket.socket()
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        sock.connect(deployment.address)
+        slow = Caller(*await asyncio.open_connection(sock=sock, limit=4096))
         for n in range(100, 132):
             slow.ask(n, lookup=f"{n:016x}", room="1")
         await until(
-            lambda: len(t.service.client_connections.clients) == 1 and not t.service.state.requests.open
+            lambda: (
+                len(deployment.service.client_connections.clients) == 1
+                and not deployment.service.state.requests.open
+            )
         )
-        t.caller.ask(1)
+        deployment.caller.ask(1)
         return (
-            await t.caller.hear(),
-            t.service.client_connections.memory.unsent_bytes,
-            any("bytes not read" in line for line in t.lines),
+            await deployment.caller.hear(),
+            deployment.service.client_connections.memory.unsent_bytes,
+            any("bytes not read" in line for line in deployment.lines),
         )
 
     machines = caches(body=b"x" * 240_000)
-    assert run_scenario(scene, tmp_path, machines=machines) == ((1, "satisfied 240000"), 0, True)
+    assert run_scenario(scenario, tmp_path, machines=machines) == ((1, "satisfied 240000"), 0, True)
 
 
-def test_told_to_end_it_takes_queries_for_a_while_and_finishes_what_is_open(tmp_path):
-    async def scene(t):
-        t.caller.ask(1)
-        await until(t.pulled)
-        t.service.stop()
-        t.caller.call(b"isWell")
-        heard = [await t.caller.hear()]
-        other = await Caller.connect(t.address)
+def test_shutdown_accepts_requests_while_draining_and_answers_open_ones(tmp_path):
+    async def scenario(deployment):
+        deployment.caller.ask(1)
+        await until(deployment.pulled)
+        deployment.service.stop()
+        deployment.caller.call(b"isWell")
+        responses = [await deployment.caller.hear()]
+        other = await Caller.connect(deployment.address)
         other.ask(2, lookup="cd" * 8)
-        heard += [await t.caller.hear(), await other.hear(), await other.hear()]
-        await t.task
-        return heard, [line for line in t.lines if "phase" in line]
+        responses += [await deployment.caller.hear(), await other.hear(), await other.hear()]
+        await deployment.task
+        return responses, [line for line in deployment.lines if "phase" in line]
 
-    assert run_scenario(scene, tmp_path, machines=caches(delay=1.0)) == (
+    assert run_scenario(scenario, tmp_path, machines=caches(delay=1.0)) == (
         [(2, "well False"), (1, "satisfied 19"), (1, "satisfied 19"), None],
         ["phase ready", "phase leaving", "phase finishing", "phase ended"],
     )
 
 
-def test_the_program_ends_with_0_after_sigterm_and_starts_again_from_nothing(tmp_path):
-    async def scene(t):
-        (tmp_path / "n1.json").write_text(json.dumps(t.values))
+def test_program_restarts_after_sigkill_and_exits_with_0_after_sigterm(tmp_path):
+    async def scenario(deployment):
+        (tmp_path / "n1.json").write_text(json.dumps(deployment.values))
         codes = []
-        for word in (signal.SIGKILL, signal.SIGTERM):
+        for end_signal in (signal.SIGKILL, signal.SIGTERM):
             program = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -534,21 +559,21 @@
             caller.ask(1)
             assert await caller.hear() == (1, "satisfied 19")
             caller.ask(2, lookup="cd" * 8)
-            program.send_signal(word)
-            if word == signal.SIGTERM:
+            program.send_signal(end_signal)
+            if end_signal == signal.SIGTERM:
                 assert await caller.hear() == (2, "satisfied 19")
             codes.append(await program.wait())
         return codes
 
-    assert run_scenario(scene, tmp_path, machines=caches(delay=0.2)) == [-signal.SIGKILL, 0]
+    assert run_scenario(scenario, tmp_path, machines=caches(delay=0.2)) == [-signal.SIGKILL, 0]
 
 
-def test_sighup_switches_the_command_channel_in_mid_poll_and_a_bad_file_changes_nothing(tmp_path):
-    """Without a handler SIGHUP ends the process, and what the new channel tells comes seconds late."""
+def test_sighup_switches_the_command_channel_mid_poll_and_ignores_an_invalid_file(tmp_path):
+    """Without a handler SIGHUP ends the process, and the commands of the new channel arrive seconds late."""
 
-    async def scene(t):
-        file, other = tmp_path / "n1.json", await Commands().start()
-        file.write_text(json.dumps(t.values))
+    async def scenario(deployment):
+        file, new_channel = tmp_path / "n1.json", await Commands().start()
+        file.write_text(json.dumps(deployment.values))
         program = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -557,131 +582,138 @@
             stdout=asyncio.subprocess.PIPE,
             env={**os.environ, "BALANCER_CONFIG": str(file)},
         )
-        said = []
+        log_lines = []
 
-        async def heard(event):
-            while not said or said[-1]["event"] != event:
-                said.append(json.loads(await program.stdout.readline()))
-            return said.pop()
+        async def wait_for_event(event):
+            while not log_lines or log_lines[-1]["event"] != event:
+                log_lines.append(json.loads(await program.stdout.readline()))
+            return log_lines.pop()
 
-        await heard("listening")
-        await until(lambda: len(t.commands.polls) == 2)  # the town's own service polls as well
-        file.write_text(json.dumps({**t.values, "channel": 1}))
+        await wait_for_event("listening")
+        await until(
+            lambda: len(deployment.commands.polls) == 2
+        )  # the service of the deployment polls as well
+        file.write_text(json.dumps({**deployment.values, "channel": 1}))
         program.send_signal(signal.SIGHUP)
-        bad = await heard("configuration")
-        file.write_text(json.dumps({**t.values, "channel": f"127.0.0.1:{other.port}"}))
+        rejected = await wait_for_event("configuration")
+        file.write_text(json.dumps({**deployment.values, "channel": f"127.0.0.1:{new_channel.port}"}))
         program.send_signal(signal.SIGHUP)
-        await heard("configuration")
-        await until(lambda: other.polls)
+        await wait_for_event("configuration")
+        await until(lambda: new_channel.polls)
         program.terminate()
-        return bad["why"], other.polls[0].partition("&")[0], await program.wait()
+        return rejected["why"], new_channel.polls[0].partition("&")[0], await program.wait()
 
-    assert run_scenario(scene, tmp_path, commands=Commands()) == (
+    assert run_scenario(scenario, tmp_path, commands=Commands()) == (
         "channel: expected a string, got 1",
         "/cmd/next?resume=3",
         0,
     )
 
 
-def test_who_says_nothing_or_half_a_query_is_closed_and_who_asked_stays(tmp_path, monkeypatch):
+def test_client_without_a_complete_call_is_closed_before_an_idle_one(tmp_path, monkeypatch):
     monkeypatch.setattr(client_connections, "CALL_TIMEOUT_S", 0.2)
 
-    async def scene(t):
-        t.caller.ask(1)
-        heard = [await t.caller.hear()]
-        silent, half = await Caller.connect(t.address), await Caller.connect(t.address)
-        half.writer.write(thrift.INT32.pack(200_000) + b"\x80\x01")
-        heard += [await silent.hear(), await half.hear()]
-        t.caller.ask(2)
-        heard.append(await t.caller.hear())
+    async def scenario(deployment):
+        deployment.caller.ask(1)
+        responses = [await deployment.caller.hear()]
+        silent, partial = await Caller.connect(deployment.address), await Caller.connect(deployment.address)
+        partial.writer.write(thrift.INT32.pack(200_000) + b"\x80\x01")
+        responses += [await silent.hear(), await partial.hear()]
+        deployment.caller.ask(2)
+        responses.append(await deployment.caller.hear())
         monkeypatch.setattr(client_connections, "IDLE_TIMEOUT_S", 0.2)
-        return [*heard, await t.caller.hear()]
+        return [*responses, await deployment.caller.hear()]
 
-    assert run_scenario(scene, tmp_path) == [(1, "satisfied 19"), None, None, (2, "satisfied 19"), None]
+    assert run_scenario(scenario, tmp_path) == [(1, "satisfied 19"), None, None, (2, "satisfied 19"), None]
 
 
-def test_at_the_share_of_descriptors_the_silent_and_then_the_longest_idle_make_room(tmp_path):
-    """Clients that ask once and hold their connection must not keep others out."""
+def test_connection_limit_evicts_clients_without_calls_then_longest_idle(tmp_path):
+    """Clients that keep their connection open after one request must not keep others out."""
 
-    async def scene(t):
-        t.service.client_connections.max_connections, held, heard = 20, [], []
+    async def scenario(deployment):
+        deployment.service.client_connections.max_connections, callers, responses = 20, [], []
         for n in range(60):
-            held.append(await Caller.connect(t.address))
+            callers.append(await Caller.connect(deployment.address))
             if n % 2:
-                held[-1].ask(n)
-                heard.append((await held[-1].hear())[1])
+                callers[-1].ask(n)
+                responses.append((await callers[-1].hear())[1])
         return (
-            set(heard),
-            len(t.service.client_connections.clients) <= 20,
-            any("not accepting" in line for line in t.lines),
+            set(responses),
+            len(deployment.service.client_connections.clients) <= 20,
+            any("not accepting" in line for line in deployment.lines),
         )
 
-    assert run_scenario(scene, tmp_path) == ({"satisfied 19"}, True, False)
+    assert run_scenario(scenario, tmp_path) == ({"satisfied 19"}, True, False)
 
 
-def test_a_frame_that_goes_on_after_its_message_is_not_taken(tmp_path):
-    async def scene(t):
+def test_frame_with_trailing_bytes_closes_the_connection(tmp_path):
+    async def scenario(deployment):
         call = thrift.encode_message(b"isWell", thrift.CALL, 1, b"\0more")
-        t.caller.writer.write(call)
-        return await t.caller.hear()
+        deployment.caller.writer.write(call)
+        return await deployment.caller.hear()
 
-    assert run_scenario(scene, tmp_path) is None
+    assert run_scenario(scenario, tmp_path) is None
 
 
-def test_who_sends_what_cannot_be_taken_again_and_again_is_closed(tmp_path):
-    async def scene(t):
+def test_client_that_repeatedly_sends_invalid_requests_is_closed(tmp_path):
+    async def scenario(deployment):
         for n in range(20):
-            t.caller.ask(n, room="-1")
-        return [await t.caller.hear() for _ in range(20)][-1], await Caller.connect(t.address)
+            deployment.caller.ask(n, room="-1")
+        return [await deployment.caller.hear() for _ in range(20)][-1], await Caller.connect(
+            deployment.address
+        )
 
-    assert run_scenario(scene, tmp_path)[0] is None
+    assert run_scenario(scenario, tmp_path)[0] is None
 
 
-def test_told_to_end_it_errors_what_is_open_before_it_may_be_killed(tmp_path, monkeypatch):
+def test_shutdown_fails_open_requests_at_its_deadline(tmp_path, monkeypatch):
     monkeypatch.setattr(graceful_shutdown, "MAX_FINISH_S", 0.3)
 
-    async def scene(t):
-        t.caller.ask(1)
-        await until(t.pulled)
-        t.service.stop()
-        heard = [await t.caller.hear(), await t.caller.hear()]
-        await t.task
-        return heard
+    async def scenario(deployment):
+        deployment.caller.ask(1)
+        await until(deployment.pulled)
+        deployment.service.stop()
+        responses = [await deployment.caller.hear(), await deployment.caller.hear()]
+        await deployment.task
+        return responses
 
-    assert run_scenario(scene, tmp_path, machines=caches(act=lambda line: "silent")) == [(1, "error"), None]
+    assert run_scenario(scenario, tmp_path, machines=caches(act=lambda line: "silent")) == [
+        (1, "error"),
+        None,
+    ]
 
 
-def test_a_configuration_that_cannot_be_used_ends_the_start_with_one_line():
-    done = subprocess.run(
+def test_missing_configuration_ends_startup_with_one_error_line():
+    completed = subprocess.run(
         [sys.executable, "-m", "brookhinge"],
         cwd=ROOT,
         capture_output=True,
         text=True,
-        env={k: v for k, v in os.environ.items() if k != "BALANCER_CONFIG"},
+        env={name: value for name, value in os.environ.items() if name != "BALANCER_CONFIG"},
     )
-    assert (done.returncode, done.stdout, done.stderr) == (
+    assert (completed.returncode, completed.stdout, completed.stderr) == (
         2,
         "",
         "brookhinge: BALANCER_CONFIG: missing, expected the path of the configuration file\n",
     )
 
 
-def test_the_log_tells_that_the_loop_stood_still(tmp_path):
-    async def scene(t):
+def test_event_loop_stall_is_logged_and_counted(tmp_path):
+    async def scenario(deployment):
         await asyncio.sleep(0.2)
         time.sleep(0.4)
-        await until(lambda: any(line.startswith("stalled 0.") for line in t.lines))
-        return t.service.watch.stalls, t.service.metrics.counts()["stalls"]
+        await until(lambda: any(line.startswith("stalled 0.") for line in deployment.lines))
+        return deployment.service.watch.stalls, deployment.service.metrics.counts()["stalls"]
 
-    stalls, counted = run_scenario(scene, tmp_path)
+    stalls, counted = run_scenario(scenario, tmp_path)
     assert stalls == counted >= 1
 
 
-def test_the_figures_tell_how_queries_were_withdrawn(tmp_path):
-    async def scene(t):
-        await one_cancels_and_one_leaves(t)
-        await until(lambda: not t.service.state.requests.open)
-        return t.service.metrics.reasons()["withdrawals"]
+def test_withdrawals_are_counted_by_reason(tmp_path):
+    async def scenario(deployment):
+        await cancel_one_and_disconnect_another(deployment)
+        await until(lambda: not deployment.service.state.requests.open)
+        return deployment.service.metrics.reasons()["withdrawals"]
 
     machines = caches(act="silent")
-    assert run_scenario(scene, tmp_path, machines=machines) == {"cancelled": 1, "client_gone": 1}
+    assert run_scenario(scenario, tmp_path, machines=machines) == {"cancelled": 1, "client_gone": 1}
