--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""The configuration: each fault is told by its key and what was expected."""
+"""Tests that the configuration is read, and that each error names the key and the expected value."""
 
 import pytest
 from helpers import configuration, read, settings
@@ -8,7 +8,7 @@
 from brookhinge.startup import read_site
 
 
-def test_a_configuration_as_read(tmp_path):
+def test_configuration_is_read_with_defaults(tmp_path):
     site = read(configuration(), tmp_path)
     assert (site.name, site.listen, site.command_channel, site.seed) == (
         "n1",
@@ -21,7 +21,7 @@
         and site.upstream == pytest.approx((0.2, 30.0, 32))
         and site.load_columns == [b"util", b"x0"]
     )
-    assert [(t.name, t.idempotency, t.timeout_s) for t in site.decisions.request_classes] == [
+    assert [(cls.name, cls.idempotency, cls.timeout_s) for cls in site.decisions.request_classes] == [
         ("page", Idempotency.REPEATABLE, 3.0),
         ("order", Idempotency.ONCE, 3.0),
     ]
@@ -103,13 +103,13 @@
         ),
     ],
 )
-def test_a_fault_names_its_key(tmp_path, change, message):
-    with pytest.raises(StartError) as fault:
+def test_invalid_value_raises_an_error_that_names_its_key(tmp_path, change, message):
+    with pytest.raises(StartError) as error:
         read({**configuration(), **change}, tmp_path)
-    assert str(fault.value) == message
+    assert str(error.value) == message
 
 
-def test_no_file_no_json_no_object(tmp_path):
+def test_missing_file_invalid_json_and_non_object_are_rejected(tmp_path):
     with pytest.raises(StartError, match=r"^BALANCER_CONFIG: expected a readable file, got '/no/such'"):
         read_site({"BALANCER_CONFIG": "/no/such"})
     with pytest.raises(StartError, match=r"^BALANCER_CONFIG: expected JSON, got "):
