--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -37,7 +37,7 @@
 
 
 def router_class(fleet: Fleet | None) -> type[Router]:
-    """Return the decision class, extended with a mixin for each kind of state that the fleet shares."""
+    """Return the router class, extended with a mixin for each kind of state that the fleet shares."""
     extensions = []
     if fleet is not None and fleet.share_limits:
         from brookhinge.limits.shared import SharedLimitsMixin
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -355,7 +355,7 @@
             due = self.now() + SWEEP_INTERVAL_S
             await asyncio.sleep(SWEEP_INTERVAL_S)
             self.watch.tick()
-            if not self.scheduler.is_catching_up():  # until then the missing input may just be unread
+            if not self.scheduler.is_catching_up():  # while catching up, silence may only mean unread input
                 self.upstream_connections.sweep()
                 self.client_connections.sweep()
             if self.ingress is not None:
--- a/brookhinge/net/upstream_connections.py
+++ b/brookhinge/net/upstream_connections.py
@@ -155,9 +155,7 @@
         connection.cancelled_ids.add(client_request_id)
         connection.retire_id(client_request_id)
         self.write(connection, cachewire.encode_kill(client_request_id))
-        if (
-            connection.stream.writing()
-        ):  # the cancel may not arrive; closing the connection cancels for certain
+        if connection.stream.writing():  # the cancel may not arrive; closing the connection is certain
             self.close(connection, CloseReason.UNSENT)
 
     def retire_server(self, effect: RetireServer) -> None:
