--- a/brookhinge/decision_settings.py
+++ b/brookhinge/decision_settings.py
@@ -26,7 +26,7 @@
     NANOSECOND_S,
     NUMBER,
     SHOWN_CHARACTERS,
-    TEXT,
+    STRING,
     SettingsReader,
     StartError,
 )
@@ -76,11 +76,11 @@
     limits = settings.get_object("Limits", {})
     specifics = settings.get_object("Specifics", {})
     report = settings.get_object("Report", {})
-    zones = settings.get_texts("Zones")
-    machine_types = settings.get_texts("MachineTypes")
+    zones = settings.get_strings("Zones")
+    machine_types = settings.get_strings("MachineTypes")
     zone = _read_zone(settings, zones)
     request_classes = _read_request_classes(settings, specifics)
-    routers = settings.get_in_range("Instances", 1, math.inf, 1, form=INTEGER)
+    routers = settings.get_in_range("Instances", 1, math.inf, 1, json_type=INTEGER)
     max_retry_after_s = 0.0
     if limits.get("RetryAfter", FLAG, False):
         max_retry_after_s = limits.get_duration_s("MaxRetryAfterNs", 0)
@@ -92,19 +92,19 @@
             routers_here=max(1, specifics.get_element("ZoneBalancers", zone, INTEGER, routers)),
             routers=routers,
             number=settings.get("MyNumber", INTEGER, 0),
-            weights_known=settings.get("WeightSource", TEXT, "silent") in MEANINGFUL_WEIGHT_SOURCES,
+            weights_known=settings.get("WeightSource", STRING, "silent") in MEANINGFUL_WEIGHT_SOURCES,
         ),
         limits=RouterLimits(
-            max_attempts=limits.get_in_range("MaxAttempts", 1, math.inf, 1, form=INTEGER),
+            max_attempts=limits.get_in_range("MaxAttempts", 1, math.inf, 1, json_type=INTEGER),
             probes=limits.get_flag("Probes"),
             cancel=limits.get_flag("Cancel"),
             max_retry_after_s=max_retry_after_s,
         ),
         fill_policy=FillPolicy(
-            siblings=specifics.get_word("PeersFill", SIBLINGS_BY_SETTING, "none"),
+            siblings=specifics.get_choice("PeersFill", SIBLINGS_BY_SETTING, "none"),
             allows_direct=specifics.get_flag("Straight"),
             joins_fills=specifics.get_flag("SharesFills"),
-            notes=specifics.get_word("Says", NOTES_BY_SETTING, "none"),
+            notes=specifics.get_choice("Says", NOTES_BY_SETTING, "none"),
             transfer_kb_s=specifics.get("OneFlowKbPerS", NUMBER, 0.0),
             uplink_kb_s=specifics.get_element("InletKbPerS", zone, NUMBER, 0.0),
         ),
@@ -116,19 +116,19 @@
             _read_machine_type(specifics, "MasterKind", machine_types),
         ),
     )
-    report.get_texts("Columns")  # only the router on sockets uses them, but both programs check them
+    report.get_strings("Columns")  # only the router on sockets uses them, but both programs check them
     return decisions
 
 
 def read_report_columns(settings: SettingsReader) -> list[str]:
     """Return the columns of a load report under the names that servers use."""
-    columns = settings.get_object("Report", {}).get_texts("Columns")
+    columns = settings.get_object("Report", {}).get_strings("Columns")
     return [REPORT_COLUMNS.get(column, column) for column in columns]
 
 
 def _read_zone(settings: SettingsReader, zones: list[str]) -> int:
     """Return the index of this router's zone, or 0 if the setting is missing or empty."""
-    name = settings.get("Az", TEXT, "")
+    name = settings.get("Az", STRING, "")
     if name and name not in zones:
         raise StartError(f"{settings.path_of('Az')}: expected one of Zones, got {name!r:.{SHOWN_CHARACTERS}}")
     return zones.index(name) if name else 0
@@ -153,9 +153,9 @@
 def _read_request_class(values: SettingsReader, specifics: SettingsReader, index: int) -> RequestClass:
     """Read a request class; some of its values are at its index in lists of `Specifics`."""
     return RequestClass(
-        name=values.get("Name", TEXT),
-        idempotency=values.get_word("Effect", IDEMPOTENCY_BY_SETTING, "fragile"),
-        deduplication_scope=values.get_word("Group", SCOPE_BY_SETTING, "all"),
+        name=values.get("Name", STRING),
+        idempotency=values.get_choice("Effect", IDEMPOTENCY_BY_SETTING, "fragile"),
+        deduplication_scope=values.get_choice("Group", SCOPE_BY_SETTING, "all"),
         deduplication_window_s=values.get_duration_s("WindowNs", 0),
         latency_objective_s=values.get_duration_s("AimNs"),
         objective_stretch=values.get_in_range("AimStretch", 0, math.inf, 0.0),
@@ -194,6 +194,6 @@
 def _read_machine_type(specifics: SettingsReader, key: str, machine_types: list[str]) -> str:
     """Return the name of the machine type at the configured index, or an empty string if there is none."""
     index = specifics.get_in_range(
-        key, NO_MACHINE_TYPE, len(machine_types) - 1, NO_MACHINE_TYPE, form=INTEGER
+        key, NO_MACHINE_TYPE, len(machine_types) - 1, NO_MACHINE_TYPE, json_type=INTEGER
     )
     return machine_types[index] if index != NO_MACHINE_TYPE else ""
