--- a/brookhinge/engine/__init__.py
+++ b/brookhinge/engine/__init__.py
@@ -1,20 +1,21 @@
-"""What runs the requests of any front end: state, its scheduler on a loop, and the log.
+"""The protocol-independent core of the router: its state, the event scheduler and the log.
 
-    events.py           what sources report; effects.py: what is to be done; endpoints.py: servers in both
-    scheduler.py        sources post events, registered handlers carry effects out; a round a pass of the loop
-    router_state.py     (now, events) -> effects; joins the modules below; no I/O, no clock
-    round_context.py    what the current round has gathered
-    client_events.py    connections, requests and withdrawals; clients.py, open_requests.py: their records
-    coalescing.py       a client's retry waits for the response to its first try
-    attempts.py         attempts that are out; responses.py: the final response of each request
-    command_events.py   the command channel; endpoint_list.py, purges.py: what its commands change
-    fleet_events.py     peers, quotas, verdicts, the purge log
-    decision_sink.py    decisions become effects; invariants.py: checks of each just before
-    totals.py           totals since the start; scores.py: outcomes by request class
-    commands.py         the command channel's words, decoded to events
-    lifecycle.py        phases of the process; loop_watch.py: stalls of the loop
-    log.py, trace.py    JSON lines of events, and of each step of each request
-    errors.py           the base of the errors of all of them
+    events.py           inputs of the state; effects.py: its outputs; endpoints.py: servers, used by both
+    scheduler.py        collects posted events, runs rounds and passes each effect to its handler
+    router_state.py     (now, events) -> effects; combines the modules below; no I/O, no clock
+    round_context.py    data of the current round
+    client_events.py    handles client events; clients.py: connections; open_requests.py: open requests
+    coalescing.py       lets a client's retry wait for the response to its first try
+    attempts.py         outstanding attempts; responses.py: the final response of each request
+    command_events.py   command channel events; endpoint_list.py, purges.py: the state they change
+    fleet_events.py     peer notices, quotas, outlier verdicts and the purge log
+    decision_sink.py    converts decisions to effects; invariants.py: checks them first
+    totals.py           counters since the start; scores.py: outcomes by request class
+    commands.py         decodes command channel messages to events
+    lifecycle.py        phases of the process; loop_watch.py: detects stalls of the event loop
+    log.py, trace.py    write events, and the steps of each request, as JSON lines
+    errors.py           base class of the engine's errors
 
-Fronts, upstreams and the fleet join it; it imports none of them. Times are seconds since the start.
+Front ends, upstream connections and the fleet depend on this package; it imports none of them. Times are
+seconds since the start of the router.
 """
--- a/brookhinge/engine/client_events.py
+++ b/brookhinge/engine/client_events.py
@@ -1,4 +1,4 @@
-"""Handlers of clients' events: connections, requests and withdrawals."""
+"""Handles client events: connections, requests and withdrawals."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ClientEvents:
-    """Opens requests, or refuses the calls that cannot be taken."""
+    """Opens requests and refuses calls that are invalid."""
 
     def __init__(
         self,
@@ -41,34 +41,34 @@
         self.totals = records.totals
 
     def on_connected(self, event: ClientConnected) -> None:
-        """Note the address of a new connection."""
-        self.coalescer.connected(event.client, event.address)
+        """Record the address of a new connection."""
+        self.coalescer.on_connected(event.client, event.address)
 
     def on_disconnected(self, event: ClientDisconnected) -> None:
-        """Withdraw all that is open on a connection."""
+        """Withdraw all open requests of a closed connection."""
         self.forget(event.client)
 
     def on_request_cancelled(self, event: RequestCancelled) -> None:
-        """Withdraw a request."""
+        """Withdraw a request, and close the connection of a client that withdraws too many."""
         request_id = self.clients.request(event.client, event.number)
         if request_id is None:
             return
         self.responses.withdraw(self.requests.open[request_id], Withdrawal.CANCELLED)
-        breach = self.clients.count_withdrawal(event.client)
-        if breach is not None:
-            self.close(event.client, breach)
+        protocol_error = self.clients.count_withdrawal(event.client)
+        if protocol_error is not None:
+            self.close(event.client, protocol_error)
 
     def on_request_received(self, call: RequestReceived) -> None:
-        """Open a request, refuse it or close its connection."""
+        """Open a request, reject or refuse it, or close its connection."""
         request_class = self.class_indexes.get(call.class_name)
         if request_class is None:
             self.refuse(call, "service: no such class")
             return
         if call.client in self.clients.closed:
             return
-        breach = self.clients.take_number(call.client, call.number)
-        if breach is not None:
-            self.close(call.client, breach)
+        protocol_error = self.clients.register_number(call.client, call.number)
+        if protocol_error is not None:
+            self.close(call.client, protocol_error)
         elif call.client_request_id in self.requests.by_client_request_id:
             self.refuse_repeated(call)
         elif call.client_request_id in self.requests.finished:
@@ -79,26 +79,29 @@
             self.open_request(call, request_class)
 
     def refuse(self, call: RequestReceived, reason: str) -> None:
-        """Refuse a call that cannot be taken."""
+        """Answer an invalid call with an exception of the protocol."""
         self.context.emit(RefuseCall(call.client, call.number, reason))
 
     def refuse_repeated(self, call: RequestReceived) -> None:
-        """Refuse an id that is open; a client that repeats its own breaks the protocol."""
+        """Refuse a request id that is already open.
+
+        A client that reuses one of its own open ids violates the protocol: its connection is closed.
+        """
         first = self.requests.open[self.requests.by_client_request_id[call.client_request_id]]
         if first.call.client == call.client:
-            self.close(call.client, "an id that is open")
+            self.close(call.client, "request id is already open")
         else:
             self.refuse(call, "ref: still open")
 
     def reject_at_shutdown(self, call: RequestReceived) -> None:
-        """Reject a request that was read after the shutdown began: it never ran, nor will it."""
+        """Reject a request that was read after shutdown began; it has not run, so a retry is safe."""
         self.totals.counts["queries"] += 1
         self.totals.counts["nacked"] += 1
         self.totals.refusals[Refusal.STOPPING] += 1
         self.context.emit(RejectRequest(call.client, call.number, 0.0))
 
     def open_request(self, call: RequestReceived, request_class: int) -> None:
-        """Open a request and pass it to the decisions, or let it follow the one that it repeats."""
+        """Open a request, then pass it to the decisions or coalesce it with the request that it retries."""
         request = self.requests.add(call, request_class)
         self.clients.add_request(call.client, call.number, request.request_id)
         self.totals.counts["queries"] += 1
@@ -128,18 +131,21 @@
             self.context.inbox.append(arrival)
 
     def may_be_retry(self, request: OpenRequest) -> bool:
-        """Whether to look for the try that a request repeats: an effect is asked for anew each time."""
+        """Return whether a request may be a client's retry.
+
+        Only requests of repeatable classes can be: each request of another class asks for a new effect.
+        """
         request_class = self.decisions.request_classes[request.request_class]
         return self.coalescer.lineage is not None and request_class.idempotency is Idempotency.REPEATABLE
 
     def close(self, client: int, reason: str) -> None:
-        """Close a connection that breaks the protocol: nothing more on it is answered or taken."""
+        """Close a connection that violates the protocol; its later calls in this round are ignored."""
         self.forget(client)
         self.clients.closed.add(client)
         self.context.emit(CloseClient(client, reason))
 
     def forget(self, client: int) -> None:
-        """Withdraw all that is open on a connection and forget it."""
+        """Withdraw all open requests of a connection and remove its records."""
         for request_id in self.clients.open_requests(client):
             self.responses.withdraw(self.requests.open[request_id], Withdrawal.CLIENT_GONE)
-        self.coalescer.disconnected(self.clients.forget(client))
+        self.coalescer.on_disconnected(self.clients.forget(client))
--- a/brookhinge/engine/clients.py
+++ b/brookhinge/engine/clients.py
@@ -1,17 +1,17 @@
-"""Book-keeping of clients' connections: their open requests, numbers, addresses and withdrawals."""
+"""Records of client connections: open requests, call numbers, addresses and withdrawals."""
 
-OPEN_REQUESTS_PER_CLIENT = 32  # by the protocol
+OPEN_REQUESTS_PER_CLIENT = 32  # limit set by the protocol
 
 
 class ClientTable:
-    """What is known of each client's connection, by its number.
+    """Per-connection records, keyed by connection id.
 
     Attributes:
-        requests: {client: {number of the call: open request}} of clients with open requests.
-        last_numbers: The highest number of a call so far.
-        withdrawn: Requests withdrawn since the last that was satisfied.
-        addresses: Where the connection comes from; kept only where retries are recognized.
-        closed: Clients that were closed in this round: nothing more of them is taken.
+        requests: {client: {call number: request id}} of clients with open requests.
+        last_numbers: {client: highest call number so far}.
+        withdrawn: {client: requests withdrawn since one was last satisfied}.
+        addresses: {client: remote address}; filled only if retries are recognized.
+        closed: Clients closed in this round, whose further calls are ignored.
     """
 
     def __init__(self) -> None:
@@ -22,52 +22,51 @@
         self.closed: set[int] = set()
 
     def has_open_requests(self, client: int) -> bool:
-        """Whether a client is owed responses."""
+        """Return whether a client has open requests."""
         return client in self.requests
 
     def request(self, client: int, number: int) -> int | None:
-        """The open request under a number, or None."""
+        """Return the id of the open request with a call number, or None."""
         return self.requests.get(client, {}).get(number)
 
     def open_requests(self, client: int) -> list[int]:
-        """All open requests of a client."""
+        """Return the ids of a client's open requests."""
         return list(self.requests.get(client, {}).values())
 
     def add_request(self, client: int, number: int, request_id: int) -> None:
-        """Note an open request."""
+        """Add an open request."""
         self.requests.setdefault(client, {})[number] = request_id
 
     def remove_request(self, client: int, number: int) -> None:
-        """Note that a request has ended."""
+        """Remove a request that has ended."""
         numbers = self.requests[client]
         del numbers[number]
         if not numbers:
             del self.requests[client]
 
-    def take_number(self, client: int, number: int) -> str | None:
-        """Note the number of a call; the breach of the protocol that the call is, or None.
+    def register_number(self, client: int, number: int) -> str | None:
+        """Record the number of a call; return the protocol error that the call makes, or None.
 
-        Two responses under one number could not be told apart.
+        Numbers must increase, because responses are matched to calls by their number.
         """
         if number <= self.last_numbers.get(client, 0):
-            return f"the number {number} again"
+            return f"call number {number} is not higher than the previous one"
         self.last_numbers[client] = number
         if len(self.requests.get(client, ())) >= OPEN_REQUESTS_PER_CLIENT:
-            return f"over {OPEN_REQUESTS_PER_CLIENT} queries open"
+            return f"more than {OPEN_REQUESTS_PER_CLIENT} requests open"
         return None
 
     def count_withdrawal(self, client: int) -> str | None:
-        """Count a withdrawn request; the breach of the protocol where a client withdraws in mass, or None."""
-        times = self.withdrawn.get(client, 0) + 1
-        self.withdrawn[client] = times
-        if (
-            times > OPEN_REQUESTS_PER_CLIENT and client not in self.requests
-        ):  # nothing that a close would cost
-            return f"{times} queries withdrawn and none satisfied"
+        """Count a withdrawn request; return a protocol error if the client withdraws too many, or None."""
+        withdrawals = self.withdrawn.get(client, 0) + 1
+        self.withdrawn[client] = withdrawals
+        # Only a client without open requests is closed, so that closing it loses no response.
+        if withdrawals > OPEN_REQUESTS_PER_CLIENT and client not in self.requests:
+            return f"{withdrawals} requests withdrawn and none satisfied"
         return None
 
     def forget(self, client: int) -> str | None:
-        """Forget a client that has no open requests any more; its address where it was kept."""
+        """Remove a client that has no open requests; return its address if it was recorded."""
         self.last_numbers.pop(client, None)
         self.withdrawn.pop(client, None)
         return self.addresses.pop(client, None)
--- a/brookhinge/engine/coalescing.py
+++ b/brookhinge/engine/coalescing.py
@@ -1,7 +1,8 @@
-"""Coalesces a client's retry with its first try, where that is still open.
+"""Coalesces a client's retry with its first try if that is still open.
 
-A follower waits for its leader's response and never has an attempt beside it. Where the leader ends without a
-response for it, the follower is handled as a request of its own again.
+A retry that is coalesced (the follower) waits for the response to the first try (the leader) and is not
+sent to any server meanwhile. If the leader ends without a response that it can share, the follower is
+handled as an independent request again.
 """
 
 from __future__ import annotations
@@ -17,15 +18,17 @@
 if TYPE_CHECKING:
     from brookhinge.overload.retry_lineage import RetryLineage
 
-END_MARGIN_S = 0.02  # a follower fails so long before its deadline: the response has to reach its client
+# A follower fails this long before its deadline, so that the response still reaches its client in time.
+RESPONSE_MARGIN_S = 0.02
 
 
 class RequestCoalescer:
-    """Recognizes retries and lets them follow the request that they repeat.
+    """Recognizes retries and lets them wait for the response to the request that they retry.
 
     Attributes:
-        lineage: Recognizes retries; None: every request stands for itself.
-        followers: The requests that wait for each leader, in order of arrival.
+        lineage: Recognizes retries; None if requests are not coalesced.
+        followers: {leader: ids of the requests that wait for it, in order of arrival}.
+        deadlines: Heap of (time at which the follower fails, follower).
     """
 
     def __init__(self, records: Records, *, lineage: RetryLineage | None) -> None:
@@ -36,58 +39,62 @@
         self.totals = records.totals
         self.lineage = lineage
         self.followers: dict[int, list[int]] = {}
-        self.deadlines: list[tuple[float, int]] = []  # heap of (when it fails, follower)
+        self.deadlines: list[tuple[float, int]] = []
 
-    def connected(self, client: int, address: str) -> None:
-        """Note the address of a new connection."""
+    def on_connected(self, client: int, address: str) -> None:
+        """Record the address of a new connection."""
         self.clients.addresses[client] = address
         self.lineage.connected(address)
 
-    def disconnected(self, address: str | None) -> None:
-        """Note that a connection from an address has ended; None: its address was not noted."""
+    def on_disconnected(self, address: str | None) -> None:
+        """Record that a connection from `address` has closed; None if its address was not recorded."""
         if address is not None:
             self.lineage.disconnected(address)
 
     def admit(self, request: OpenRequest, arrival: RequestArrived) -> None:
-        """Let a request follow an open one that asks for the same, or pass it to the decisions.
+        """Coalesce a request with the open one that it retries, or pass it to the decisions.
 
-        The decisions hear since when a retry is asked for, and whether its client would be known again.
+        The message to the decisions has the time since the client's first try, and the client's identity if
+        it will be recognized on a later connection.
         """
         request.arrival = arrival
         client = request.call.client
         address = self.clients.addresses.get(client, client)
         name = arrival.request_class, arrival.key, arrival.part
-        seen = self.lineage.recognize(self.context.now, request.request_id, address, client, name)
-        leader = self.requests.open.get(seen.open_request)
+        recognized = self.lineage.recognize(self.context.now, request.request_id, address, client, name)
+        leader = self.requests.open.get(recognized.open_request)
         if leader is not None and self.may_share_response(leader, request):
             self.follow(leader, request)
             return
-        self.totals.counts["again"] += seen.is_retry
+        self.totals.counts["again"] += recognized.is_retry
         client_identity = self.lineage.identify(address, client)
         self.context.inbox.append(
             arrival._replace(
                 timeout_s=request.deadline - self.context.now,
-                retry_age_s=seen.since_first_s,
+                retry_age_s=recognized.since_first_s,
                 retry_client=client_identity if client_identity.outlives_connection else None,
             )
         )
 
     def may_share_response(self, leader: OpenRequest, request: OpenRequest) -> bool:
-        """Whether the leader's response answers a later request, with no purge in between."""
+        """Return whether the leader's response may answer a later request too.
+
+        Both must have the same known version and body, with no purge of the object since the leader came.
+        """
         if leader.call.known_version != request.call.known_version or leader.call.body != request.call.body:
             return False
         purge = self.invariants.purges.last(request.call.purge_group, request.key)
         return purge is None or purge.known_at < leader.call.received_at
 
     def follow(self, leader: OpenRequest, request: OpenRequest) -> None:
-        """Let a request wait for the leader's response."""
+        """Make a request wait for the leader's response."""
         request.leader = leader.request_id
         self.totals.counts["beside"] += 1
         self.followers.setdefault(leader.request_id, []).append(request.request_id)
-        heapq.heappush(self.deadlines, (request.deadline - END_MARGIN_S, request.request_id))
+        heapq.heappush(self.deadlines, (request.deadline - RESPONSE_MARGIN_S, request.request_id))
 
     def release_followers(self, leader: int) -> list[OpenRequest]:
-        """The open followers of a request; they follow it no longer."""
+        """Detach and return the followers of a request that are still open."""
         followers = self.followers.pop(leader, None)
         if not followers:
             return []
@@ -96,11 +103,11 @@
         ]
 
     def has_time_left(self, follower: OpenRequest) -> bool:
-        """Whether a follower that was released can still be served."""
-        return follower.deadline - self.context.now > END_MARGIN_S
+        """Return whether enough time is left to serve a released follower."""
+        return follower.deadline - self.context.now > RESPONSE_MARGIN_S
 
-    def ended(self, request: OpenRequest, outcome: Outcome) -> None:
-        """Note the end of a request."""
+    def on_request_ended(self, request: OpenRequest, outcome: Outcome) -> None:
+        """Update the lineage when a request ends, and remove an ended follower from its leader's list."""
         if self.lineage is None:
             return
         if request.leader is None:
@@ -111,7 +118,7 @@
             followers.remove(request.request_id)
 
     def take_expired(self) -> Iterator[OpenRequest]:
-        """The followers whose time is over, one after another."""
+        """Yield the followers whose time is over."""
         while self.deadlines and self.deadlines[0][0] <= self.context.now:
             _, request_id = heapq.heappop(self.deadlines)
             request = self.requests.open.get(request_id)
@@ -119,7 +126,7 @@
                 yield request
 
     def next_at(self) -> float | None:
-        """When the next follower's time is over, or None."""
+        """Return the time at which the next follower fails, or None if there are no followers."""
         while self.deadlines and self.deadlines[0][1] not in self.requests.open:
             heapq.heappop(self.deadlines)
         return self.deadlines[0][0] if self.deadlines else None
--- a/brookhinge/engine/command_events.py
+++ b/brookhinge/engine/command_events.py
@@ -1,4 +1,4 @@
-"""Handlers of the command channel's events; commands that were applied before are ignored."""
+"""Handles events of the command channel; commands that were already applied are ignored."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class CommandEvents:
-    """Applies commands in their order.
+    """Applies commands in order.
 
     Attributes:
-        cursor: The number of the last command.
+        cursor: Number of the last command that was applied or skipped.
     """
 
     def __init__(
@@ -36,13 +36,13 @@
         self.cursor = 0
 
     def on_endpoints_listed(self, event: EndpointsListed) -> None:
-        """Apply a list of servers, or the changes of one."""
+        """Apply a complete endpoint list or a list of changes."""
         if event.number > self.cursor:
             self.cursor = event.number
             self.endpoints.apply(event.endpoints, is_complete=event.is_complete)
 
     def on_objects_purged(self, event: ObjectsPurged) -> None:
-        """Record a purge and notify the peers; one that a peer was quicker to notify is known already."""
+        """Notify the peers of a purge and record it, unless a peer's notice of it came earlier."""
         if event.number <= self.cursor:
             return
         self.cursor = event.number
@@ -55,6 +55,6 @@
         self.purges.record_command(event)
 
     def on_command_skipped(self, event: CommandSkipped) -> None:
-        """Log a command that cannot be read."""
+        """Log a command that could not be decoded, and advance the cursor past it."""
         self.cursor = max(self.cursor, event.number)
         self.context.log("command skipped", cursor=event.number, why=event.reason)
--- a/brookhinge/engine/decision_sink.py
+++ b/brookhinge/engine/decision_sink.py
@@ -1,4 +1,4 @@
-"""Carries out decisions: checks each against the invariants and makes an effect of it."""
+"""Converts decisions to effects, after checking each against the invariants."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class EngineSink:
-    """The `DecisionSink` of the router on sockets.
+    """The `DecisionSink` of a router that serves real sockets.
 
     Attributes:
-        copies: {name: (body, tag)} of the responses that the decisions keep.
+        copies: {copy name: (body, version tag)} of the responses kept in memory for the decisions.
     """
 
     def __init__(
@@ -55,13 +55,13 @@
         """Send an attempt of a request to a server.
 
         Raises:
-            InvariantError: The attempt would break a rule.
+            InvariantError: The attempt would violate an invariant.
         """
         request = self.requests.open.get(request_id)
         if request is None or self.context.is_shutting_down:
-            detail = f"a push of query {request_id}"
+            detail = f"attempt for request {request_id} after it ended or after shutdown began"
             raise InvariantError(self.invariants.violated(Invariant.AFTER_END, detail))
-        self.check(request, attempt)
+        self.check_attempt(request, attempt)
         deadline = min(attempt.deadline, request.deadline)
         if request.attempts:
             self.totals.retries[request.last_result] += 1
@@ -83,13 +83,13 @@
             )
         self.totals.counts["pushes"] += 1
         self.attempts.set_timer(request, deadline)
-        self.context.emit(self.effect(request, attempt, deadline))
+        self.context.emit(self.send_effect(request, attempt, deadline))
 
-    def check(self, request: OpenRequest, attempt: Attempt) -> None:
+    def check_attempt(self, request: OpenRequest, attempt: Attempt) -> None:
         """Check an attempt against the invariants.
 
         Raises:
-            InvariantError: The attempt would break a rule.
+            InvariantError: The attempt would violate an invariant.
         """
         now = self.context.now
         planned = PlannedAttempt(
@@ -104,8 +104,8 @@
         if violation is not None:
             raise InvariantError(violation)
 
-    def effect(self, request: OpenRequest, attempt: Attempt, deadline: float) -> SendAttempt:
-        """The effect that sends an attempt."""
+    def send_effect(self, request: OpenRequest, attempt: Attempt, deadline: float) -> SendAttempt:
+        """Return the effect that sends an attempt."""
         call = request.call
         return SendAttempt(
             request_id=request.request_id,
@@ -128,35 +128,35 @@
         )
 
     def reject(self, request_id: int, retry_after_s: float, reason: Refusal | None = None) -> None:
-        """Reject a request; where asking again could be a second effect it fails instead.
+        """Reject a request, or fail it if a retry by the client could cause a second effect.
 
         Raises:
-            InvariantError: The request has had its final response.
+            InvariantError: The request already had its final response.
         """
-        request = self.owed(request_id)
+        request = self.require_open(request_id)
         request_class = self.class_of(request)
         if rules.may_invite_repeat(request_class, request.first_ran):
             self.responses.reject(request, retry_after_s, reason)
             return
-        detail = f"a repeat of {request_class.idempotency} is invited"
+        detail = f"rejection would invite a retry of a {request_class.idempotency} request that may have run"
         self.log_violation(request_id, self.invariants.violated(Invariant.EFFECT_TWICE, detail))
         self.responses.fail(request, reason)
 
     def fail(self, request_id: int, reason: Refusal | None = None) -> None:
-        """Respond with an error.
+        """Respond to a request with an error.
 
         Raises:
-            InvariantError: The request has had its final response.
+            InvariantError: The request already had its final response.
         """
-        self.responses.fail(self.owed(request_id), reason)
+        self.responses.fail(self.require_open(request_id), reason)
 
     def respond_from_copy(self, request_id: int, name: tuple) -> None:
-        """Respond with a copy that was kept; where the client holds the same one, say so.
+        """Respond with a kept copy, or with "unchanged" if the client holds the same version.
 
         Raises:
-            InvariantError: The request has had its final response.
+            InvariantError: The request already had its final response.
         """
-        request = self.owed(request_id)
+        request = self.require_open(request_id)
         body, version = self.copies[name]
         is_unchanged = version is not None and version == request.call.known_version
         self.totals.counts["own"] += 1
@@ -164,35 +164,35 @@
         self.responses.respond(request, b"" if is_unchanged else body, is_unchanged)
 
     def keep_copy(self, request_id: int, name: tuple) -> None:
-        """Keep the body that a request was responded to with in this round."""
+        """Keep the response body that a request received in this round."""
         self.copies[name] = self.context.bodies[request_id]
 
     def drop_copy(self, name: tuple) -> None:
-        """Forget a copy."""
+        """Drop a kept copy."""
         del self.copies[name]
 
     def log(self, text: str) -> None:
-        """Log what operators should know of a decision."""
+        """Log a message of the decisions for operators."""
         self.context.log("decisions", text=text)
 
     def log_violation(self, request_id: int | None, violation: Violation) -> None:
-        """Log an act that was about to break a rule."""
+        """Log a prevented violation of an invariant."""
         request = self.requests.open.get(request_id)
         ref = request.call.client_request_id.decode() if request else None
         self.context.log("violation", ref=ref, invariant=violation.invariant, detail=violation.detail)
 
-    def owed(self, request_id: int) -> OpenRequest:
-        """The open request that is owed its final response.
+    def require_open(self, request_id: int) -> OpenRequest:
+        """Return an open request.
 
         Raises:
-            InvariantError: The request has had it.
+            InvariantError: The request already had its final response.
         """
         request = self.requests.open.get(request_id)
         if request is None:
-            detail = f"a second one to query {request_id}"
+            detail = f"second final response to request {request_id}"
             raise InvariantError(self.invariants.violated(Invariant.ONE_ANSWER, detail))
         return request
 
     def class_of(self, request: OpenRequest) -> RequestClass:
-        """The settings of the request's class."""
+        """Return the settings of the request's class."""
         return self.decisions.request_classes[request.request_class]
--- a/brookhinge/engine/effects.py
+++ b/brookhinge/engine/effects.py
@@ -1,7 +1,7 @@
-"""Effects: what the router's state wants done, one class for each kind.
+"""Effects: the actions that the router's state requests, one class for each kind.
 
-The `EventScheduler` hands each to the handler that is registered for its class. Times are seconds since the
-router's start. `request_id` and `attempt` are numbered as in `engine/events.py`.
+The `EventScheduler` passes each effect to the handler registered for its class. Times are seconds since the
+start of the router. `request_id` and `attempt` are numbered as in `engine/events.py`.
 """
 
 from typing import NamedTuple
@@ -22,27 +22,27 @@
     object_key: bytes
     part: bytes
     deadline: float
-    fill_from: str | None  # where the server may fill from; None: it answers from what it holds
-    retention: int  # how much the server should want to keep the copy that it fills
-    max_age_s: float  # the oldest copy that will do; 0: the fresh time of the class
-    joins_fill: bool  # wait for a fill of the object that is under way
+    fill_from: str | None  # fill source that the server may use; None: it answers from its own copies
+    retention: int  # retention rank of the copy that the server fills
+    max_age_s: float  # maximum age of a copy; 0: the freshness lifetime of the request class
+    joins_fill: bool  # whether the server waits for a fill of the object that is in progress
     cached_only: bool
-    revalidates: bool  # the server asks its source whether its copy still holds
-    known_version: bytes | None  # tag of the copy that the client has
+    revalidates: bool  # whether the server asks its fill source if its copy is still current
+    known_version: bytes | None  # version tag of the copy that the client holds
     body: bytes
     skips_cache: bool = False
     idempotency_key: bytes | None = None
 
 
 class CancelAttempt(NamedTuple):
-    """Give up an attempt: its response is not wanted any more."""
+    """Cancel an attempt whose response is no longer needed."""
 
     request_id: int
     attempt: int
 
 
 class RetireServer(NamedTuple):
-    """Use the connections to one start of a server for nothing new."""
+    """Send no new attempts over the connections to a server instance."""
 
     server: ServerInstance
 
@@ -51,7 +51,7 @@
 
 
 class Respond(NamedTuple):
-    """The final response: an object, or that the client's copy of it still holds."""
+    """Send the final response: an object, or a notice that the client's copy is unchanged."""
 
     client: int
     number: int
@@ -60,22 +60,22 @@
 
 
 class RejectRequest(NamedTuple):
-    """The final response: not served, and asking again is harmless."""
+    """Send the final response: the request was not served and may safely be repeated."""
 
     client: int
     number: int
-    retry_after_s: float  # 0: no advice
+    retry_after_s: float  # 0: no retry delay is suggested
 
 
 class FailRequest(NamedTuple):
-    """The final response: an error."""
+    """Send the final response: an error."""
 
     client: int
     number: int
 
 
 class RefuseCall(NamedTuple):
-    """A call that cannot be taken, answered with an exception of the protocol."""
+    """Answer an invalid call with an exception of the protocol."""
 
     client: int
     number: int
@@ -83,7 +83,7 @@
 
 
 class CloseClient(NamedTuple):
-    """Close the connection of a client that broke the protocol."""
+    """Close the connection of a client that violated the protocol."""
 
     client: int
     reason: str
@@ -108,7 +108,7 @@
 
 
 class NotifyPeers(NamedTuple):
-    """Notify the peers of something that tightens a rule."""
+    """Notify the peers of a purge, or of a server that is draining or gone."""
 
     kind: str  # 'purge', 'draining' or 'gone'
     values: tuple
--- a/brookhinge/engine/endpoint_list.py
+++ b/brookhinge/engine/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: which servers there are, and to which start of each connections belong."""
+"""Keeps the endpoint list: the listed servers and the instance of each that attempts are sent to."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 
 
 class EndpointList:
-    """Applies lists of servers.
+    """Applies endpoint lists and notices of peers about servers.
 
     Attributes:
-        instances: The start of each server to which attempts go.
+        zones: {zone name: index}.
+        instances: {server: the instance that attempts are sent to}.
     """
 
     def __init__(
@@ -33,14 +34,14 @@
         self.instances: dict[str, ServerInstance] = {}
 
     def apply(self, endpoints: Sequence[ListedEndpoint], *, is_complete: bool) -> None:
-        """Apply a list of the command channel; what a complete one leaves out is gone."""
+        """Apply a list from the command channel; a complete list removes the servers that it omits."""
         rows = [self.apply_endpoint(endpoint) for endpoint in endpoints]
         if is_complete:
             self.remove_absent({endpoint.server for endpoint in endpoints})
-        self.context.facts.append(messages.EndpointsListed(is_complete, rows))
+        self.context.state_updates.append(messages.EndpointsListed(is_complete, rows))
 
     def apply_endpoint(self, endpoint: ListedEndpoint) -> messages.Endpoint:
-        """Apply one row; the row as it is to be used, after what peers have notified."""
+        """Apply one row; return the row to use, which peers' notices may have tightened."""
         row = messages.Endpoint(
             server=endpoint.server,
             state=endpoint.health,
@@ -63,7 +64,7 @@
         return row
 
     def remove_absent(self, present: set[str]) -> None:
-        """Remove servers that a complete list leaves out."""
+        """Remove servers that a complete list omits."""
         for server in [server for server in self.instances if server not in present]:
             self.set_instance(server, None)
         self.invariants.note_complete_list(present)
@@ -72,24 +73,24 @@
                 self.notify_peers(notice)
 
     def apply_notice(self, row: messages.Endpoint) -> None:
-        """Apply a row that a peer's notice has tightened."""
+        """Apply a row that was tightened by a peer's notice."""
         self.invariants.note_server(row.server, row.state, row.zone, row.cell)
         if row.state == "gone":
             self.set_instance(row.server, None)
-        self.context.facts.append(messages.EndpointsListed(False, [row]))
+        self.context.state_updates.append(messages.EndpointsListed(False, [row]))
         self.context.log("notice", server=row.server, health=row.state)
 
     def set_instance(self, server: str, instance: ServerInstance | None) -> None:
-        """Set the start of a server to connect to; connections to an earlier start are used no more."""
-        before = self.instances.get(server)
-        if before is not None and before != instance:
-            self.context.emit(RetireServer(before))
+        """Set the instance of a server, or None; connections to a different earlier instance are retired."""
+        previous = self.instances.get(server)
+        if previous is not None and previous != instance:
+            self.context.emit(RetireServer(previous))
         if instance is None:
             self.instances.pop(server, None)
         else:
             self.instances[server] = instance
 
     def notify_peers(self, notice: tuple) -> None:
-        """Notify the peers of something that tightens a rule."""
+        """Notify the peers that a server is draining or gone."""
         kind, *values = notice
         self.context.emit(NotifyPeers(kind, tuple(values)))
--- a/brookhinge/engine/endpoints.py
+++ b/brookhinge/engine/endpoints.py
@@ -15,11 +15,11 @@
     cell: int
     health: str  # 'ready', 'draining' or 'gone'
     weight: float
-    started_at: float | None  # seconds since this router's start; None: there from the first
+    started_at: float | None  # seconds since this router's start; None: running from the beginning
 
 
 class ServerInstance(NamedTuple):
-    """One start of a server at one address; its connections are used for no other."""
+    """A server process: one start of a server at one address. Connections are never shared by instances."""
 
     server: str
     address: Address
--- a/brookhinge/engine/errors.py
+++ b/brookhinge/engine/errors.py
@@ -1,5 +1,5 @@
-"""The base of the engine's errors."""
+"""Base class of the engine's errors."""
 
 
 class EngineError(Exception):
-    """Base of all errors that the engine raises."""
+    """Base class of all errors that the engine raises."""
--- a/brookhinge/engine/events.py
+++ b/brookhinge/engine/events.py
@@ -1,8 +1,9 @@
-"""Events: what the sources report to the router's state, one class for each kind.
+"""Events: the inputs of the router's state, one class for each kind.
 
-Sources post them to the `EventScheduler`; `RouterState` has one handler for each. Times are seconds since the
-router's start. `request_id` is the router's own number of an open request, `attempt` counts its
-attempts from 1; the id that the client gave is `client_request_id`.
+Event sources post them to the `EventScheduler`; `RouterState` has one handler for each class. Times are
+seconds since the start of the router. `client` is the connection id assigned by the listener, `request_id`
+the router's own id of an open request, `attempt` the attempt's number within its request, counted from 1, and
+`client_request_id` the id that the client assigned.
 """
 
 from collections.abc import Sequence
@@ -15,39 +16,39 @@
 
 
 class ClientConnected(NamedTuple):
-    """A connection was accepted; posted only where retries are recognized."""
+    """A connection was accepted; posted only if retries are recognized."""
 
     client: int
     address: str
 
 
 class ClientDisconnected(NamedTuple):
-    """A client's connection has ended: nothing is owed on it any more."""
+    """A client's connection has closed; its open requests need no response."""
 
     client: int
 
 
 class RequestReceived(NamedTuple):
-    """A call that is owed exactly one final response."""
+    """A client sent a request, which must get exactly one final response."""
 
     client: int
-    number: int  # the client's, of the call on its connection
+    number: int  # call number on the connection, assigned by the client
     client_request_id: bytes  # passed on to the cache servers
     class_name: bytes
     object_key: bytes
     part: bytes
     part_number: int
     purge_group: int
-    size_kb: float  # 0: not told
+    size_kb: float  # 0: unknown
     timeout_s: float
-    known_version: bytes | None  # tag of the copy that the client has
+    known_version: bytes | None  # version tag of the copy that the client holds
     body: bytes
     received_at: float
     idempotency_key: bytes | None = None
 
 
 class RequestCancelled(NamedTuple):
-    """A client has withdrawn one of its calls."""
+    """A client has withdrawn one of its requests."""
 
     client: int
     number: int
@@ -57,27 +58,27 @@
 
 
 class AttemptEnded(NamedTuple):
-    """A response of a server, or what became of an attempt without one."""
+    """An attempt ended, with or without a response from the server."""
 
     request_id: int
     attempt: int
     result: AttemptResult
-    note: int  # how the server came by its copy, as numbered by `net/cachewire.py`; 0: not told
-    source_wait_s: float  # what the server waited for its fill source
+    note: int  # how the server got its copy, as numbered by `net/cachewire.py`; 0: unknown
+    source_wait_s: float  # seconds that the server waited for its fill source
     load_report: list[float] | None
     body: bytes
-    is_unchanged: bool  # the copy that the client holds is the response
+    is_unchanged: bool  # whether the copy that the client holds is still current
     received_at: float
     dated_at: float | None = None  # when the copy left the origin
-    version: bytes | None = None  # tag of the copy
+    version: bytes | None = None  # version tag of the copy
     purge_group: bytes | None = None
 
 
-# From the command channel; `number` is the place of each in its order.
+# From the command channel; `number` is the command's position in the channel.
 
 
 class EndpointsListed(NamedTuple):
-    """Servers and their health: the whole endpoint list, or its changes."""
+    """The complete endpoint list, or changes to it."""
 
     number: int
     is_complete: bool
@@ -85,16 +86,16 @@
 
 
 class ObjectsPurged(NamedTuple):
-    """Copies made before a moment must not be used any more."""
+    """Copies of an object or a purge group from before `purged_at` must no longer be used."""
 
     number: int
-    purge_group: int  # 0 with a key
-    purged_at: float  # by the clock of whoever purged
-    object_key: str  # "": all objects of the group
+    purge_group: int  # 0 if `object_key` is set
+    purged_at: float  # by the clock of the sender of the purge
+    object_key: str  # empty: all objects of the group
 
 
 class CommandSkipped(NamedTuple):
-    """A command that cannot be read."""
+    """A command could not be decoded."""
 
     number: int
     reason: str
@@ -104,49 +105,56 @@
 
 
 class PeerNoticeReceived(NamedTuple):
-    """A notice of a peer; it can only tighten a rule."""
+    """A peer sent a notice, which can only add restrictions."""
 
     kind: str  # 'purge', 'draining' or 'gone'
     values: tuple
 
 
 class PurgeLogEntryRead(NamedTuple):
-    """An entry of the purge log."""
+    """An entry was read from the purge log.
 
-    kind: int  # brookhinge/purgelog/messages.py
+    Attributes:
+        kind: Kind of the entry, as numbered by `purgelog/messages.py`.
+        text: Object key of a purge, empty for a group; else the server.
+        number: Purge group, or -1 for a purge of an object; else the server's start in ms of Unix time.
+        stamp_ms: Timestamp of the entry in ms of Unix time.
+    """
+
+    kind: int
     text: str
     number: int
     stamp_ms: int
 
 
 class CopyRuleChanged(NamedTuple):
-    """What this router may do with copies that it holds itself, as far as it knows all purges."""
+    """The rule for using the router's own copies changed; it depends on whether all purges are known."""
 
-    rule: object  # a CopyRule of brookhinge/purgelog/subscriber.py
+    rule: object  # a CopyRule of `purgelog/subscriber.py`
     missed_purges: object | None
 
 
 class RouterCountChanged(NamedTuple):
-    """By how many routers the limits of this zone and of the whole fleet are divided."""
+    """The number of routers that share limits changed, in this zone or in the whole fleet."""
 
-    here: int
-    everywhere: int
+    in_zone: int
+    in_fleet: int
 
 
 class QuotasAssigned(NamedTuple):
-    """What this router may use of limits that the fleet shares."""
+    """The router's quotas of limits that the fleet shares were assigned."""
 
-    quotas: Sequence[tuple]  # (kind, server, its start in ms, quota or None) each
+    quotas: Sequence[tuple]  # of (kind, server, start of the server in ms, quota or None)
 
 
 class OutlierVerdictsChanged(NamedTuple):
-    """What follows from what all routers saw of servers."""
+    """The outlier verdicts on servers, based on the observations of all routers, changed."""
 
-    verdicts: Sequence[tuple]  # (server, its start in ms, verdict, seconds) each
+    verdicts: Sequence[tuple]  # of (server, start of the server in ms, verdict, seconds)
 
 
 class WarmStartReceived(NamedTuple):
-    """What a peer knows that has run for longer."""
+    """A peer that has run for longer sent what it has learned."""
 
     rows: Sequence[tuple]
 
@@ -155,7 +163,7 @@
 
 
 class ShutdownBegan(NamedTuple):
-    """The process ends now: what is open fails, nothing more is decided."""
+    """The process shuts down: open requests fail and no more decisions are made."""
 
 
 Event = (
--- a/brookhinge/engine/lifecycle.py
+++ b/brookhinge/engine/lifecycle.py
@@ -7,12 +7,12 @@
 
 
 class Phase(enum.StrEnum):
-    """Where the process stands; the values are the words of the log."""
+    """A lifecycle phase of the process; the values appear in the log."""
 
-    STARTING = "starting"  # known state is loaded, nothing listens yet
+    STARTING = "starting"  # loads known state; not listening yet
     READY = "ready"
-    DRAINING = "leaving"  # told to end: still accepts connections and answers requests
-    FINISHING = "finishing"  # accepts no more connections, ends when nothing is open
+    DRAINING = "leaving"  # shutdown was requested; still accepts connections and answers requests
+    FINISHING = "finishing"  # accepts no new connections; ends when no request is open
     ENDED = "ended"
 
 
@@ -26,11 +26,11 @@
 
 
 class TransitionError(EngineError):
-    """A lifecycle phase was followed by one that may not follow it."""
+    """A transition between lifecycle phases is not allowed."""
 
     def __init__(self, current: Phase, following: Phase) -> None:
         allowed = ", ".join(TRANSITIONS[current]) or "none"
-        super().__init__(f"expected a phase after {current} ({allowed}), got {following}")
+        super().__init__(f"transition from {current} to {following} is not allowed; allowed: {allowed}")
 
 
 class Lifecycle:
@@ -41,7 +41,7 @@
     """
 
     def __init__(self, log: Callable[..., None]) -> None:
-        """Start in `Phase.STARTING`; `log(event, **values)` is called for each later phase."""
+        """Start in `Phase.STARTING`; call `log(event, **values)` for each later phase."""
         self.phase = Phase.STARTING
         self.log = log
 
@@ -49,7 +49,7 @@
         """Enter a phase.
 
         Raises:
-            TransitionError: The phase may not follow the current one.
+            TransitionError: The transition is not allowed.
         """
         if phase not in TRANSITIONS[self.phase]:
             raise TransitionError(self.phase, phase)
@@ -58,5 +58,5 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether health checks pass: the process serves and was not told to end."""
+        """Return whether health checks pass: the process serves and no shutdown was requested."""
         return self.phase is Phase.READY
--- a/brookhinge/engine/loop_watch.py
+++ b/brookhinge/engine/loop_watch.py
@@ -1,7 +1,7 @@
-"""Detects stalls of the event loop: the process was stopped, had no processor, or was busy for too long.
+"""Detects stalls of the event loop: the process was stopped, got no CPU time or was busy for too long.
 
-During a stall, calls, cancels, responses and events of the command channel lie unread in the system, and
-deadlines run on.
+During a stall, requests, cancels, responses and commands remain unread in socket buffers while deadlines keep
+running.
 """
 
 import collections
@@ -9,33 +9,34 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-# A sweep turns the loop every 0.05 s; a longer gap than this between two turns is a stall.
+# The service's sweep timer wakes the loop every 0.05 s; a gap longer than this is a stall.
 STALL_S = 0.15
-# A gap that counts for receive times; shorter ones matter to nobody's deadline.
+# Shortest gap that is considered in estimates of receive times; shorter gaps do not affect deadlines.
 BLIND_S = 0.08
-GAPS_KEPT = 64
+MAX_GAPS = 64
 
 
 class Stall(NamedTuple):
-    """A time during which the loop stood still, in seconds of the caller's clock."""
+    """A period in which the loop did not run. Times are seconds of the clock passed to `LoopWatch`."""
 
     began_at: float
     ended_at: float
-    processor_s: float  # used by this process meanwhile: near the length of the stall if it was busy itself
+    processor_s: float  # CPU time used by this process; near the length of the stall if it was busy itself
 
 
 class LoopWatch:
-    """Measures the gaps between turns of the loop.
+    """Measures the gaps between iterations of the event loop.
 
-    `tick` is called by a timer every few hundredths of a second, `turned` by whoever is about to rely on the
-    present.
+    `tick` is called by a timer every few hundredths of a second, `turned` by code that is about to depend on
+    the current time.
 
     Attributes:
-        stalls: How many stalls there were since the start.
-        stalled_s: Their seconds in all.
+        turned_at: Time of the last recorded iteration.
+        stalls: Number of stalls since the start.
+        stalled_s: Total seconds of the stalls.
         last: The latest stall, or None.
-        gaps: (beginning, end) of the latest gaps that count for receive times.
-        listeners: Called with each stall as it is noticed.
+        gaps: (start, end) of the latest gaps that are considered in estimates of receive times.
+        listeners: Called with each stall when it is detected.
         gap_listeners: Called with the end of each gap.
     """
 
@@ -45,12 +46,12 @@
         processor_s: Callable[[], float] = time.process_time,
         blind_s: float = BLIND_S,
     ) -> None:
-        """Watch from now on.
+        """Start watching.
 
         Args:
-            now: Seconds of a steady clock.
-            processor_s: Seconds of processor time that this process has used.
-            blind_s: The least gap that counts for receive times.
+            now: Returns seconds of a steady clock.
+            processor_s: Returns the seconds of CPU time that this process has used.
+            blind_s: Shortest gap in seconds that is considered in estimates of receive times.
         """
         self.now = now
         self.processor_s = processor_s
@@ -60,22 +61,22 @@
         self.stalls = 0
         self.stalled_s = 0.0
         self.last: Stall | None = None
-        self.gaps: collections.deque[tuple[float, float]] = collections.deque(maxlen=GAPS_KEPT)
+        self.gaps: collections.deque[tuple[float, float]] = collections.deque(maxlen=MAX_GAPS)
         self.listeners: list[Callable[[Stall], None]] = []
         self.gap_listeners: list[Callable[[float], None]] = []
 
     def begin(self) -> None:
-        """Count from now on: the time that the start took was no stall."""
+        """Restart the measurement, so that the startup of the process does not count as a stall."""
         self.turned_at = self.now()
         self.processor_used_s = self.processor_s()
 
     def tick(self) -> None:
-        """Note a turn of the loop, and the processor time used by then."""
+        """Record an iteration of the loop, and the CPU time used so far."""
         self.turned()
         self.processor_used_s = self.processor_s()
 
     def turned(self) -> None:
-        """Note a turn of the loop; a stall that ends with it is reported to the listeners."""
+        """Record an iteration of the loop, and report a stall that ends with it to the listeners."""
         before = self.turned_at
         self.turned_at = self.now()
         if self.turned_at - before > self.blind_s:
@@ -90,14 +91,14 @@
                 listener(self.last)
 
     def stalled_since(self, at: float) -> bool:
-        """Whether a stall ended after that moment."""
+        """Return whether a stall ended after time `at`."""
         self.turned()
         return self.last is not None and self.last.ended_at > at
 
     def blind_from(self, at: float) -> float | None:
-        """The earliest time at which something that is read now, and was not there at `at`, may have come.
+        """Return the earliest possible arrival time of data that is read now and had not arrived at `at`.
 
-        None: just now.
+        None if there was no gap since `at`, so that the data has just arrived.
         """
         self.turned()
         since = None
--- a/brookhinge/engine/open_requests.py
+++ b/brookhinge/engine/open_requests.py
@@ -1,4 +1,4 @@
-"""Requests that are owed a final response, and the ids of those that had one lately."""
+"""Records of open requests, and the ids of requests that ended recently."""
 
 import enum
 
@@ -6,7 +6,7 @@
 from brookhinge.decisions.rules import AttemptResult, Ran
 from brookhinge.engine.events import RequestReceived
 
-FINISHED_KEPT = 1024  # ids of finished requests that are remembered: clients give each request a new one
+MAX_FINISHED_IDS = 1024  # remembered to refuse reused ids: clients must give each request a new one
 
 
 class Outcome(enum.Enum):
@@ -15,27 +15,27 @@
     SATISFIED = enum.auto()
     REJECTED = enum.auto()
     FAILED = enum.auto()
-    WITHDRAWN = enum.auto()  # by its client: no response is owed any more
+    WITHDRAWN = enum.auto()  # canceled by the client or its connection closed; no response is sent
 
 
 class OpenRequest:
-    """A request that is owed its final response.
+    """A request without a final response.
 
     Attributes:
-        request_id: The router's number of it.
-        call: The request as it came; what goes on unchanged is kept as the bytes that came.
-        request_class: Index of its class.
-        key: The object's key as text.
-        deadline: The client's.
-        attempts: How many attempts were sent.
-        has_attempt_out: Whether the last of them has not ended.
-        server: The server of the last attempt.
-        fill_from: The fill source of the last attempt.
-        sent_at: When the last attempt was decided.
-        last_result: How the last attempt that has ended did.
-        first_ran: The first attempt that may have run.
-        arrival: The message by which the decisions hear of it, where it may be a client's retry.
-        leader: The request whose response it waits for.
+        request_id: The router's id of the request.
+        call: The request as received; fields that are forwarded unchanged are kept as the received bytes.
+        request_class: Index of the request class.
+        key: The object key as text.
+        deadline: The client's deadline.
+        attempts: Number of attempts sent.
+        has_attempt_out: Whether the latest attempt is outstanding.
+        server: Server of the latest attempt, or None.
+        fill_from: Fill source of the latest attempt, or None.
+        sent_at: When the latest attempt was decided.
+        last_result: Result of the latest attempt that ended, or None.
+        first_ran: Where and when the first attempt that may have run was sent, or None.
+        arrival: The message for the decisions, if the request may be a client's retry, else None.
+        leader: Id of the request whose response this one waits for, or None.
     """
 
     __slots__ = (
@@ -76,9 +76,9 @@
     """All open requests.
 
     Attributes:
-        open: By the router's number.
-        by_client_request_id: The number of the open request with each client's id.
-        finished: Ids of the last requests that have ended, the oldest first.
+        open: {request id: open request}.
+        by_client_request_id: {client's request id: the router's id of the open request}.
+        finished: Clients' ids of recently ended requests, oldest first.
     """
 
     def __init__(self) -> None:
@@ -88,7 +88,7 @@
         self.next_id = 0
 
     def add(self, call: RequestReceived, request_class: int) -> OpenRequest:
-        """Open a request."""
+        """Open a request and assign its id."""
         request = OpenRequest(self.next_id, call, request_class)
         self.next_id += 1
         self.open[request.request_id] = request
@@ -96,14 +96,14 @@
         return request
 
     def remove(self, request_id: int) -> None:
-        """End a request; its client's id is remembered."""
+        """Remove a request that has ended, and remember its client's id for it."""
         client_request_id = self.open.pop(request_id).call.client_request_id
         del self.by_client_request_id[client_request_id]
         self.finished[client_request_id] = None
-        if len(self.finished) > FINISHED_KEPT:
+        if len(self.finished) > MAX_FINISHED_IDS:
             del self.finished[next(iter(self.finished))]
 
     def has_attempt_out(self, request_id: int, attempt: int) -> bool:
-        """Whether that attempt has neither ended nor been given up."""
+        """Return whether an attempt has neither ended nor been canceled."""
         request = self.open.get(request_id)
         return request is not None and request.has_attempt_out and request.attempts == attempt
--- a/brookhinge/engine/purges.py
+++ b/brookhinge/engine/purges.py
@@ -1,4 +1,4 @@
-"""Purges as they become known, with the moment from which each counts."""
+"""Records purges as they become known, and determines the time of each."""
 
 from collections.abc import Iterable
 
@@ -11,7 +11,9 @@
     """Records purges for the invariants and the decisions.
 
     Attributes:
-        is_first_round: Whether what is recorded was known at the start.
+        is_first_round: Whether the current round is the first, which applies purges known at the start.
+        newest_stamps: {command number: newest stamp of that purge and those after it}, of purges known at the
+            start.
     """
 
     def __init__(self, records: Records) -> None:
@@ -21,36 +23,41 @@
         self.newest_stamps: dict[int, float] = {}
 
     def note_known_at_start(self, purges: Iterable[ObjectsPurged]) -> None:
-        """Note the stamps of the purges known at the start: those alone and their order are known of them."""
+        """Keep the stamps of purges known at the start, which can be dated by stamps and order alone."""
         self.newest_stamps = newest_stamps(list(purges))
 
     def record_command(self, purge: ObjectsPurged) -> None:
-        """Record a purge of the command channel."""
+        """Record a purge from the command channel."""
         newest = self.newest_stamps.get(purge.number, purge.purged_at)
         age_s = self.age_s(purge.purged_at, newest)
         self.record(purge.purge_group, purge.object_key, age_s)
 
     def record_notice(self, group: int, key: str, purged_at: float) -> None:
-        """Record a purge that a peer has notified."""
+        """Record a purge from a peer's notice."""
         self.record(group, key, self.age_s(purged_at, purged_at))
 
     def record(self, group: int, key: str, age_s: float) -> None:
-        """Record a purge of `age_s` seconds ago."""
+        """Record a purge that took place `age_s` seconds ago."""
         self.invariants.purges.add(self.context.now, group, key, self.context.now - age_s)
-        self.context.facts.append(messages.ObjectsPurged(group, age_s, key))
+        self.context.state_updates.append(messages.ObjectsPurged(group, age_s, key))
 
     def age_s(self, stamped: float, newest: float) -> float:
-        """Seconds since a purge, by its stamp and the newest of those that came with or after it."""
+        """Return the seconds since a purge.
+
+        Args:
+            stamped: The purge's stamp, by the clock of its sender.
+            newest: The newest stamp of this purge and those after it.
+        """
         if self.is_first_round:
             return self.context.now - rules.known_event_time(self.context.now, stamped, newest)
         return self.context.now - rules.event_time(self.context.now, stamped)
 
 
 def newest_stamps(purges: list[ObjectsPurged]) -> dict[int, float]:
-    """The newest stamp of the purges with each number or a later one.
+    """Return {number: newest stamp of the purge with that number and those after it}.
 
-    A purge with an older stamp than one before it came after all clocks were set back: the stamps of those
-    before the step say nothing of when it was.
+    Stamps of earlier purges are not used: if a purge has an older stamp than one before it, the clocks were
+    set back between them, and the stamps from before the step do not help to date it.
     """
     newest = float("-inf")
     stamps = {}
--- a/brookhinge/engine/records.py
+++ b/brookhinge/engine/records.py
@@ -1,4 +1,4 @@
-"""The records that all concerns of the router's state share."""
+"""The records that the components of the router's state share."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Records:
-    """What the concerns read and change."""
+    """State that the components read and change."""
 
     context: RoundContext
     requests: RequestTable
--- a/brookhinge/engine/responses.py
+++ b/brookhinge/engine/responses.py
@@ -1,4 +1,4 @@
-"""Final responses: each open request ends exactly once, satisfied, rejected, failed or withdrawn."""
+"""Ends requests: each open request ends exactly once, satisfied, rejected, failed or withdrawn."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class FinalResponses:
-    """Ends requests, and the followers that wait for them."""
+    """Sends final responses and ends requests, along with the followers that wait for them."""
 
     def __init__(
         self,
@@ -36,15 +36,16 @@
         self.totals = records.totals
         self.scores = scores
 
-    # what servers respond
+    # Responses of servers.
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Take the response to an attempt, or what became of it, unless it was given up."""
+        """Handle the response to an attempt, or its failure; ignored if the attempt was canceled."""
         if not self.requests.has_attempt_out(event.request_id, event.attempt):
             return
         request = self.requests.open[event.request_id]
         result = event.result
-        if event.is_unchanged and not request.call.known_version:  # of a copy that the client does not hold
+        # "Unchanged" is an error if the client did not say that it holds a copy.
+        if event.is_unchanged and not request.call.known_version:
             result = AttemptResult.ERRORED
         is_final = result == AttemptResult.SATISFIED
         request.has_attempt_out = False
@@ -67,10 +68,10 @@
             self.clients.withdrawn.pop(request.call.client, None)
             self.respond(request, event.body, event.is_unchanged)
 
-    # the four ends of a request
+    # The four ways in which a request ends.
 
     def respond(self, request: OpenRequest, body: bytes, is_unchanged: bool) -> None:
-        """Respond to a request and its followers: they asked for the same and hold the same copy."""
+        """Respond to a request and its followers, which asked for the same and hold the same copy."""
         self.send_response(request, body, is_unchanged)
         for follower in self.coalescer.release_followers(request.request_id):
             self.send_response(follower, body, is_unchanged)
@@ -78,13 +79,13 @@
         self.end(request, Outcome.SATISFIED)
 
     def send_response(self, request: OpenRequest, body: bytes, is_unchanged: bool) -> None:
-        """Send one response."""
+        """Emit one response."""
         self.totals.counts["satisfied"] += 1
         call = request.call
         self.context.emit(effects.Respond(call.client, call.number, body, is_unchanged))
 
     def reject(self, request: OpenRequest, retry_after_s: float, reason: Refusal | None) -> None:
-        """Reject a request, and its followers with the same time to come back."""
+        """Reject a request and its followers, all with the same retry delay."""
         self.totals.counts["nacked"] += 1
         self.totals.refusals[reason] += 1
         self.context.trace("refused", request, reason=reason, retry_after_s=retry_after_s)
@@ -95,7 +96,7 @@
         self.end(request, Outcome.REJECTED)
 
     def fail(self, request: OpenRequest, reason: Refusal | None) -> None:
-        """Respond with an error."""
+        """Respond to a request with an error."""
         self.totals.counts["errored"] += 1
         self.totals.refusals[reason] += 1
         self.context.trace("failed", request, reason=reason)
@@ -103,12 +104,13 @@
         self.end(request, Outcome.FAILED)
 
     def withdraw(self, request: OpenRequest, reason: Withdrawal) -> None:
-        """End a request that no response is owed to any more.
+        """End a request that needs no response any more.
 
-        Its attempt is given up and the decisions hear of it. What they were to hear of it in this very round
-        is taken back or ends it, or they would send for a request that is over.
+        Its outstanding attempt is canceled and the decisions are informed. A message on the request that
+        waits in this round's inbox is removed, or marked as final if it is the end of an attempt. Otherwise
+        the decisions would send an attempt for a request that has ended.
         """
-        message = self.take_back_message(request.request_id)
+        message = self.remove_message(request.request_id)
         if message is None:
             self.attempts.cancel(request)
         elif isinstance(message, messages.AttemptEnded):
@@ -118,8 +120,8 @@
         self.context.trace("left", request, reason=reason)
         self.end(request, Outcome.WITHDRAWN)
 
-    def take_back_message(self, request_id: int) -> messages.RequestArrived | messages.AttemptEnded | None:
-        """Take the first message on a request out of the inbox of this round."""
+    def remove_message(self, request_id: int) -> messages.RequestArrived | messages.AttemptEnded | None:
+        """Remove and return the first message on a request in this round's inbox, or return None."""
         for i, message in enumerate(self.context.inbox):
             is_of_request = isinstance(message, (messages.RequestArrived, messages.AttemptEnded))
             if is_of_request and message.request_id == request_id:
@@ -127,19 +129,19 @@
         return None
 
     def end(self, request: OpenRequest, outcome: Outcome) -> None:
-        """Close the books on a request; followers without a response go on by themselves."""
+        """Remove an ended request from all records; followers without a response are handled on their own."""
         self.requests.remove(request.request_id)
         call = request.call
         if self.scores is not None:
             took_s = self.context.now - call.received_at
-            self.scores.ended(request.request_class, call.size_kb, took_s, outcome)
-        self.coalescer.ended(request, outcome)
+            self.scores.record(request.request_class, call.size_kb, took_s, outcome)
+        self.coalescer.on_request_ended(request, outcome)
         for follower in self.coalescer.release_followers(request.request_id):
-            self.restart(follower)
+            self.readmit(follower)
         self.clients.remove_request(call.client, call.number)
 
-    def restart(self, follower: OpenRequest) -> None:
-        """Handle a follower by itself, or let it follow another that was released with it."""
+    def readmit(self, follower: OpenRequest) -> None:
+        """Handle a released follower on its own, or coalesce it with another one that was released before."""
         follower.leader = None
         if self.coalescer.has_time_left(follower):
             self.coalescer.admit(follower, follower.arrival)
@@ -148,7 +150,7 @@
 
 
 def stored_copy(event: AttemptEnded) -> messages.StoredCopy | None:
-    """The copy that a response brought, where its age can be told."""
+    """Return the copy in a response, or None if there is none or its age is unknown or implausible."""
     if event.is_unchanged or event.dated_at is None:
         return None
     if not rules.stamp_is_plausible(event.received_at, event.dated_at):
--- a/brookhinge/engine/round_context.py
+++ b/brookhinge/engine/round_context.py
@@ -1,4 +1,4 @@
-"""What one round of the router's state has gathered so far."""
+"""Data of the current round of the router's state."""
 
 from brookhinge.engine.effects import Effect, WriteLog, WriteTrace
 from brookhinge.engine.open_requests import OpenRequest
@@ -8,19 +8,19 @@
     """The time of the current round, its effects, and its messages for the decisions.
 
     Attributes:
-        now: Seconds since the start.
-        effects: What is to be done, in order.
-        facts: Messages that the decisions hear before all requests and ends of attempts of the round.
-        inbox: Those messages, in order.
-        bodies: {request: (body, tag)} of the requests that had a response in this round.
-        is_shutting_down: Whether the process has begun to end: nothing is sent any more.
-        is_traced: Whether the steps of requests are written to the trace.
+        now: Time of the round, in seconds since the start.
+        effects: The round's effects, in order.
+        state_updates: Messages on servers, purges and limits, which the decisions process before the inbox.
+        inbox: Messages on requests and ended attempts for the decisions, in order.
+        bodies: {request id: (body, version tag)} of requests that got a server's response in this round.
+        is_shutting_down: Whether shutdown has begun, after which no attempts are sent.
+        is_traced: Whether steps of requests are written to the trace.
     """
 
     def __init__(self, *, is_traced: bool) -> None:
         self.now = 0.0
         self.effects: list[Effect] = []
-        self.facts: list[tuple] = []
+        self.state_updates: list[tuple] = []
         self.inbox: list[tuple] = []
         self.bodies: dict[int, tuple[bytes, bytes | None]] = {}
         self.is_shutting_down = False
@@ -30,7 +30,7 @@
         """Begin a round."""
         self.now = now
         self.effects = []
-        self.facts = []
+        self.state_updates = []
         self.inbox = []
         self.bodies = {}
 
@@ -39,10 +39,10 @@
         self.effects.append(effect)
 
     def log(self, event: str, **values: object) -> None:
-        """Write an event to the log."""
+        """Add an effect that logs an event."""
         self.effects.append(WriteLog(event, values))
 
     def trace(self, step: str, request: OpenRequest, **values: object) -> None:
-        """Write a step of a request to the trace, where that is on."""
+        """Add an effect that traces a step of a request, if tracing is on."""
         if self.is_traced:
             self.effects.append(WriteTrace(step, request.call.client_request_id.decode(), values))
--- a/brookhinge/engine/router_state.py
+++ b/brookhinge/engine/router_state.py
@@ -1,9 +1,9 @@
-"""All state of the router on sockets, changed in one place: (now, events) -> effects. No I/O, no clock.
+"""All state of a router that serves real sockets, as a reducer: (now, events) -> effects. No I/O, no clock.
 
-Each concern has a class of its own in this package; here they are joined. A round applies the events, gives
-up attempts whose time is over, and lets the decisions process what follows: their decisions become effects.
-What is sent and responded is checked against a record of its own just before (`invariants.py`). Times are
-seconds since the router's start. Nothing here knows of any wire.
+Combines the components of this package. A round applies the events, cancels attempts that have timed out, and
+passes the resulting messages to the decisions, whose decisions become effects. Attempts and responses are
+checked against an independent record before they are emitted (`invariants.py`). Times are seconds since the
+start of the router. No wire formats are used here.
 """
 
 from __future__ import annotations
@@ -39,25 +39,31 @@
     from brookhinge.membership.safety_notices import SafetyNotices
     from brookhinge.overload.retry_lineage import RetryLineage
 
-PURGES_KEPT_S = 1.0  # beyond the time after which the settings take an old copy to be gone
+PURGE_RETENTION_MARGIN_S = 1.0  # added to the time after which, by the settings, no purged copy is left
 
 
 class RouterState:
-    """The router's state and the decisions that work on it.
+    """The router's state, and the decisions that are made on it.
 
     Attributes:
-        decisions: The router of the decisions.
+        decisions: Makes the routing decisions.
         requests: Open requests.
-        clients: Clients' connections.
-        coalescer: Requests that wait for the response to another.
+        clients: Records of client connections.
+        coalescer: Requests that wait for the response to another one.
+        attempts: Outstanding attempts.
+        responses: Ends requests.
+        client_events: Handles client events.
+        purges: Records purges.
         endpoints: The endpoint list.
-        commands: The commands of the command channel, up to its cursor.
-        fleet: What is exchanged with the fleet.
-        sink: What carries out decisions.
-        invariants: The record that acts are checked against.
-        totals: What became of requests.
+        commands: Handles commands of the command channel; holds its cursor.
+        fleet: Handles events of the fleet and reports to it.
+        sink: Converts decisions to effects.
+        invariants: Checks attempts and responses.
+        totals: Counters since the start.
         scores: Outcomes by request class, or None.
-        context: What the current round has gathered.
+        context: Data of the current round.
+        handlers: {event class: its handler}.
+        current_input: The event or message that is being processed, or None.
     """
 
     def __init__(
@@ -71,16 +77,16 @@
         scores: Scores | None = None,
         is_traced: bool = False,
     ) -> None:
-        """Join the concerns.
+        """Create the components.
 
         Args:
-            decisions: The router of the decisions.
+            decisions: Makes the routing decisions.
             class_names: Names of the request classes, by index.
             zones: Names of the zones, by index.
-            lineage: Recognizes clients' retries; None: none are recognized.
-            safety_notices: What peers have notified; None: there are no peers.
+            lineage: Recognizes clients' retries; None if they are not recognized.
+            safety_notices: Notices exchanged with peers; None if there are no peers.
             scores: Counts outcomes by request class, or None.
-            is_traced: Whether each step of each request is an effect `WriteTrace`.
+            is_traced: Whether to emit a `WriteTrace` effect for each step of each request.
         """
         self.decisions = decisions
         self.scores = scores
@@ -88,8 +94,8 @@
         self.requests = RequestTable()
         self.clients = ClientTable()
         self.totals = Totals()
-        purge_kept_s = decisions.purges.settled_s + PURGES_KEPT_S
-        self.invariants = Invariants(purge_kept_s, decisions.slow_start_bound)
+        purge_retention_s = decisions.purges.settled_s + PURGE_RETENTION_MARGIN_S
+        self.invariants = Invariants(purge_retention_s, decisions.slow_start_bound)
         records = Records(self.context, self.requests, self.clients, self.invariants, self.totals)
         self.coalescer = RequestCoalescer(records, lineage=lineage)
         self.attempts = AttemptTracker(records)
@@ -123,10 +129,10 @@
             endpoints=self.endpoints,
         )
         self.handlers = self.event_handlers()
-        self.current: events.Event | tuple | None = None  # the event or message that is handled
+        self.current_input: events.Event | tuple | None = None
 
     def event_handlers(self) -> dict[type[events.Event], Callable]:
-        """The handler of each class of events."""
+        """Return the handler for each event class."""
         return {
             events.ClientConnected: self.client_events.on_connected,
             events.ClientDisconnected: self.client_events.on_disconnected,
@@ -146,19 +152,19 @@
             events.ShutdownBegan: self.on_shutdown,
         }
 
-    # a round
+    # Rounds.
 
     def reduce(self, now: float, posted: Sequence[events.Event], is_caught_up: bool = True) -> list[Effect]:
-        """Run one round: the posted events, then the timers that have expired, then the decisions.
+        """Run one round: apply posted events, then expired timers, then the decisions.
 
         Args:
             now: Seconds since the start.
             posted: Events since the last round.
-            is_caught_up: Whether every purge notified before this moment may be taken to be known; else no
-                copy of the router's own is a response.
+            is_caught_up: Whether all purges sent before now can be assumed to be known. If not, the router's
+                own copies are not used as responses.
 
         Returns:
-            What is to be done, in order.
+            The effects to carry out, in order.
         """
         self.decisions.knows_all_purges = is_caught_up
         self.context.begin(now)
@@ -176,45 +182,45 @@
         return self.context.effects
 
     def apply(self, posted: Iterable[events.Event]) -> None:
-        """Apply events; an exception costs the request of its event, not the router."""
-        for self.current in posted:
+        """Apply events; an exception fails only the request of the event, not the router."""
+        for self.current_input in posted:
             try:
-                self.handlers[type(self.current)](self.current)
+                self.handlers[type(self.current_input)](self.current_input)
             except Exception as error:
                 self.on_exception(error)
 
     def decide(self) -> None:
         """Let the decisions process the messages of this round.
 
-        An exception costs the request that it came up with; the decisions go on with the next message.
+        An exception fails only the request of the message; the decisions continue with the next message.
         """
-        # The inbox itself, no copy: ending a request here may add messages on it and its followers.
-        inbox = self.iterate(itertools.chain(self.context.facts, self.context.inbox))
+        # Iterates over the inbox itself, not a copy: a request that ends here may add messages to it.
+        inbox = self.iterate_inbox(itertools.chain(self.context.state_updates, self.context.inbox))
         while True:
             try:
                 self.decisions.process(self.context.now, inbox, self.sink)
                 return
             except Exception as error:
                 self.on_exception(error)
-                if self.current is None:
+                if self.current_input is None:
                     return
 
-    def iterate(self, inbox: Iterable[tuple]) -> Iterator[tuple]:
-        """Yield messages for the decisions; `current` is the one that they are at."""
-        for self.current in inbox:
-            yield self.current
-        self.current = None
+    def iterate_inbox(self, inbox: Iterable[tuple]) -> Iterator[tuple]:
+        """Yield messages for the decisions; keep the one being processed in `current_input`."""
+        for self.current_input in inbox:
+            yield self.current_input
+        self.current_input = None
 
     def next_at(self) -> float | None:
-        """When the next attempt or follower runs out of time, or None."""
+        """Return the time at which the next attempt or follower times out, or None."""
         times = (self.attempts.next_at(), self.coalescer.next_at())
         return min((at for at in times if at is not None), default=None)
 
-    # exceptions
+    # Exceptions.
 
     def on_exception(self, error: Exception) -> None:
-        """Log an exception, and fail the request that it came up with."""
-        step, request_id = self.current_step()
+        """Log an exception, and fail the request that was being processed."""
+        step, request_id = self.describe_current_input()
         if isinstance(error, InvariantError):
             self.sink.log_violation(request_id, error.violation)
         else:
@@ -223,13 +229,14 @@
             self.sink.log(f"{type(error).__name__}: {error} ({place}) in {step}")
         request = self.requests.open.get(request_id)
         if request is not None:
-            if not self.attempts.cancel(request):  # else the decisions still have to count what was out
+            # With an outstanding attempt, the decisions still need the request to count the attempt's end.
+            if not self.attempts.cancel(request):
                 self.decisions.forget_request(request_id)
             self.responses.fail(request, Refusal.FAULT)
 
-    def current_step(self) -> tuple[str, int | None]:
-        """The name of what is handled, and the request that it is of, or None."""
-        if self.current is None:
+    def describe_current_input(self) -> tuple[str, int | None]:
+        """Return the class name of the input being processed, and the id of its request or None."""
+        if self.current_input is None:
             return "round", None
         of_request = (
             events.AttemptEnded,
@@ -237,24 +244,28 @@
             messages.AttemptEnded,
             messages.RequestWithdrawn,
         )
-        request_id = self.current.request_id if isinstance(self.current, of_request) else None
-        return type(self.current).__name__, request_id
+        request_id = self.current_input.request_id if isinstance(self.current_input, of_request) else None
+        return type(self.current_input).__name__, request_id
 
-    # the process
+    # Shutdown.
 
     def on_shutdown(self, _event: events.ShutdownBegan) -> None:
-        """Fail what is open: nothing more is decided, and what is read later is rejected."""
+        """Fail all open requests; no more decisions are made, and requests read later are rejected."""
         self.context.is_shutting_down = True
         self.context.inbox.clear()
-        self.coalescer.followers.clear()  # each has its own error
+        self.coalescer.followers.clear()  # followers fail on their own, like all open requests
         for request in list(self.requests.open.values()):
             self.attempts.cancel(request)
             self.responses.fail(request, Refusal.STOPPING)
 
-    # what connections ask
+    # Queries of connections.
 
     def hold_reason(self, request_id: int, attempt: int) -> HeldBack | None:
-        """Why a decided attempt may not be written now, by what was received since; None: it may."""
+        """Return why a decided attempt must not be written any more, or None if it may be.
+
+        Events since the decision can make it invalid: the end of the request, a purge, a change of the server
+        or fill source, or a shutdown.
+        """
         if not self.requests.has_attempt_out(request_id, attempt):
             return HeldBack.CLIENT_GONE
         request = self.requests.open[request_id]
@@ -266,6 +277,6 @@
         return HeldBack.CHANGED if self.context.is_shutting_down or is_purged or not may_send else None
 
     def client_and_number(self, request_id: int) -> tuple[int, int]:
-        """The client of an open request, and the number of its call."""
+        """Return the client of an open request, and its call number."""
         call = self.requests.open[request_id].call
         return call.client, call.number
--- a/brookhinge/engine/scheduler.py
+++ b/brookhinge/engine/scheduler.py
@@ -1,7 +1,7 @@
 """Schedules events and effects on an asyncio loop.
 
-Sources post events, registered handlers carry effects out. Nothing here knows what an event or an effect
-means; effects find their handlers by class.
+Sources post events, and registered handlers carry out effects. The scheduler does not depend on the meaning
+of events or effects; the handler of an effect is found by its class.
 """
 
 import asyncio
@@ -12,46 +12,52 @@
 from brookhinge.engine.events import Event
 from brookhinge.engine.loop_watch import LoopWatch, Stall
 
-# Passes of the loop until what can be read now has been posted: select, read, wake the reader.
-READ_PASSES = 3
-# Events that waited so long for their round: the loop stood still, and more may have come meanwhile.
-LATE_S = 0.02
-# An effect that is carried out so long after its decision is stale: the process was stopped meanwhile.
-STALE_S = 0.1
-# After a stall: the longest time for which nothing is sent while it is unknown what was notified meanwhile.
-CATCH_UP_S = 0.1
+# Loop iterations until data that is readable now has been posted as events: select, read, wake the reader.
+READ_ITERATIONS = 3
+# If events waited longer than this for their round, the loop was delayed and more data may be readable.
+LATE_EVENT_S = 0.02
+# An effect carried out later than this after its decision is stale: the process was stopped in between.
+STALE_EFFECT_S = 0.1
+# Longest time after a stall to wait for notices sent during it before all of them are assumed to be known.
+MAX_CATCH_UP_S = 0.1
 
 
 class State(Protocol):
-    """What the scheduler drives: `brookhinge.engine.router_state.RouterState`."""
+    """The interface of the state that the scheduler drives, as implemented by `RouterState`."""
 
     def reduce(self, now: float, events: list[Event], is_caught_up: bool) -> list[Effect]:
-        """Apply events; what is to be done about them."""
+        """Apply events; return the effects to carry out."""
 
     def next_at(self) -> float | None:
-        """When the next timer expires."""
+        """Return the time at which the next timer expires, or None."""
 
 
 class EffectHandler(NamedTuple):
-    """What carries out the effects of one class."""
+    """The functions that handle the effects of one class."""
 
     handle: Callable[[Effect], None]
-    on_failed: Callable[[Effect], None] | None  # called after `handle` has raised
-    on_stale: Callable[[Effect], bool] | None  # returns whether it has dealt with a stale effect
+    on_failed: Callable[[Effect], None] | None  # called after `handle` raised an exception
+    on_stale: Callable[[Effect], bool] | None  # called with a stale effect; returns whether it was handled
 
 
 class EventScheduler:
-    """Runs one round of the state a pass of the loop.
+    """Runs at most one round of the state for each iteration of the event loop.
 
-    What is posted during one pass is one round. Before `open` events are kept for the first one. After a
-    stall nothing is decided until what lay unread has been read: a response that is read first is not the
-    last word. Responses that are due go out then; what needs to know what others notified waits for
-    `is_caught_up`.
+    Events posted during one iteration form one round; events posted before `open` wait for the first round.
+    After a stall, rounds wait until all unread data has been read, because what is read first may be
+    superseded by what is read later. Due responses are sent then; decisions that depend on the notices of
+    others also wait for `is_caught_up`.
 
     Attributes:
         events: Events that wait for their round.
-        before_round: Called before each round; what they post goes before all else.
-        catching_up_since: The end of the last stall while not all that lay there has been read, else None.
+        handlers: {effect class: its handler}.
+        before_round: Functions called before each round; the events that they post are applied first.
+        catching_up_since: End of the last stall while data from it may be unread, else None.
+        is_open: Whether rounds may run.
+        round_is_due: Whether a round is scheduled.
+        posted_at: When the first event of the next round was posted.
+        timer: The loop's timer for `timer_at`, or None.
+        timer_at: When the next timer of the state expires, or None.
     """
 
     def __init__(
@@ -61,13 +67,13 @@
         log: Callable[..., None],
         is_current: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Join a state to the loop.
+        """Create a scheduler for a state.
 
         Args:
             state: The state that events are applied to.
-            watch: The watch of the loop.
+            watch: Detects stalls of the loop.
             log: Called as log(event, **values).
-            is_current: Whether what others notified during the last stall is known.
+            is_current: Returns whether all notices that others sent during the last stall are known.
         """
         self.state = state
         self.watch = watch
@@ -80,7 +86,7 @@
         self.catching_up_since: float | None = None
         self.is_open = False
         self.round_is_due = False
-        self.posted_at = 0.0  # the first event of the next round
+        self.posted_at = 0.0
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at: float | None = None
         watch.listeners.append(self.on_stall)
@@ -91,18 +97,18 @@
         on_failed: Callable[[Effect], None] | None = None,
         on_stale: Callable[[Effect], bool] | None = None,
     ) -> None:
-        """Register handlers by class of effect.
+        """Register handlers by effect class.
 
         Args:
-            handlers: What carries out the effects of each class.
-            on_failed: Called with an effect whose handler has raised.
-            on_stale: Called with an effect that comes long after its decision; returns whether that was all,
-                else the effect is handled as ever.
+            handlers: {effect class: function that carries out its effects}.
+            on_failed: Called with an effect whose handler raised an exception.
+            on_stale: Called with a stale effect; returns whether it was handled. If not, the effect goes to
+                its normal handler.
         """
         for kind, handle in handlers.items():
             self.handlers[kind] = EffectHandler(handle, on_failed, on_stale)
 
-    # posting
+    # Posting events.
 
     def post(self, event: Event) -> None:
         """Add an event to the next round."""
@@ -113,83 +119,84 @@
             asyncio.get_running_loop().call_soon(self.start_round)
 
     def has_posted(self, *kinds: type[Event]) -> bool:
-        """Whether an event of one of these classes waits for its round."""
+        """Return whether an event of one of these classes waits for its round."""
         return any(isinstance(event, kinds) for event in self.events)
 
     def open(self) -> None:
-        """Run the first round: what is known at the start comes before the first request."""
+        """Run the first round, which applies the events known at the start before any request."""
         self.is_open = True
         self.run_round()
 
     def finish(self) -> None:
-        """Run the round that is due, if there is one: the process ends."""
+        """Run the round that is due, if any, before the process ends."""
         if self.round_is_due:
             self.run_round()
 
-    # when a round may run
+    # Scheduling rounds.
 
     def start_round(self) -> None:
         """Run the round that is due.
 
-        Where the loop stood still it waits: a client may have gone, a list changed.
+        If the loop was delayed, first wait for unread data, such as a closed client connection or a changed
+        endpoint list.
         """
         self.watch.turned()
-        if self.now() - self.posted_at > LATE_S:
-            self.run_round_after(READ_PASSES)
+        if self.now() - self.posted_at > LATE_EVENT_S:
+            self.run_round_after(READ_ITERATIONS)
         else:
             self.run_round_unless_catching_up()
 
-    def run_round_after(self, passes: int) -> None:
-        """Run a round once what has come by now on any socket is read: in so many passes."""
-        if passes:
-            asyncio.get_running_loop().call_soon(self.run_round_after, passes - 1)
+    def run_round_after(self, iterations: int) -> None:
+        """Run a round after a number of loop iterations, in which data readable now is read."""
+        if iterations:
+            asyncio.get_running_loop().call_soon(self.run_round_after, iterations - 1)
         else:
             self.watch.turned()
             self.run_round_unless_catching_up()
 
     def run_round_unless_catching_up(self) -> None:
-        """Run the round that is due; while catching up it runs at the end of that."""
+        """Run the round that is due; while catching up, `catch_up` runs it at its end instead."""
         if self.catching_up_since is None:
             self.run_round()
 
     def is_catching_up(self) -> bool:
-        """Whether the loop stood still and not all that lay there is read.
+        """Return whether data from a stall may still be unread.
 
-        Until then no expired timer means anything.
+        Until it is read, an expired timer does not show that nothing came in time.
         """
         self.watch.turned()
         return self.catching_up_since is not None
 
     def is_caught_up(self) -> bool:
-        """Whether all that came during the last stall is known, or cannot be waited for any longer."""
+        """Return whether all notices sent during the last stall are known, or are no longer waited for."""
         if self.is_catching_up():
             return False
         stall = self.watch.last
-        return stall is None or self.now() - stall.ended_at >= CATCH_UP_S or self.is_current()
+        return stall is None or self.now() - stall.ended_at >= MAX_CATCH_UP_S or self.is_current()
 
     def on_stall(self, stall: Stall) -> None:
-        """Begin to catch up; called by the watch."""
+        """Start to catch up after a stall; called by the watch."""
         was_catching_up = self.catching_up_since is not None
         self.catching_up_since = stall.ended_at
         if not was_catching_up:
-            self.catch_up(READ_PASSES, stall.ended_at)
+            self.catch_up(READ_ITERATIONS, stall.ended_at)
 
-    def catch_up(self, passes: int, since: float) -> None:
-        """Wait until what lay unread at `since` is read; begin again if the loop stood still once more."""
+    def catch_up(self, iterations: int, since: float) -> None:
+        """Wait until data that was unread at `since` has been read; start over after another stall."""
         self.watch.turned()
         if since != self.catching_up_since:
-            self.catch_up(READ_PASSES, self.catching_up_since)
-        elif passes:
-            asyncio.get_running_loop().call_soon(self.catch_up, passes - 1, since)
+            self.catch_up(READ_ITERATIONS, self.catching_up_since)
+        elif iterations:
+            asyncio.get_running_loop().call_soon(self.catch_up, iterations - 1, since)
         else:
             self.catching_up_since = None
             if self.round_is_due:
                 self.run_round()
 
-    # rounds
+    # Running rounds.
 
     def run_round(self) -> None:
-        """Apply what was posted and carry out what follows."""
+        """Apply the posted events and carry out the resulting effects."""
         self.round_is_due = False
         events = self.events
         self.events = []
@@ -200,27 +207,27 @@
         effects = self.state.reduce(self.now(), events, self.is_caught_up())
         decided_at = self.now()
         for effect in effects:
-            self.carry_out(effect, decided_at)
+            self.run_effect(effect, decided_at)
         self.set_timer()
 
-    def carry_out(self, effect: Effect, decided_at: float) -> None:
-        """Carry out an effect; one that fails is logged and costs its request or client alone."""
+    def run_effect(self, effect: Effect, decided_at: float) -> None:
+        """Carry out an effect; a failure is logged and affects only the effect's request or client."""
         handler = self.handlers[type(effect)]
         try:
             if (
                 handler.on_stale is not None
-                and self.now() - decided_at > STALE_S
+                and self.now() - decided_at > STALE_EFFECT_S
                 and handler.on_stale(effect)
             ):
                 return
             handler.handle(effect)
-        except Exception as fault:
-            self.log("fault", where=type(effect).__name__, why=f"{type(fault).__name__}: {fault}")
+        except Exception as error:
+            self.log("fault", where=type(effect).__name__, why=f"{type(error).__name__}: {error}")
             if handler.on_failed is not None:
                 handler.on_failed(effect)
 
     def set_timer(self) -> None:
-        """Set the loop's timer to the next timer of the state."""
+        """Schedule the loop's timer for the next timer of the state."""
         at = self.state.next_at()
         if at == self.timer_at:
             return
@@ -232,9 +239,12 @@
             self.timer = asyncio.get_running_loop().call_later(max(0.0, at - self.now()), self.on_timer)
 
     def on_timer(self) -> None:
-        """Run a round for an expired timer; a response or its client's end that has come goes first."""
+        """Run a round for an expired timer, after reading data that is readable now.
+
+        A response, or the close of a client connection, that has arrived is then applied before the timer.
+        """
         self.timer = None
         self.timer_at = None
         if not self.round_is_due:
             self.round_is_due = True
-            self.run_round_after(READ_PASSES)
+            self.run_round_after(READ_ITERATIONS)
--- a/brookhinge/engine/scores.py
+++ b/brookhinge/engine/scores.py
@@ -1,4 +1,4 @@
-"""Outcomes of requests by class, as totals since the start, for comparing routers. No I/O, no clock."""
+"""Totals of request outcomes by class since the start, for comparing routers. No I/O, no clock."""
 
 from collections.abc import Sequence
 
@@ -10,23 +10,35 @@
     """Totals by figure.
 
     Attributes:
-        totals: {figure: (requests, sum)}. "worth" counts 1 for a response within the latency objective and
-            the class's late share after it; the names of the figures are those of the log.
+        totals: {figure name in the log: (requests, sum)}. "worth" counts 1 for a response within the latency
+            objective, and the late share of the request class for a later response.
     """
 
     def __init__(self, classes: Sequence[RequestClass], flow_kb_s: float) -> None:
-        """Count for these classes; `flow_kb_s` is the pace of a transfer to a client, 0: unknown."""
+        """Start with empty totals.
+
+        Args:
+            classes: Settings of the request classes, by index.
+            flow_kb_s: Transfer rate to a client in KB/s; 0 if unknown.
+        """
         self.classes = classes
         self.flow_kb_s = flow_kb_s
         self.totals: dict[str, tuple[int, float]] = {}
 
-    def ended(self, request_class: int, size_kb: float, took_s: float, outcome: Outcome) -> None:
-        """Count a request of the class with that index that ended; a withdrawn one counts for nothing."""
+    def record(self, request_class: int, size_kb: float, took_s: float, outcome: Outcome) -> None:
+        """Count an ended request; withdrawn requests are not counted.
+
+        Args:
+            request_class: Index of the request class.
+            size_kb: Size of the object in KB.
+            took_s: Seconds from receipt of the request to its end.
+            outcome: How the request ended.
+        """
         if outcome is Outcome.WITHDRAWN:
             return
         settings = self.classes[request_class]
-        sending_s = size_kb / self.flow_kb_s if self.flow_kb_s else 0.0
-        objective_s = settings.latency_objective_s + settings.objective_stretch * sending_s
+        transfer_s = size_kb / self.flow_kb_s if self.flow_kb_s else 0.0
+        objective_s = settings.latency_objective_s + settings.objective_stretch * transfer_s
         satisfied = outcome is Outcome.SATISFIED
         in_time = took_s <= objective_s
         worth = 0.0
--- a/brookhinge/engine/totals.py
+++ b/brookhinge/engine/totals.py
@@ -1,10 +1,10 @@
-"""Totals since the start, as the log reports them."""
+"""Counters since the start of the router, as reported in the log."""
 
 import collections
 
 from brookhinge.decisions.rules import AttemptResult, Refusal, Withdrawal
 
-# The names are those of the log.
+# Names of the counters in the log.
 COUNTS = (
     "queries",
     "satisfied",
@@ -20,13 +20,13 @@
 
 
 class Totals:
-    """What became of requests.
+    """Counters of requests and attempts.
 
     Attributes:
-        counts: Requests received, their outcomes, attempts and retries, under the names of the log.
-        refusals: Requests that were rejected or failed, by reason.
-        retries: Further attempts, by the result of the one before.
-        withdrawals: Requests that no response is owed to any more, by reason.
+        counts: Requests, their outcomes, attempts and clients' retries, by their names in the log.
+        refusals: Rejected or failed requests, by reason.
+        retries: Attempts after the first of a request, by the result of the previous attempt.
+        withdrawals: Withdrawn requests, by reason.
     """
 
     def __init__(self) -> None:
--- a/brookhinge/engine/trace.py
+++ b/brookhinge/engine/trace.py
@@ -1,8 +1,8 @@
-"""The trace: one JSON line for each step of each request and connection, in a file that the operator names.
+"""Writes the trace: one JSON line for each step of each request and connection.
 
-`BROOKHINGE_TRACE` names the file; without it nothing is traced. A request is followed by its `ref`, a
-client's connection by its number `client`. Lines are written as they come and are not limited in number: a
-trace is for finding a fault, not for service.
+`BROOKHINGE_TRACE` names the file; if it is not set, nothing is traced. Steps of a request share its `ref`,
+steps of a client connection its `client` number. Lines are written immediately and without a rate limit: the
+trace is meant for debugging, not for production.
 """
 
 import io
@@ -12,25 +12,25 @@
 
 
 class Trace:
-    """Appends steps to a file; a write that fails ends the trace, never the router."""
+    """Appends steps to a file; a failed write ends the trace, but not the router."""
 
     def __init__(self, path: str, name: str, process: int) -> None:
         """Open the file.
 
         Args:
-            path: The file, appended to.
+            path: Path of the file to append to.
             name: The router's name.
-            process: The process id: it tells two starts under one name apart.
+            process: The process id, which distinguishes two runs of a router with the same name.
 
         Raises:
-            OSError: The file cannot be opened.
+            OSError: The file could not be opened.
         """
         self.name = name
         self.process = process
         self.file = io.FileIO(path, "ab")
 
     def __call__(self, step: str, ref: str | None = None, **values: object) -> None:
-        """Write one step, of the request with the client's id `ref` or of a connection."""
+        """Write one step of a connection, or of the request with the client's id `ref`."""
         if self.file is None:
             return
         line = {"steady": time.monotonic(), "router": self.name, "pid": self.process, "step": step}
--- a/tests/engine/test_log.py
+++ b/tests/engine/test_log.py
@@ -43,4 +43,4 @@
     log, reader = piped()
     os.close(reader)
     log("tick")
-    assert log.written["tick"][2] == 0
+    assert log.line_counts["tick"][2] == 0
--- a/tests/engine/test_router_state.py
+++ b/tests/engine/test_router_state.py
@@ -98,13 +98,13 @@
         )
 
     for bad, why in (
-        ((call(1), call(1, b"z")), "the number 1 again"),
-        ((call(-1),), "the number -1 again"),
-        ((call(1, b"r"), call(2, b"r")), "an id that is open"),
-        ([call(n) for n in range(1, 40)], "over 32 queries open"),
+        ((call(1), call(1, b"z")), "call number 1 is not higher than the previous one"),
+        ((call(-1),), "call number -1 is not higher than the previous one"),
+        ((call(1, b"r"), call(2, b"r")), "request id is already open"),
+        ([call(n) for n in range(1, 40)], "more than 32 requests open"),
         (
             [e for n in range(1, 35) for e in (call(n), RequestCancelled(1, n))],
-            "33 queries withdrawn and none satisfied",
+            "33 requests withdrawn and none satisfied",
         ),
     ):
         d = Desk(tmp_path)
