--- a/benchmarks/soak/witness.py
+++ b/benchmarks/soak/witness.py
@@ -184,7 +184,7 @@
 
     def __init__(self, spec, record, chance):
         self.record, self.chance, self.serial = record, chance, 0
-        self.watch = LoopWatch(time.monotonic, blind_s=LAG_S)
+        self.watch = LoopWatch(time.monotonic, min_gap_s=LAG_S)
         self.fronts = {
             server: ClientConnections(self, server, port, upstream)
             for server, (port, upstream) in spec["fronts"].items()
@@ -199,11 +199,11 @@
         """This process has no processor at times, too: what it reads then may have come before."""
         while True:
             await asyncio.sleep(LAG_S / 2)
-            self.watch.turned()
+            self.watch.record_iteration()
 
     def lagged_from(self, at):
         """Since when this process had no processor, until just now and not before `at`; None: it read at once."""
-        self.watch.turned()
+        self.watch.record_iteration()
         edge, since = time.monotonic() - 2 * LAG_S, None
         for began, ended in reversed(self.watch.gaps):
             if ended < edge:
--- a/brookhinge/emulator/simulated_fleet.py
+++ b/brookhinge/emulator/simulated_fleet.py
@@ -111,7 +111,7 @@
                     OutlierDetection(
                         context,
                         routers=lambda: routers,
-                        own_totals=state.fleet.seen,
+                        own_totals=state.fleet.attempt_totals,
                         servers=lambda own=own: len(own.local_caches),
                         now=0.0,
                     ),
--- a/brookhinge/engine/decision_sink.py
+++ b/brookhinge/engine/decision_sink.py
@@ -60,7 +60,7 @@
         request = self.requests.open.get(request_id)
         if request is None or self.context.is_shutting_down:
             detail = f"attempt for request {request_id} after it ended or after shutdown began"
-            raise InvariantError(self.invariants.violated(Invariant.AFTER_END, detail))
+            raise InvariantError(self.invariants.record_violation(Invariant.AFTER_END, detail))
         self.check_attempt(request, attempt)
         deadline = min(attempt.deadline, request.deadline)
         if request.attempts:
@@ -139,7 +139,7 @@
             self.responses.reject(request, retry_after_s, reason)
             return
         detail = f"rejection would invite a retry of a {request_class.idempotency} request that may have run"
-        self.log_violation(request_id, self.invariants.violated(Invariant.EFFECT_TWICE, detail))
+        self.log_violation(request_id, self.invariants.record_violation(Invariant.EFFECT_TWICE, detail))
         self.responses.fail(request, reason)
 
     def fail(self, request_id: int, reason: Refusal | None = None) -> None:
@@ -190,7 +190,7 @@
         request = self.requests.open.get(request_id)
         if request is None:
             detail = f"second final response to request {request_id}"
-            raise InvariantError(self.invariants.violated(Invariant.ONE_ANSWER, detail))
+            raise InvariantError(self.invariants.record_violation(Invariant.ONE_ANSWER, detail))
         return request
 
     def class_of(self, request: OpenRequest) -> RequestClass:
--- a/brookhinge/engine/fleet_events.py
+++ b/brookhinge/engine/fleet_events.py
@@ -111,7 +111,7 @@
             for kind, server, started_at, *demand in self.decisions.demand(self.context.now)
         ]
 
-    def seen(self) -> dict[tuple[str, int], tuple[float, float]]:
+    def attempt_totals(self) -> dict[tuple[str, int], tuple[float, float]]:
         """Return {(server, start in ms): (attempts, failures)} of caches since this process started."""
         return {
             (server, self.safety_notices.stamp(started_at)): (attempts, failures)
--- a/brookhinge/engine/invariants.py
+++ b/brookhinge/engine/invariants.py
@@ -161,7 +161,7 @@
         """Return whether a server may get new attempts or be a fill source."""
         return rules.may_send_to(self.server_record(server).state)
 
-    def violated(self, invariant: Invariant, detail: str) -> Violation:
+    def record_violation(self, invariant: Invariant, detail: str) -> Violation:
         """Count and return a violation."""
         self.violations[invariant] += 1
         return Violation(invariant, detail)
@@ -172,16 +172,20 @@
         """Return the violation that an attempt would cause, after counting it; None if it may be sent."""
         record = self.server_record(attempt.server)
         if request.has_attempt_out:
-            return self.violated(Invariant.ONE_ATTEMPT, f"an attempt is outstanding at {request.server}")
+            return self.record_violation(
+                Invariant.ONE_ATTEMPT, f"an attempt is outstanding at {request.server}"
+            )
         for server in {attempt.server, attempt.fill_from}:
             if not self.may_send_to(server):
-                return self.violated(Invariant.DRAIN, f"{server} is {self.server_record(server).state}")
+                return self.record_violation(
+                    Invariant.DRAIN, f"{server} is {self.server_record(server).state}"
+                )
         if not rules.may_repeat(request_class, request.first_ran, record.zone, record.cell, now):
             detail = f"{request_class.idempotency} request may already have run: {request.first_ran}"
-            return self.violated(Invariant.EFFECT_TWICE, detail)
+            return self.record_violation(Invariant.EFFECT_TWICE, detail)
         if attempt.left_s <= 0.0 or not rules.deadline_is_honest(attempt.timeout_s, attempt.left_s):
             detail = f"timeout of {attempt.timeout_s:.3f} s with {attempt.left_s:.3f} s left to the client"
-            return self.violated(Invariant.DEADLINE, detail)
+            return self.record_violation(Invariant.DEADLINE, detail)
         return self.check_copy(now, request, attempt) or self.check_slow_start(now, attempt)
 
     def check_copy(self, now: float, request: OpenRequest, attempt: PlannedAttempt) -> Violation | None:
@@ -192,7 +196,7 @@
         age_s = now - purge.purged_at
         if age_s > self.purges.retention_s or 0.0 < attempt.max_age_s <= max(MIN_PURGE_AGE_S, age_s):
             return None
-        return self.violated(
+        return self.record_violation(
             Invariant.PURGE, f"maximum copy age {attempt.max_age_s:.3f} s, last purge {age_s:.3f} s ago"
         )
 
@@ -214,4 +218,4 @@
             sent.append((now, attempt.work_s))
             return None
         detail = f"{total_s:.3f} s of work over a limit of {limit_s:.3f} s for {attempt.server}"
-        return self.violated(Invariant.SLOW_START, detail)
+        return self.record_violation(Invariant.SLOW_START, detail)
--- a/brookhinge/engine/loop_watch.py
+++ b/brookhinge/engine/loop_watch.py
@@ -12,7 +12,7 @@
 # The service's sweep timer wakes the loop every 0.05 s; a gap longer than this is a stall.
 STALL_S = 0.15
 # Shortest gap that is considered in estimates of receive times; shorter gaps do not affect deadlines.
-BLIND_S = 0.08
+MIN_GAP_S = 0.08
 MAX_GAPS = 64
 
 
@@ -27,16 +27,16 @@
 class LoopWatch:
     """Measures the gaps between iterations of the event loop.
 
-    `tick` is called by a timer every few hundredths of a second, `turned` by code that is about to depend on
-    the current time.
+    `tick` is called by a timer every few hundredths of a second, `record_iteration` by code that is about to
+    depend on the current time.
 
     Attributes:
-        turned_at: Time of the last recorded iteration.
+        last_iteration_at: Time of the last recorded iteration.
         stalls: Number of stalls since the start.
         stalled_s: Total seconds of the stalls.
-        last: The latest stall, or None.
+        last_stall: The latest stall, or None.
         gaps: (start, end) of the latest gaps that are considered in estimates of receive times.
-        listeners: Called with each stall when it is detected.
+        stall_listeners: Called with each stall when it is detected.
         gap_listeners: Called with the end of each gap.
     """
 
@@ -44,63 +44,65 @@
         self,
         now: Callable[[], float],
         processor_s: Callable[[], float] = time.process_time,
-        blind_s: float = BLIND_S,
+        min_gap_s: float = MIN_GAP_S,
     ) -> None:
         """Start watching.
 
         Args:
             now: Returns seconds of a steady clock.
             processor_s: Returns the seconds of CPU time that this process has used.
-            blind_s: Shortest gap in seconds that is considered in estimates of receive times.
+            min_gap_s: Shortest gap in seconds that is considered in estimates of receive times.
         """
         self.now = now
         self.processor_s = processor_s
-        self.blind_s = blind_s
-        self.turned_at = now()
+        self.min_gap_s = min_gap_s
+        self.last_iteration_at = now()
         self.processor_used_s = processor_s()
         self.stalls = 0
         self.stalled_s = 0.0
-        self.last: Stall | None = None
+        self.last_stall: Stall | None = None
         self.gaps: collections.deque[tuple[float, float]] = collections.deque(maxlen=MAX_GAPS)
-        self.listeners: list[Callable[[Stall], None]] = []
+        self.stall_listeners: list[Callable[[Stall], None]] = []
         self.gap_listeners: list[Callable[[float], None]] = []
 
     def begin(self) -> None:
         """Restart the measurement, so that the startup of the process does not count as a stall."""
-        self.turned_at = self.now()
+        self.last_iteration_at = self.now()
         self.processor_used_s = self.processor_s()
 
     def tick(self) -> None:
         """Record an iteration of the loop, and the CPU time used so far."""
-        self.turned()
+        self.record_iteration()
         self.processor_used_s = self.processor_s()
 
-    def turned(self) -> None:
+    def record_iteration(self) -> None:
         """Record an iteration of the loop, and report a stall that ends with it to the listeners."""
-        before = self.turned_at
-        self.turned_at = self.now()
-        if self.turned_at - before > self.blind_s:
-            self.gaps.append((before, self.turned_at))
+        before = self.last_iteration_at
+        self.last_iteration_at = self.now()
+        if self.last_iteration_at - before > self.min_gap_s:
+            self.gaps.append((before, self.last_iteration_at))
             for listener in self.gap_listeners:
-                listener(self.turned_at)
-        if self.turned_at - before > STALL_S:
+                listener(self.last_iteration_at)
+        if self.last_iteration_at - before > STALL_S:
             self.stalls += 1
-            self.stalled_s += self.turned_at - before
-            self.last = Stall(before, self.turned_at, self.processor_s() - self.processor_used_s)
-            for listener in self.listeners:
-                listener(self.last)
+            self.stalled_s += self.last_iteration_at - before
+            self.last_stall = Stall(
+                before, self.last_iteration_at, self.processor_s() - self.processor_used_s
+            )
+            for listener in self.stall_listeners:
+                listener(self.last_stall)
 
     def stalled_since(self, at: float) -> bool:
         """Return whether a stall ended after time `at`."""
-        self.turned()
-        return self.last is not None and self.last.ended_at > at
+        self.record_iteration()
+        return self.last_stall is not None and self.last_stall.ended_at > at
 
-    def blind_from(self, at: float) -> float | None:
+    def earliest_arrival(self, at: float) -> float | None:
         """Return the earliest possible arrival time of data that is read now and had not arrived at `at`.
 
         None if there was no gap since `at`, so that the data has just arrived.
         """
-        self.turned()
+        self.record_iteration()
         since = None
         for began_at, ended_at in reversed(self.gaps):
             if ended_at <= at:
--- a/brookhinge/engine/scheduler.py
+++ b/brookhinge/engine/scheduler.py
@@ -89,7 +89,7 @@
         self.posted_at = 0.0
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at: float | None = None
-        watch.listeners.append(self.on_stall)
+        watch.stall_listeners.append(self.on_stall)
 
     def register(
         self,
@@ -140,7 +140,7 @@
         If the loop was delayed, first wait for unread data, such as a closed client connection or a changed
         endpoint list.
         """
-        self.watch.turned()
+        self.watch.record_iteration()
         if self.now() - self.posted_at > LATE_EVENT_S:
             self.run_round_after(READ_ITERATIONS)
         else:
@@ -151,7 +151,7 @@
         if iterations:
             asyncio.get_running_loop().call_soon(self.run_round_after, iterations - 1)
         else:
-            self.watch.turned()
+            self.watch.record_iteration()
             self.run_round_unless_catching_up()
 
     def run_round_unless_catching_up(self) -> None:
@@ -164,14 +164,14 @@
 
         Until it is read, an expired timer does not show that nothing came in time.
         """
-        self.watch.turned()
+        self.watch.record_iteration()
         return self.catching_up_since is not None
 
     def is_caught_up(self) -> bool:
         """Return whether all notices sent during the last stall are known, or are no longer waited for."""
         if self.is_catching_up():
             return False
-        stall = self.watch.last
+        stall = self.watch.last_stall
         return stall is None or self.now() - stall.ended_at >= MAX_CATCH_UP_S or self.is_current()
 
     def on_stall(self, stall: Stall) -> None:
@@ -183,7 +183,7 @@
 
     def catch_up(self, iterations: int, since: float) -> None:
         """Wait until data that was unread at `since` has been read; start over after another stall."""
-        self.watch.turned()
+        self.watch.record_iteration()
         if since != self.catching_up_since:
             self.catch_up(READ_ITERATIONS, self.catching_up_since)
         elif iterations:
--- a/brookhinge/net/command_channel.py
+++ b/brookhinge/net/command_channel.py
@@ -170,7 +170,7 @@
 
         Commands may have come after that answer.
         """
-        stall = self._watch and self._watch.last
+        stall = self._watch and self._watch.last_stall
         return stall is not None and stall.ended_at > self._known_until
 
     def is_current(self) -> bool:
--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -126,7 +126,7 @@
             lambda transport, now: OutlierDetection(
                 transport.core_context(),
                 routers=lambda: transport.fleet_size.in_zone,
-                own_totals=self._state.fleet.seen,
+                own_totals=self._state.fleet.attempt_totals,
                 servers=lambda: len(servers.local_caches),
                 now=now,
             )
--- a/brookhinge/net/receive_times.py
+++ b/brookhinge/net/receive_times.py
@@ -38,7 +38,7 @@
     def note_accept_failed(self) -> None:
         """Note that nothing can be accepted for a while."""
         if self._accept_failing_since is None:
-            self._accept_failing_since = self._watch.turned_at
+            self._accept_failing_since = self._watch.last_iteration_at
 
     def note_backlog_empty(self) -> None:
         """Note that every connection that came until now is accepted."""
@@ -47,7 +47,7 @@
 
     def waiting_since(self) -> float | None:
         """Return since when a connection accepted now may have waited; None if it did not."""
-        return earliest(self._accept_failing_since, self._watch.blind_from(self._backlog_empty_at))
+        return earliest(self._accept_failing_since, self._watch.earliest_arrival(self._backlog_empty_at))
 
     def received_at(self, emptied_at: float, accepted_from: float | None) -> float:
         """Return when what is read now was received at the earliest.
@@ -57,7 +57,7 @@
             accepted_from: `waiting_since()` of its connection, if the bytes lay there as it was accepted,
                 else None.
         """
-        blind_since = self._watch.blind_from(max(emptied_at, self._all_read_until))
+        blind_since = self._watch.earliest_arrival(max(emptied_at, self._all_read_until))
         received_at = earliest(blind_since, accepted_from)
         return self._watch.now() if received_at is None else received_at
 
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -87,7 +87,7 @@
         self.started_at = time.time()
         self._steady_started_at = time.monotonic()
         self.watch = LoopWatch(self.now)
-        self.watch.listeners.append(self._log_stall)
+        self.watch.stall_listeners.append(self._log_stall)
         self.lifecycle = Lifecycle(self.log)
         self.state = self._build_state(fleet)
         self.scheduler = EventScheduler(self.state, self.watch, self.log, self.is_current)
@@ -291,7 +291,7 @@
         )
 
     def _record_violation(self, invariant: Invariant, detail: str) -> None:
-        self.state.invariants.violated(invariant, detail)
+        self.state.invariants.record_violation(invariant, detail)
         self.log("violation", invariant=invariant, detail=detail)
 
     def _log_loop_exception(self, _loop: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
--- a/tests/engine/test_loop_watch.py
+++ b/tests/engine/test_loop_watch.py
@@ -12,7 +12,7 @@
         self.steady, self.processor = 100.0, 5.0
         self.watch = LoopWatch(lambda: self.steady, lambda: self.processor)
         self.noticed = []
-        self.watch.listeners.append(self.noticed.append)
+        self.watch.stall_listeners.append(self.noticed.append)
 
     def passes(self, seconds, processor=0.0):
         self.steady, self.processor = self.steady + seconds, self.processor + processor
@@ -22,8 +22,8 @@
 def test_a_gap_between_turns_is_a_stall(gap_s, stalls):
     clocks = Clocks()
     clocks.passes(gap_s)
-    clocks.watch.turned()
-    clocks.watch.turned()
+    clocks.watch.record_iteration()
+    clocks.watch.record_iteration()
     assert clocks.watch.stalls == stalls == len(clocks.noticed)
     assert clocks.watch.stalled_s == pytest.approx(gap_s * stalls)
 
@@ -33,9 +33,9 @@
     clocks.passes(0.05, 0.01)
     clocks.watch.tick()
     clocks.passes(0.02)
-    clocks.watch.turned()
+    clocks.watch.record_iteration()
     clocks.passes(1.0, 0.25)
-    clocks.watch.turned()
+    clocks.watch.record_iteration()
     assert clocks.noticed == [Stall(pytest.approx(100.07), pytest.approx(101.07), pytest.approx(0.25))]
 
 
@@ -50,12 +50,12 @@
 
 def test_what_is_read_may_have_come_since_the_first_gap_after_its_connection_was_empty():
     clocks = Clocks()
-    assert clocks.watch.blind_from(clocks.steady) is None
+    assert clocks.watch.earliest_arrival(clocks.steady) is None
     for gap_s in (1.0, 0.01, 0.5, 0.01):  # in series
         clocks.passes(gap_s)
-        clocks.watch.turned()
+        clocks.watch.record_iteration()
     first = 100.0
-    assert clocks.watch.blind_from(first - 1.0) == first
-    assert clocks.watch.blind_from(first + 0.4) == first + 0.4
-    assert clocks.watch.blind_from(101.0) == pytest.approx(101.01)
-    assert clocks.watch.blind_from(101.6) is None
+    assert clocks.watch.earliest_arrival(first - 1.0) == first
+    assert clocks.watch.earliest_arrival(first + 0.4) == first + 0.4
+    assert clocks.watch.earliest_arrival(101.0) == pytest.approx(101.01)
+    assert clocks.watch.earliest_arrival(101.6) is None
