--- a/brookhinge/engine/attempts.py
+++ b/brookhinge/engine/attempts.py
@@ -32,8 +32,8 @@
     def expire(self) -> None:
         """Cancel attempts that have timed out, before another attempt is sent for their requests."""
         while True:
-            at = self.next_at()
-            if at is None or at > self.context.now:
+            deadline = self.next_at()
+            if deadline is None or deadline > self.context.now:
                 return
             _, request_id, _ = heapq.heappop(self.timers)
             request = self.requests.open[request_id]
--- a/brookhinge/engine/coalescing.py
+++ b/brookhinge/engine/coalescing.py
@@ -60,8 +60,10 @@
         request.arrival = arrival
         client = request.call.client
         address = self.clients.addresses.get(client, client)
-        name = arrival.request_class, arrival.key, arrival.part
-        recognized = self.lineage.recognize(self.context.now, request.request_id, address, client, name)
+        object_name = arrival.request_class, arrival.key, arrival.part
+        recognized = self.lineage.recognize(
+            self.context.now, request.request_id, address, client, object_name
+        )
         leader = self.requests.open.get(recognized.open_request)
         if leader is not None and self.may_share_response(leader, request):
             self.follow(leader, request)
--- a/brookhinge/engine/endpoint_list.py
+++ b/brookhinge/engine/endpoint_list.py
@@ -55,7 +55,7 @@
             row, notice = self.safety_notices.receive_row(row)
             if notice is not None:
                 self.notify_peers(notice)
-        self.invariants.note_server(row.server, row.state, row.zone, row.cell)
+        self.invariants.record_server(row.server, row.state, row.zone, row.cell)
         if row.state == "gone":
             self.set_instance(row.server, None)
         else:
@@ -67,21 +67,21 @@
         """Remove servers that a complete list omits."""
         for server in [server for server in self.instances if server not in present]:
             self.set_instance(server, None)
-        self.invariants.note_complete_list(present)
+        self.invariants.record_complete_list(present)
         if self.safety_notices is not None:
             for notice in self.safety_notices.absent(present):
                 self.notify_peers(notice)
 
     def apply_notice(self, row: messages.Endpoint) -> None:
         """Apply a row that was tightened by a peer's notice."""
-        self.invariants.note_server(row.server, row.state, row.zone, row.cell)
+        self.invariants.record_server(row.server, row.state, row.zone, row.cell)
         if row.state == "gone":
             self.set_instance(row.server, None)
         self.context.state_updates.append(messages.EndpointsListed(False, [row]))
         self.context.log("notice", server=row.server, health=row.state)
 
     def set_instance(self, server: str, instance: ServerInstance | None) -> None:
-        """Set the instance of a server, or None; connections to a different earlier instance are retired."""
+        """Set or remove the instance of a server; connections to a previous, different one are retired."""
         previous = self.instances.get(server)
         if previous is not None and previous != instance:
             self.context.emit(RetireServer(previous))
--- a/brookhinge/engine/invariants.py
+++ b/brookhinge/engine/invariants.py
@@ -118,8 +118,8 @@
     Attributes:
         purges: Purges recent enough to matter.
         slow_start_bound: See `__init__`.
-        servers: {server: its record}, of servers that are listed as not gone.
-        sent: {warming server: (sent at, seconds of work) of each attempt in its current window}.
+        servers: {server: its record}, of servers that are not gone.
+        recent_attempts: {warming server: (sent at, seconds of work) of each attempt in its current window}.
         violations: Number of prevented violations by invariant.
     """
 
@@ -137,21 +137,21 @@
         self.purges = RecentPurges(purge_retention_s)
         self.slow_start_bound = slow_start_bound
         self.servers: dict[str, ServerRecord] = {}
-        self.sent: dict[str, collections.deque[tuple[float, float]]] = {}
+        self.recent_attempts: dict[str, collections.deque[tuple[float, float]]] = {}
         self.violations: collections.Counter[Invariant] = collections.Counter()
 
-    def note_server(self, server: str, state: str, zone: int, cell: int) -> None:
+    def record_server(self, server: str, state: str, zone: int, cell: int) -> None:
         """Record a server as currently listed."""
         if state == "gone":
             self.servers.pop(server, None)
-            self.sent.pop(server, None)
+            self.recent_attempts.pop(server, None)
         else:
             self.servers[server] = ServerRecord(state, zone, cell)
 
-    def note_complete_list(self, present: Collection[str]) -> None:
+    def record_complete_list(self, present: Collection[str]) -> None:
         """Record a complete list of servers; all others are gone."""
         for server in [server for server in self.servers if server not in present]:
-            self.note_server(server, "gone", -1, 0)
+            self.record_server(server, "gone", -1, 0)
 
     def server_record(self, server: str) -> ServerRecord:
         """Return the record of a server; an unlisted server counts as gone."""
@@ -207,15 +207,15 @@
         """
         bound = self.slow_start_bound(attempt.server, now)
         if bound is None:
-            self.sent.pop(attempt.server, None)
+            self.recent_attempts.pop(attempt.server, None)
             return None
         limit_s, window_s = bound
-        sent = self.sent.setdefault(attempt.server, collections.deque())
-        while sent and now - sent[0][0] > window_s:
-            sent.popleft()
-        total_s = attempt.work_s + sum(work_s for _, work_s in sent)
+        recent = self.recent_attempts.setdefault(attempt.server, collections.deque())
+        while recent and now - recent[0][0] > window_s:
+            recent.popleft()
+        total_s = attempt.work_s + sum(work_s for _, work_s in recent)
         if total_s <= limit_s:
-            sent.append((now, attempt.work_s))
+            recent.append((now, attempt.work_s))
             return None
         detail = f"{total_s:.3f} s of work over a limit of {limit_s:.3f} s for {attempt.server}"
         return self.record_violation(Invariant.SLOW_START, detail)
--- a/brookhinge/engine/open_requests.py
+++ b/brookhinge/engine/open_requests.py
@@ -96,7 +96,7 @@
         return request
 
     def remove(self, request_id: int) -> None:
-        """Remove a request that has ended, and remember its client's id for it."""
+        """Remove a request that has ended, and remember the id that its client gave it."""
         client_request_id = self.open.pop(request_id).call.client_request_id
         del self.by_client_request_id[client_request_id]
         self.finished[client_request_id] = None
--- a/brookhinge/engine/purges.py
+++ b/brookhinge/engine/purges.py
@@ -22,7 +22,7 @@
         self.is_first_round = True
         self.newest_stamps: dict[int, float] = {}
 
-    def note_known_at_start(self, purges: Iterable[ObjectsPurged]) -> None:
+    def record_known_at_start(self, purges: Iterable[ObjectsPurged]) -> None:
         """Keep the stamps of purges known at the start, which can be dated by stamps and order alone."""
         self.newest_stamps = newest_stamps(list(purges))
 
--- a/brookhinge/engine/router_state.py
+++ b/brookhinge/engine/router_state.py
@@ -170,7 +170,7 @@
         self.context.begin(now)
         self.clients.closed.clear()
         if self.purges.is_first_round:
-            self.purges.note_known_at_start(
+            self.purges.record_known_at_start(
                 event for event in posted if isinstance(event, events.ObjectsPurged)
             )
         self.apply(posted)
@@ -224,9 +224,9 @@
         if isinstance(error, InvariantError):
             self.sink.log_violation(request_id, error.violation)
         else:
-            where = traceback.extract_tb(error.__traceback__)[-1]
-            place = f"{where.name}, line {where.lineno}"
-            self.sink.log(f"{type(error).__name__}: {error} ({place}) in {step}")
+            frame = traceback.extract_tb(error.__traceback__)[-1]
+            location = f"{frame.name}, line {frame.lineno}"
+            self.sink.log(f"{type(error).__name__}: {error} ({location}) in {step}")
         request = self.requests.open.get(request_id)
         if request is not None:
             # With an outstanding attempt, the decisions still need the request to count the attempt's end.
@@ -238,13 +238,15 @@
         """Return the class name of the input being processed, and the id of its request or None."""
         if self.current_input is None:
             return "round", None
-        of_request = (
+        request_input_types = (
             events.AttemptEnded,
             messages.RequestArrived,
             messages.AttemptEnded,
             messages.RequestWithdrawn,
         )
-        request_id = self.current_input.request_id if isinstance(self.current_input, of_request) else None
+        request_id = (
+            self.current_input.request_id if isinstance(self.current_input, request_input_types) else None
+        )
         return type(self.current_input).__name__, request_id
 
     # Shutdown.
--- a/brookhinge/engine/scheduler.py
+++ b/brookhinge/engine/scheduler.py
@@ -18,7 +18,7 @@
 LATE_EVENT_S = 0.02
 # An effect carried out later than this after its decision is stale: the process was stopped in between.
 STALE_EFFECT_S = 0.1
-# Longest time after a stall to wait for notices sent during it before all of them are assumed to be known.
+# After a stall, decisions that depend on notices wait at most this long for those sent during the stall.
 MAX_CATCH_UP_S = 0.1
 
 
@@ -105,8 +105,8 @@
             on_stale: Called with a stale effect; returns whether it was handled. If not, the effect goes to
                 its normal handler.
         """
-        for kind, handle in handlers.items():
-            self.handlers[kind] = EffectHandler(handle, on_failed, on_stale)
+        for effect_class, handle in handlers.items():
+            self.handlers[effect_class] = EffectHandler(handle, on_failed, on_stale)
 
     # Posting events.
 
--- a/tests/engine/test_invariants.py
+++ b/tests/engine/test_invariants.py
@@ -1,4 +1,4 @@
-"""Acts that would break a rule: each is stopped, counted and said, and its query has one final answer."""
+"""Actions that would violate an invariant are prevented, counted and logged; the request still ends once."""
 
 import json
 
@@ -21,11 +21,11 @@
     return dict(desk.state.invariants.violations)
 
 
-def push(desk, query, server="s-21", source="s-21", until=None, oldest_s=0.0):
-    """Makes the decisions send this, whatever they would have sent."""
-    until = desk.now + 0.5 if until is None else until
+def send_attempt(desk, request_id, server="s-21", fill_from="s-21", deadline=None, max_age_s=0.0):
+    """Sends an attempt through the sink, bypassing the decisions."""
+    deadline = desk.now + 0.5 if deadline is None else deadline
     desk.state.sink.forward(
-        query, Attempt(server, until, source, Retention.NONE, oldest_s, False, False, False)
+        request_id, Attempt(server, deadline, fill_from, Retention.NONE, max_age_s, False, False, False)
     )
 
 
@@ -34,58 +34,70 @@
     return Desk(tmp_path)
 
 
-def planted(desk, act, **ask):
-    """Asks a query for which the decisions do `act(query)`; what came out, and what was counted."""
-    desk.router.route = lambda request: act(request.request_id)
+def ask_with_decision(desk, decide, **ask):
+    """Opens a request for which the decisions call `decide(request_id)`.
+
+    Returns the printed effects, and the counts of violations.
+    """
+    desk.router.route = lambda request: decide(request.request_id)
     lines = desk.ask(**ask)
     return lines, violations(desk)
 
 
-def test_a_second_attempt_beside_the_first(desk):
-    lines, counted = planted(desk, lambda query: (push(desk, query), push(desk, query, "s-22", "s-22")))
+def test_second_attempt_during_an_outstanding_one_is_prevented(desk):
+    lines, counted = ask_with_decision(
+        desk,
+        lambda request_id: (send_attempt(desk, request_id), send_attempt(desk, request_id, "s-22", "s-22")),
+    )
     assert counted == {"one_attempt": 1}
     assert [line.split()[0] for line in lines][:4] == ["pull", "say", "kill", "error"]
 
 
 @pytest.mark.parametrize("as_source", [False, True])
 @pytest.mark.parametrize("health", ["draining", "gone"])
-def test_a_server_listed_as_draining_or_gone(desk, health, as_source):
+def test_attempt_to_or_fill_from_a_draining_or_gone_server_is_prevented(desk, health, as_source):
     row = ListedEndpoint("s-22", ("127.0.0.1", 9), "edge-1", "box", 0, health, 4.0, None)
     desk.hear(EndpointsListed(4, False, [row]))
     server = "s-21" if as_source else "s-22"
-    lines, counted = planted(desk, lambda query: push(desk, query, server, "s-22"))
+    lines, counted = ask_with_decision(
+        desk, lambda request_id: send_attempt(desk, request_id, server, "s-22")
+    )
     assert counted == {"drain": 1}
     assert [line.split()[0] for line in lines] == ["say", "error"]
 
 
-def test_an_attempt_without_time_left(desk):
-    _, counted = planted(desk, lambda query: push(desk, query), allow=-0.1)
+def test_attempt_without_time_left_is_prevented(desk):
+    _, counted = ask_with_decision(desk, lambda request_id: send_attempt(desk, request_id), allow=-0.1)
     assert counted == {"deadline": 1}
 
 
-def test_an_attempt_that_would_wait_for_longer_than_its_client(desk):
-    _, counted = planted(desk, lambda query: push(desk, query, until=desk.now + 1.3), allow=1.0)
+def test_attempt_with_a_timeout_beyond_the_client_deadline_is_prevented(desk):
+    _, counted = ask_with_decision(
+        desk, lambda request_id: send_attempt(desk, request_id, deadline=desk.now + 1.3), allow=1.0
+    )
     assert counted == {"deadline": 1}
 
 
-def test_a_copy_from_before_a_purge(desk):
+def test_attempt_that_accepts_a_copy_from_before_a_purge_is_prevented(desk):
     desk.hear(ObjectsPurged(4, 0, desk.now, "aa"))
-    _, counted = planted(desk, lambda query: push(desk, query, oldest_s=5.0))
+    _, counted = ask_with_decision(desk, lambda request_id: send_attempt(desk, request_id, max_age_s=5.0))
     assert counted == {"purge": 1}
-    _, counted = planted(desk, lambda query: push(desk, query, oldest_s=0.0))
+    _, counted = ask_with_decision(desk, lambda request_id: send_attempt(desk, request_id, max_age_s=0.0))
     assert counted == {"purge": 2}
-    _, counted = planted(desk, lambda query: push(desk, query, oldest_s=0.001), key=b"aa")
+    _, counted = ask_with_decision(
+        desk, lambda request_id: send_attempt(desk, request_id, max_age_s=0.001), key=b"aa"
+    )
     assert counted == {"purge": 2}
 
 
-def test_a_single_use_request_that_may_have_run(desk):
+def test_retry_of_a_single_use_request_that_may_have_run_is_prevented(desk):
     desk.ask(kind=b"order")
-    desk.router.retry = lambda request, result: push(desk, request.request_id, "s-22", "s-22")
+    desk.router.retry = lambda request, result: send_attempt(desk, request.request_id, "s-22", "s-22")
     lines = desk.end(0, 1, "broken")
     assert violations(desk) == {"effect_twice": 1} and [line.split()[0] for line in lines] == ["say", "error"]
 
 
-def test_a_rejection_that_invites_a_second_effect(desk):
+def test_rejection_that_invites_a_second_effect_becomes_an_error(desk):
     desk.ask(kind=b"order")
     desk.router.retry = lambda request, result: desk.state.sink.reject(
         request.request_id, 0.0, Refusal.CROWDED
@@ -94,116 +106,117 @@
     assert violations(desk) == {"effect_twice": 1} and [line.split()[0] for line in lines] == ["say", "error"]
 
 
-def test_a_second_response(desk):
-    def act(query):
-        desk.state.sink.reject(query, 0.0, Refusal.CROWDED)
-        desk.state.sink.reject(query, 0.0, Refusal.CROWDED)
+def test_second_final_response_is_prevented(desk):
+    def decide(request_id):
+        desk.state.sink.reject(request_id, 0.0, Refusal.CROWDED)
+        desk.state.sink.reject(request_id, 0.0, Refusal.CROWDED)
 
-    lines, counted = planted(desk, act)
+    lines, counted = ask_with_decision(desk, decide)
     assert counted == {"one_answer": 1} and [line.split()[0] for line in lines] == ["nack", "say"]
 
 
-def test_an_attempt_after_the_response(desk):
-    def act(query):
-        desk.state.sink.reject(query, 0.0, Refusal.CROWDED)
-        push(desk, query)
+def test_attempt_after_the_final_response_is_prevented(desk):
+    def decide(request_id):
+        desk.state.sink.reject(request_id, 0.0, Refusal.CROWDED)
+        send_attempt(desk, request_id)
 
-    lines, counted = planted(desk, act)
+    lines, counted = ask_with_decision(desk, decide)
     assert counted == {"after_end": 1} and [line.split()[0] for line in lines] == ["nack", "say"]
 
 
-def test_more_than_all_routers_may_send_to_a_server_that_warms_up(desk):
+def test_work_for_a_warming_server_stays_within_the_bound_of_all_routers(desk):
     desk.router.slow_start["cache"].start = SlowStart(0.1, 60.0, 1.0, 1.0)
     row = ListedEndpoint("s-22", ("127.0.0.1", 9), "edge-1", "box", 0, "ready", 4.0, desk.now)
     desk.hear(EndpointsListed(4, False, [row]))
-    desk.router.route = lambda request: push(desk, request.request_id, "s-22", "s-22")
+    desk.router.route = lambda request: send_attempt(desk, request.request_id, "s-22", "s-22")
     for number in range(30):
         desk.ask(key=b"%x" % number)
     assert violations(desk).keys() == {"slow_start"}
-    calls = desk.state.totals.counts["pushes"]
-    assert calls + violations(desk)["slow_start"] == 30
-    allowed = 0.1 * 4.0 / desk.router.statistics.transfer_s[0]  # of the mean work
-    assert calls <= allowed + 3.0 * allowed**0.5 + 3.0
+    attempts = desk.state.totals.counts["pushes"]
+    assert attempts + violations(desk)["slow_start"] == 30
+    allowed = 0.1 * 4.0 / desk.router.statistics.transfer_s[0]  # attempts of mean work
+    assert attempts <= allowed + 3.0 * allowed**0.5 + 3.0
 
 
-def test_the_decisions_of_every_day_break_none(desk):
-    for number in range(40):
-        desk.ask(key=b"%x" % (number % 7), kind=b"order" if number % 3 else b"page")
-        desk.end(number, 1, ("satisfied", "miss", "broken", "full", "errored")[number % 5])
+def test_ordinary_decisions_cause_no_violations(desk):
+    for request_id in range(40):
+        desk.ask(key=b"%x" % (request_id % 7), kind=b"order" if request_id % 3 else b"page")
+        desk.end(request_id, 1, ("satisfied", "miss", "broken", "full", "errored")[request_id % 5])
     assert violations(desk) == {}
 
 
-def test_an_attempt_that_waited_is_not_written_to_a_server_that_drains(desk):
+def test_waiting_attempt_is_held_back_when_its_server_starts_draining(desk):
     desk.ask()
-    q = desk.state.requests.open[0]
+    request = desk.state.requests.open[0]
     assert desk.state.hold_reason(0, 1) is None
-    desk.state.invariants.note_server(q.server, "draining", 1, 0)
+    desk.state.invariants.record_server(request.server, "draining", 1, 0)
     assert desk.state.hold_reason(0, 1) is HeldBack.CHANGED
 
 
-@pytest.mark.parametrize("group, window_s", [("all", 0.2), ("zone", 9.0), ("cell", 9.0)])
-def test_where_a_request_with_an_idempotency_key_may_be_repeated(group, window_s):
-    kind = request_class(
+@pytest.mark.parametrize("scope, window_s", [("all", 0.2), ("zone", 9.0), ("cell", 9.0)])
+def test_keyed_request_may_be_repeated_only_within_its_deduplication_scope_and_window(scope, window_s):
+    keyed_class = request_class(
         idempotency=Idempotency.KEYED,
-        deduplication_scope=DeduplicationScope(group),
+        deduplication_scope=DeduplicationScope(scope),
         deduplication_window_s=window_s,
     )
     ran = Ran(zone=1, cell=2, at=10.0)
-    assert rules.may_repeat(kind, ran, 1, 2, 10.05)
-    assert rules.may_repeat(kind, ran, 3, 4, 10.05) is (group == "all")
-    assert rules.may_repeat(kind, ran, 1, 4, 10.05) is (group in ("all", "zone"))
-    assert rules.may_repeat(kind, ran, 1, 2, 10.15) is (
-        group != "all"
-    )  # its window is over but for the connect
+    assert rules.may_repeat(keyed_class, ran, 1, 2, 10.05)
+    assert rules.may_repeat(keyed_class, ran, 3, 4, 10.05) is (scope == "all")
+    assert rules.may_repeat(keyed_class, ran, 1, 4, 10.05) is (scope in ("all", "zone"))
+    # After 0.15 s a window of 0.2 s leaves less than the time reserved for connecting.
+    assert rules.may_repeat(keyed_class, ran, 1, 2, 10.15) is (scope != "all")
 
 
-def test_bounds_of_slow_start():
+def test_slow_start_bound_allows_for_random_variation():
     assert rules.slow_start_bound(16.0) == 16.0 + 12.0 + 3.0
     assert rules.slow_start_bound(100.0) == 100.0 + 20.0 + 2.0
 
 
-def test_a_close_with_a_request_open_and_a_second_response_on_the_socket(tmp_path):
-    async def scene(t):
-        t.caller.ask(1)
-        await until(t.pulled)
-        client = t.service.client_connections.clients[1]
-        t.service.client_connections.respond(Respond(1, 7, b"never asked", False))
-        t.service.client_connections.drop(client, CloseReason.IDLE)
-        return await t.caller.hear(), dict(t.service.state.invariants.violations)
+def test_close_with_an_open_request_and_response_without_a_request_are_prevented(tmp_path):
+    async def scene(deployment):
+        deployment.caller.ask(1)
+        await until(deployment.pulled)
+        client = deployment.service.client_connections.clients[1]
+        deployment.service.client_connections.respond(Respond(1, 7, b"never asked", False))
+        deployment.service.client_connections.drop(client, CloseReason.IDLE)
+        return await deployment.caller.hear(), dict(deployment.service.state.invariants.violations)
 
     assert played(scene, tmp_path, machines=caches(delay=0.3)) == (None, {"one_answer": 1, "close": 1})
 
 
-def test_a_response_that_crosses_its_cancel_breaks_nothing(tmp_path):
-    async def scene(t):
-        t.caller.ask(1)
-        await until(t.pulled)
-        client = t.service.client_connections.clients[1]
-        t.service.client_connections.calls.cancel(client, 1)
-        t.service.client_connections.respond(Respond(1, 1, b"late", False))
-        t.caller.ask(2)
-        return await t.caller.hear(), dict(t.service.state.invariants.violations)
+def test_response_that_crosses_its_cancel_is_no_violation(tmp_path):
+    async def scene(deployment):
+        deployment.caller.ask(1)
+        await until(deployment.pulled)
+        client = deployment.service.client_connections.clients[1]
+        deployment.service.client_connections.calls.cancel(client, 1)
+        deployment.service.client_connections.respond(Respond(1, 1, b"late", False))
+        deployment.caller.ask(2)
+        return await deployment.caller.hear(), dict(deployment.service.state.invariants.violations)
 
     assert played(scene, tmp_path, machines=caches(delay=0.1)) == ((2, "satisfied 19"), {})
 
 
-def test_a_trace_follows_a_request_by_its_id(tmp_path):
-    """From the read to the answer, with the reason of each attempt after the first."""
+def test_trace_records_each_step_of_a_request_under_its_id(tmp_path):
+    """A step that sends a retry has the result of the previous attempt."""
     trace = Trace(tmp_path / "trace", "n1", 1)
 
-    async def scene(t):
-        t.service.tracer = t.service.client_connections.trace = t.service.upstream_connections.trace = trace
-        t.service.state.context.is_traced = True
-        acts = iter(["absent", "data"])
-        for machine in t.machines.values():
-            machine.act = lambda line: next(acts)
-        t.caller.ask(1)
-        return await t.caller.hear()
+    async def scene(deployment):
+        deployment.service.tracer = deployment.service.client_connections.trace = (
+            deployment.service.upstream_connections.trace
+        ) = trace
+        deployment.service.state.context.is_traced = True
+        responses = iter(["absent", "data"])
+        for machine in deployment.machines.values():
+            machine.act = lambda line: next(responses)
+        deployment.caller.ask(1)
+        return await deployment.caller.hear()
 
     played(scene, tmp_path)
     steps = [json.loads(line) for line in (tmp_path / "trace").read_text().splitlines()]
-    way = [(s["step"], s.get("result") or s.get("after")) for s in steps if s.get("ref") == f"{1:016x}"]
-    assert way == [
+    recorded = [(s["step"], s.get("result") or s.get("after")) for s in steps if s.get("ref") == f"{1:016x}"]
+    assert recorded == [
         ("taken", None),
         ("attempt", None),
         ("attempt written", None),
@@ -216,7 +229,7 @@
     assert [s["reason"] for s in steps if s["step"] == "client closed"] == ["stopping"]
 
 
-def test_a_trace_that_cannot_be_written_ends_without_the_router(tmp_path):
+def test_failed_write_ends_the_trace_without_an_exception(tmp_path):
     trace = Trace(tmp_path / "trace", "n1", 1)
     trace.file.close()
     trace.file = open("/dev/full", "wb", buffering=0)
@@ -225,23 +238,23 @@
     assert trace.file is None
 
 
-def test_the_totals_at_the_end_are_a_line_of_json(tmp_path):
+def test_totals_are_logged_as_one_json_line_at_shutdown(tmp_path):
     lines = []
 
-    async def scene(t):
-        t.service.log = Log("n1", Sink(lines))
-        t.caller.ask(1)
-        await t.caller.hear()
-        t.service.shutdown.done.set()
-        await t.task
+    async def scene(deployment):
+        deployment.service.log = Log("n1", ListSink(lines))
+        deployment.caller.ask(1)
+        await deployment.caller.hear()
+        deployment.service.shutdown.done.set()
+        await deployment.task
 
     played(scene, tmp_path, machines=caches(act="full"))
     totals = [json.loads(line) for line in lines if b"totals" in line]
     assert len(totals) == 1 and sum(totals[0]["refusals"].values()) == 1 and totals[0]["violations"] == {}
 
 
-class Sink:
-    """Takes the bytes of a log."""
+class ListSink:
+    """Collects the lines that a log writes."""
 
     def __init__(self, lines):
         self.lines = lines
@@ -254,9 +267,9 @@
 
 
 def test_refusals_are_counted_by_reason(tmp_path):
-    async def scene(t):
-        t.caller.ask(1)
-        return await t.caller.hear(), dict(t.service.state.totals.refusals)
+    async def scene(deployment):
+        deployment.caller.ask(1)
+        return await deployment.caller.hear(), dict(deployment.service.state.totals.refusals)
 
     answer, refusals = played(scene, tmp_path, machines=caches(act="full"))
     assert answer == (1, "nack") and sum(refusals.values()) == 1 and set(refusals) <= set(Refusal)
--- a/tests/engine/test_log.py
+++ b/tests/engine/test_log.py
@@ -1,4 +1,4 @@
-"""The log never waits for its reader."""
+"""The log never blocks on its reader."""
 
 import fcntl
 import json
@@ -6,41 +6,41 @@
 
 from brookhinge.engine.log import Log
 
-PAGE = 4096  # the least that a pipe holds
+PIPE_BYTES = 4096  # smallest capacity of a pipe
 
 
-def piped():
-    """A log, and the end of the pipe that it writes to."""
+def create_piped_log():
+    """Returns a log that writes to a pipe, and the read end of the pipe."""
     reader, writer = os.pipe()
-    fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, PAGE)
+    fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
     return Log("n1", os.fdopen(writer, "wb")), reader
 
 
-def lines(reader):
+def read_lines(reader):
     return [json.loads(line) for line in os.read(reader, 1 << 20).splitlines()]
 
 
-def test_a_reader_that_stops_costs_lines_and_not_the_router():
-    """Each line that has no room is counted in the next one of its event."""
-    log, reader = piped()
+def test_lines_are_dropped_and_counted_while_the_reader_is_stalled():
+    """The next line of the same event has the number of dropped lines."""
+    log, reader = create_piped_log()
     for number in range(10):
         log("tick", number=number, text="x" * 500)
-    read = lines(reader)
+    received = read_lines(reader)
     log("tick", number=10)
-    (last,) = lines(reader)
-    assert [line["number"] for line in read] == list(range(len(read))) and 0 < len(read) < 10
-    assert last["unsaid"] == 10 - len(read)
+    (last,) = read_lines(reader)
+    assert [line["number"] for line in received] == list(range(len(received))) and 0 < len(received) < 10
+    assert last["unsaid"] == 10 - len(received)
 
 
-def test_a_line_longer_than_a_write_of_one_piece_is_written_whole_or_not_at_all():
-    log, reader = piped()
-    log("long", text="x" * 2 * PAGE)
+def test_line_longer_than_an_atomic_write_is_never_written_in_part():
+    log, reader = create_piped_log()
+    log("long", text="x" * 2 * PIPE_BYTES)
     log("short")
-    assert [line["event"] for line in lines(reader)] == ["short"]
+    assert [line["event"] for line in read_lines(reader)] == ["short"]
 
 
-def test_a_reader_that_has_gone_ends_nothing():
-    log, reader = piped()
+def test_closed_pipe_raises_nothing_and_lines_count_as_written():
+    log, reader = create_piped_log()
     os.close(reader)
     log("tick")
     assert log.line_counts["tick"][2] == 0
