--- a/brookhinge/engine/attempts.py
+++ b/brookhinge/engine/attempts.py
@@ -82,7 +82,7 @@
     def attempt_ended_message(
         self, request: OpenRequest, result: AttemptResult, *, is_final: bool
     ) -> messages.AttemptEnded:
-        """Return the message that tells the decisions that an attempt was canceled."""
+        """Return the message that reports a canceled attempt to the decisions."""
         return messages.AttemptEnded(
             request_id=request.request_id,
             server=request.server,
--- a/brookhinge/engine/coalescing.py
+++ b/brookhinge/engine/coalescing.py
@@ -120,7 +120,7 @@
             followers.remove(request.request_id)
 
     def take_expired(self) -> Iterator[OpenRequest]:
-        """Yield the followers whose time is over."""
+        """Yield the followers that have timed out."""
         while self.deadlines and self.deadlines[0][0] <= self.context.now:
             _, request_id = heapq.heappop(self.deadlines)
             request = self.requests.open.get(request_id)
