--- a/brookhinge/net/__init__.py
+++ b/brookhinge/net/__init__.py
@@ -1,1 +1,1 @@
-"""The router on sockets: parsers, connections, and the service that joins them to the engine."""
+"""The network side of the router: codecs, connections, and the service that connects them to the engine."""
--- a/brookhinge/net/client_connections.py
+++ b/brookhinge/net/client_connections.py
@@ -1,4 +1,4 @@
-"""The connections of all clients: accepted, swept, answered and closed. Decides nothing."""
+"""Accepts client connections, writes replies to them and closes them. Makes no routing decisions."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from brookhinge.engine.loop_watch import LoopWatch
 from brookhinge.net import client_protocol, thrift
 from brookhinge.net.client_calls import READ_BYTES, ClientCalls
-from brookhinge.net.client_connection import ClientConnection, Ending, MemoryUse
+from brookhinge.net.client_connection import ClientConnection, CloseCause, MemoryUse
 from brookhinge.net.lingering_closes import LingeringCloses
 from brookhinge.net.listener import MAX_ACCEPTS_PER_PASS, Listener
 from brookhinge.net.receive_times import ReceiveTimes
@@ -35,25 +35,25 @@
 if TYPE_CHECKING:
     from brookhinge.overload.ingress import Ingress
 
-CALL_TIMEOUT_S = 2.2  # from the connect to the first call, and from a call's first byte to its last
-IDLE_TIMEOUT_S = 10.0  # of a connection that has called; usual clients close theirs before
-CLOSED_FOR_CAPACITY = 16  # connections closed at once when all descriptors are taken
-EMPTY_CHECK_TTL_S = 0.03  # a connection that was read empty counts as empty for so long
-CLOSE_CHECK_INTERVAL_S = 0.005  # between two looks at what is still open as the process ends
+CALL_TIMEOUT_S = 2.2  # from accept to the first call, and from a call's first byte to its last
+IDLE_TIMEOUT_S = 10.0  # after the first call; clients usually close idle connections earlier
+MAX_CLOSED_FOR_CAPACITY = 16  # idle connections closed at a time when the connection limit is reached
+EMPTY_CHECK_TTL_S = 0.03  # how long a check that found a connection without unread bytes stays valid
+CLOSE_CHECK_INTERVAL_S = 0.005  # polling interval for open connections while the process stops
 
 
 class ClientConnections:
-    """Accepts clients, writes what the engine decided, and closes connections.
+    """Accepts clients, carries out the effects addressed to them, and closes connections.
 
     Attributes:
-        clients: All connections by number, but those that are lingering.
-        lingering: Connections whose writing side is shut.
-        calls: Reads the connections and hands on what clients call.
-        memory: Bytes held for all clients.
-        max_connections: How many connections may be open.
-        closes: Counts of closes by reason.
-        listener: The listening socket.
-        trace: Takes (step, **values) of each connection, or None.
+        clients: Open connections by connection id, without the lingering ones.
+        lingering: Connections that are shut down for writing but not closed yet.
+        calls: Reads the connections and passes the calls to the engine.
+        memory: Bytes buffered for all clients.
+        max_connections: Maximum number of open connections.
+        closes: Number of closed connections by reason.
+        listener: Accepts the connections.
+        trace: Called with (step, **values) for each connection that opens or closes; None if tracing is off.
     """
 
     def __init__(
@@ -71,20 +71,21 @@
         ingress: Ingress | None = None,
         trace: Callable[..., None] | None = None,
     ) -> None:
-        """Prepare to accept; `listen` begins.
+        """Create the connections without accepting any; `listen` starts accepting.
 
         Args:
-            post: Takes the events.
-            log: Takes (event, **values).
-            is_ready: Whether the router takes requests.
-            has_open_requests: Whether a client, by its number, has requests that are not answered.
-            record_violation: Counts a rule that was broken.
-            watch: The watch of the loop.
-            max_timeout_s: The longest time that clients may wait, by request class.
-            max_connections: How many connections may be open.
-            memory_limit_bytes: How many bytes may be held for all clients.
-            ingress: How many connections to accept and whose, where overload is watched.
-            trace: Takes (step, **values) of each connection, or None.
+            post: Called with each event for the engine.
+            log: Called with (event, **values).
+            is_ready: Returns whether the router accepts requests.
+            has_open_requests: Returns whether a client, given its connection id, has unanswered requests.
+            record_violation: Called with the violated invariant and the details.
+            watch: Detects stalls of the event loop.
+            max_timeout_s: Maximum request timeout by request class.
+            max_connections: Maximum number of open connections.
+            memory_limit_bytes: Limit on the bytes buffered for all clients.
+            ingress: Decides which connections to admit, and how many per pass; None if overload control
+                is off.
+            trace: Called with (step, **values) for each connection that opens or closes, or None.
         """
         self.now = watch.now
         self.clients: dict[int, ClientConnection] = {}
@@ -114,22 +115,22 @@
         self.listener.on_shortage = self._receive_times.note_accept_failed
         self.listener.on_empty = self._receive_times.note_backlog_empty
 
-    # accepting
+    # Accepting.
 
     def listen(self, host: str, port: int, listener_fd: int | None = None) -> tuple[str, int]:
-        """Begin to accept and return the address; see `Listener.listen`."""
+        """Start accepting connections and return the bound address; see `Listener.listen`."""
         return self.listener.listen(host, port, listener_fd)
 
     def stop(self) -> None:
-        """Accept no more; connections that have come before are still accepted."""
+        """Stop listening; connections already in the backlog are still accepted."""
         self.listener.stop()
 
     def _open(self, accepted: socket.socket, address: str) -> None:
-        """Begin to read a connection that was accepted."""
+        """Register an accepted connection and start reading it, unless ingress rejects it."""
         network = None
         if self._ingress is not None:
-            network, is_kept = self._ingress.admit(self.now(), address)
-            if not is_kept:
+            network, is_admitted = self._ingress.admit(self.now(), address)
+            if not is_admitted:
                 accepted.close()
                 return
         connection = Stream(accepted, max_buffer_size=2 * thrift.MAX_FRAME_BYTES, read_chunk_size=READ_BYTES)
@@ -152,7 +153,7 @@
     def make_capacity(self) -> bool:
         """Close the connections that have been idle longest; return whether any was closed.
 
-        A connection on which a call has come, whole or in part, is never closed for this.
+        A connection with a pending call, complete or partial, is never closed for capacity.
         """
         idle = [
             client
@@ -162,20 +163,20 @@
             and not self._has_open_requests(client.number)
         ]
         count_before = len(self.clients)
-        for client in heapq.nsmallest(CLOSED_FOR_CAPACITY, idle, key=lambda client: client.used_at):
+        for client in heapq.nsmallest(MAX_CLOSED_FOR_CAPACITY, idle, key=lambda client: client.used_at):
             self.release(client, CloseReason.ROOM)
         self.lingering.trim()
         return len(self.clients) < count_before
 
-    # effects
+    # Effects.
 
     def respond(self, effect: Respond) -> None:
-        """Write the answer to a request that succeeded."""
+        """Write the response to a successful request."""
         reply = client_protocol.response(effect.number, effect.body, is_unchanged=effect.is_unchanged)
         self.reply(effect.client, effect.number, reply)
 
     def reject(self, effect: RejectRequest) -> None:
-        """Write that a request was not carried out and may be sent again."""
+        """Write a rejection: the request was not executed and may be retried."""
         reply = client_protocol.rejection(effect.number, effect.retry_after_s)
         self.reply(effect.client, effect.number, reply)
 
@@ -184,26 +185,26 @@
         self.reply(effect.client, effect.number, client_protocol.failure(effect.number))
 
     def refuse_call(self, effect: RefuseCall) -> None:
-        """Write that a request broke the protocol."""
+        """Write a protocol error for a request that is invalid."""
         client = self.clients.get(effect.client)
         if client is not None:
             client.unanswered.discard(effect.number)
             self.calls.refuse(client, client_protocol.invalid_request(effect.number, effect.reason))
 
     def close_client(self, effect: CloseClient) -> None:
-        """Close the connection of a client that broke the protocol."""
+        """Close the connection of a client that violated the protocol."""
         client = self.clients.get(effect.client)
         if client is not None:
-            self.close_for(client, Ending(CloseReason.BREACH, effect.reason))
+            self.close_with_cause(client, CloseCause(CloseReason.BREACH, effect.reason))
 
     def drop_after_failure(self, effect: Effect) -> None:
-        """Close the connection whose effect could not be carried out."""
+        """Close the connection of a client whose effect raised an exception."""
         client = self.clients.get(effect.client)
         if client is not None:
             self.drop(client, CloseReason.FAILED)
 
     def hold_reason(self, client_number: int, number: int) -> HeldBack | None:
-        """Return why no attempt may be made now for a request, by what its client did, or None."""
+        """Return the reason to hold back an attempt because of the state of its client, or None."""
         client = self.clients.get(client_number)
         now = self.now()
         if client is None or number not in client.unanswered:
@@ -215,27 +216,27 @@
         client.emptied_at = now
         return None
 
-    # writing
+    # Writing.
 
     def reply(self, client_number: int, number: int, reply: bytes) -> None:
-        """Write the final answer to a request, once."""
+        """Write the final reply to a request; a second reply is recorded as a violation and not sent."""
         client = self.clients.get(client_number)
         if client is None:
             return
-        if number in client.cancelled:  # the answer and the cancel crossed
+        if number in client.cancelled:  # the reply and the cancel crossed
             client.cancelled.remove(number)
             return
         if number not in client.unanswered:
-            self._record_violation(Invariant.ONE_ANSWER, f"a second one under number {number}")
+            self._record_violation(Invariant.ONE_ANSWER, f"second reply to request number {number}")
             return
         client.unanswered.remove(number)
         client.used_at = self.now()
         self.write(client, reply)
-        if client.ending:  # once the answers of this round are all written
-            asyncio.get_running_loop().call_soon(self.close_if_ended, client)
+        if client.close_cause:  # deferred until all replies of this round are written
+            asyncio.get_running_loop().call_soon(self.close_if_finished, client)
 
     def write(self, client: ClientConnection, reply: bytes) -> None:
-        """Write without waiting; what the system does not take is held within the memory limit."""
+        """Write without waiting; bytes the kernel does not accept are buffered within the memory limit."""
         try:
             flushed = client.stream.write(reply)
         except StreamClosedError:
@@ -251,102 +252,106 @@
         if not flushed.cancelled():
             flushed.exception()  # looked at, or asyncio would log it
         client.add_unsent(-size)
-        self.calls.hand_on(client)
+        self.calls.process_calls(client)
 
     def enforce_memory_limit(self) -> None:
-        """Give up the client with most bytes held, once there are too many in all."""
+        """Close the client with the most buffered bytes if the total exceeds the limit."""
         if not self.memory.is_exceeded:
             return
-        worst = max(self.clients.values(), key=lambda client: client.held_bytes, default=None)
-        if worst is not None:
-            detail = f"{worst.unsent_bytes} bytes not read, {worst.buffered_bytes} of its calls held"
-            self.close_for(worst, Ending(CloseReason.MEMORY, detail))
+        largest = max(self.clients.values(), key=lambda client: client.held_bytes, default=None)
+        if largest is not None:
+            detail = (
+                f"{largest.unsent_bytes} reply bytes not read, {largest.buffered_bytes} call bytes pending"
+            )
+            self.close_with_cause(largest, CloseCause(CloseReason.MEMORY, detail))
 
-    # closing
+    # Closing.
 
     def is_open(self, client: ClientConnection) -> bool:
-        """Return whether a connection is still taken calls of."""
+        """Return whether calls are still accepted on a connection."""
         return client.number in self.clients
 
     def sweep(self) -> None:
-        """Close who brings no whole call in time, and who has been idle for long."""
+        """Close connections whose partial call timed out and connections that have been idle too long."""
         now = self.now()
         for client in list(self.clients.values()):
             if client.partial_since is not None:
                 if now - client.partial_since > CALL_TIMEOUT_S and not client.has_unread():
-                    self._end_partial(client)
+                    self._end_partial_call(client)
             elif now - client.used_at > (IDLE_TIMEOUT_S if client.has_called else CALL_TIMEOUT_S):
-                self._close_unused(client)
+                self._close_idle(client)
 
-    def _end_partial(self, client: ClientConnection) -> None:
-        """Take no more of a client whose call has no end; what came before is answered first."""
+    def _end_partial_call(self, client: ClientConnection) -> None:
+        """Stop reading a client whose call is incomplete; close it once its earlier requests are answered."""
         client.partial_since = None
-        client.ending = client.ending or Ending(CloseReason.SLOW, "half a call and not its rest")
-        self.close_if_ended(client)
+        client.close_cause = client.close_cause or CloseCause(
+            CloseReason.SLOW, "incomplete call: the rest did not arrive in time"
+        )
+        self.close_if_finished(client)
 
-    def _close_unused(self, client: ClientConnection) -> None:
+    def _close_idle(self, client: ClientConnection) -> None:
         if self._has_open_requests(client.number):
             return
         if client.is_idle():
             self.release(client, CloseReason.IDLE if client.has_called else CloseReason.NO_CALL)
-        elif client.ending:  # it does not read its last answers
+        elif client.close_cause:  # the client does not read its last replies
             self.drop(client, CloseReason.UNREAD)
 
-    def close_if_ended(self, client: ClientConnection) -> None:
-        """Close a connection of which nothing more is taken, once all that was taken is answered."""
+    def close_if_finished(self, client: ClientConnection) -> None:
+        """Close a connection that has a close cause, once all its requests are answered."""
         is_answered = not client.calls and not client.unsent_bytes
-        if client.ending and is_answered and not self._has_open_requests(client.number):
-            self.close_for(client, client.ending)
+        if client.close_cause and is_answered and not self._has_open_requests(client.number):
+            self.close_with_cause(client, client.close_cause)
 
-    def close_for(self, client: ClientConnection, ending: Ending) -> None:
-        """Close a connection, whatever lies unread on it, and log why."""
+    def close_with_cause(self, client: ClientConnection, cause: CloseCause) -> None:
+        """Close a connection even if calls on it are unread, and log the cause."""
         if self.is_open(client):
-            self._log("client connection", why=ending.detail)
-            self.release(client, ending.reason, is_forced=True)
+            self._log("client connection", why=cause.detail)
+            self.release(client, cause.reason, is_forced=True)
 
     def release(self, client: ClientConnection, reason: CloseReason, *, is_forced: bool = False) -> None:
-        """Shut the writing side of a connection and read on for a while.
+        """Shut down a connection for writing and close it after a linger time.
 
-        Answers that are still on their way would be lost with a reset. A connection on which a call lies
-        unread is left open, unless the close is forced.
+        An immediate close could reset the connection and lose replies in transit. A connection with an
+        unread call stays open, unless the close is forced.
         """
         if not (is_forced or client.is_silent()):
             return
-        self._forget(client, reason)
-        if client.unsent_bytes:  # it reads nothing: its answers are given up
+        self._remove(client, reason)
+        if client.unsent_bytes:  # the client does not read: its replies are discarded
             self.lingering.close(client)
         else:
             self.lingering.add(client)
 
     def drop(self, client: ClientConnection, reason: CloseReason) -> None:
-        """Close a connection at once; its writing side may have been shut before."""
+        """Close a connection immediately, also one that is lingering."""
         self.lingering.close(client)
-        self._forget(client, reason)
+        self._remove(client, reason)
 
-    def _forget(self, client: ClientConnection, reason: CloseReason) -> None:
-        """Take nothing more of a client, and forget what waits of it."""
+    def _remove(self, client: ClientConnection, reason: CloseReason) -> None:
+        """Remove a connection with its pending calls and report the disconnect to the engine."""
         if self.clients.pop(client.number, None) is None:
             return
-        self._note_close(client, reason)
+        self._record_close(client, reason)
         client.clear_calls()
         client.may_read.set()
         if client.network is not None:
             self._ingress.release(client.network)
         self._post(ClientDisconnected(client.number))
 
-    def _note_close(self, client: ClientConnection, reason: CloseReason) -> None:
+    def _record_close(self, client: ClientConnection, reason: CloseReason) -> None:
         self.closes[reason] += 1
         if self.trace is not None:
             self.trace("client closed", client=client.number, reason=reason, owed=len(client.unanswered))
         if not rules.may_close(reason, bool(client.unanswered), bool(client.calls)):
-            detail = f"{reason}: {len(client.unanswered)} queries open, {len(client.calls)} calls read"
+            detail = f"{reason}: {len(client.unanswered)} requests open, {len(client.calls)} calls pending"
             self._record_violation(Invariant.CLOSE, detail)
 
     async def end(self, until: float) -> None:
-        """Close all connections; what comes whole by then is still answered.
+        """Close all connections; complete calls that arrive before the deadline are still answered.
 
         Args:
-            until: When the rest is dropped, in seconds of the router's clock.
+            until: Time at which the remaining connections are dropped, in seconds of the router's clock.
         """
         while (self.clients or self.lingering) and self.now() < until:
             for client in list(self.clients.values()):
--- a/brookhinge/net/client_protocol.py
+++ b/brookhinge/net/client_protocol.py
@@ -1,6 +1,6 @@
-"""The methods of the clients' protocol: names on the wire, calls and replies. No I/O.
+"""Decodes the calls and encodes the replies of the client protocol. No I/O.
 
-The bytes of Thrift itself are in `brookhinge/net/thrift.py`, the fields of a request in
+The Thrift encoding is in `brookhinge/net/thrift.py`, the fields of a request are checked in
 `brookhinge/net/request_validation.py`.
 """
 
@@ -13,7 +13,7 @@
 
 SERVE = b"serve"
 CANCEL = b"forget"
-IS_WELL = b"isWell"
+HEALTH_CHECK = b"isWell"
 
 FIELDS_ARGUMENT = 1
 BODY_ARGUMENT = 2
@@ -21,20 +21,20 @@
 ARGUMENT_TYPES = {
     SERVE: {FIELDS_ARGUMENT: thrift.MAP, BODY_ARGUMENT: thrift.STRING},
     CANCEL: {CANCELLED_ARGUMENT: thrift.I32},
-    IS_WELL: {},
+    HEALTH_CHECK: {},
 }
 
-# Places of the declared exceptions of `serve` in its result.
+# Field numbers of the declared exceptions in the result of `serve`.
 REJECTED = 1
 FAILED = 2
 
-# Names of fields in replies.
+# Field names in replies, as sent on the wire.
 UNCHANGED = b"unchanged"
 RETRY_AFTER_MS = b"cooldown"
 
 
 class Call(NamedTuple):
-    """A message of a client, its arguments by field number."""
+    """A call from a client, with its arguments by field number."""
 
     method: bytes
     sequence_number: int
@@ -42,11 +42,11 @@
 
 
 def read_call(frame: bytes) -> Call:
-    """Read a message of a client.
+    """Decode a call from a client.
 
     Raises:
-        RefusedCallError: The method is unknown, or an argument has another type.
-        UnreadableError: The frame cannot be read, or nothing can be replied.
+        RefusedCallError: The method is unknown, or the message or an argument has the wrong type.
+        UnreadableError: The frame cannot be decoded, or the message is invalid and expects no reply.
     """
     reader = thrift.Reader(frame)
     method, message_type, sequence_number = thrift.read_message_header(reader)
@@ -62,12 +62,12 @@
             raise UnreadableError(str(error)) from None
         raise RefusedCallError(invalid_call(method, sequence_number, error)) from None
     if reader.position != len(frame):
-        raise UnreadableError("a frame that goes on after its message")
+        raise UnreadableError("frame has bytes after the end of its message")
     return Call(method, sequence_number, arguments)
 
 
-def serve_number(frame: bytes) -> int | None:
-    """Return the sequence number of a call of `serve`, or None for any other frame."""
+def serve_sequence_number(frame: bytes) -> int | None:
+    """Return the sequence number of a `serve` call, or None for any other frame."""
     if not thrift.is_message_of(frame, SERVE):
         return None
     try:
@@ -77,12 +77,12 @@
 
 
 def is_cancel(frame: bytes) -> bool:
-    """Return whether a frame begins as a cancel; its rest is not checked."""
+    """Return whether a frame starts like a cancel; the rest of it is not checked."""
     return thrift.is_message_of(frame, CANCEL)
 
 
 def cancelled_number(frame: bytes) -> int | None:
-    """Return the sequence number that a cancel names, or None where it cannot be read."""
+    """Return the sequence number of the request that a cancel refers to, or None if it is unreadable."""
     try:
         return read_call(frame).arguments.get(CANCELLED_ARGUMENT)
     except (UnreadableError, RefusedCallError):
@@ -90,38 +90,38 @@
 
 
 def response(sequence_number: int, body: bytes, *, is_unchanged: bool) -> bytes:
-    """Encode the answer to a request that succeeded.
+    """Encode the response to a successful request.
 
     Args:
-        sequence_number: Of the request.
-        body: The object's bytes, none if it is unchanged.
-        is_unchanged: Whether the copy that the client named is still the one.
+        sequence_number: Sequence number of the request.
+        body: The object's bytes; empty if it is unchanged.
+        is_unchanged: Whether the version that the client has is still current.
     """
     fields = {UNCHANGED: b"1"} if is_unchanged else {}
-    return thrift.encode_reply(SERVE, sequence_number, body, fields, is_well=True)
+    return thrift.encode_reply(SERVE, sequence_number, body, fields, is_healthy=True)
 
 
 def rejection(sequence_number: int, retry_after_s: float) -> bytes:
-    """Encode that a request was not carried out and may be sent again; 0 gives no advice when."""
+    """Encode the rejection of a request that was not executed; 0 sends no retry delay."""
     fields = {RETRY_AFTER_MS: b"%d" % int(retry_after_s * 1000)} if retry_after_s > 0 else {}
     return thrift.encode_declared_exception(SERVE, sequence_number, REJECTED, fields)
 
 
 def failure(sequence_number: int) -> bytes:
-    """Encode that a request failed."""
+    """Encode the failure of a request."""
     return thrift.encode_declared_exception(SERVE, sequence_number, FAILED, {})
 
 
 def invalid_request(sequence_number: int, reason: str) -> bytes:
-    """Encode that a request broke the protocol."""
+    """Encode a protocol error in the fields of a request."""
     return thrift.encode_exception(SERVE, sequence_number, thrift.PROTOCOL_ERROR, reason)
 
 
 def invalid_call(method: bytes, sequence_number: int, error: InvalidCallError) -> bytes:
-    """Encode that a call cannot be carried out."""
+    """Encode the exception that answers an invalid call."""
     return thrift.encode_exception(method, sequence_number, error.code, str(error))
 
 
-def health(sequence_number: int, *, is_well: bool) -> bytes:
-    """Encode the answer to a health check."""
-    return thrift.encode_reply(IS_WELL, sequence_number, b"", {}, is_well=is_well)
+def health(sequence_number: int, *, is_healthy: bool) -> bytes:
+    """Encode the response to a health check."""
+    return thrift.encode_reply(HEALTH_CHECK, sequence_number, b"", {}, is_healthy=is_healthy)
--- a/brookhinge/net/errors.py
+++ b/brookhinge/net/errors.py
@@ -1,19 +1,19 @@
-"""Errors of what comes on connections."""
+"""Errors in data received on connections."""
 
 
 class ProtocolError(Exception):
-    """Base of all errors in what the other side of a connection sent."""
+    """Base class of errors in data that the peer sent."""
 
 
 class UnreadableError(ProtocolError):
-    """Bytes that can't be read as the connection's protocol; the connection is closed."""
+    """Bytes that do not follow the connection's protocol; the connection is closed."""
 
 
 class InvalidCallError(ProtocolError):
-    """A call that can be read and not be carried out; it is answered under its sequence number.
+    """A call that can be decoded but is invalid; it is answered under its sequence number.
 
     Attributes:
-        code: Of the TApplicationException that answers it.
+        code: Error code of the TApplicationException that answers it.
     """
 
     def __init__(self, code: int, reason: str) -> None:
@@ -22,12 +22,12 @@
 
 
 class RefusedCallError(ProtocolError):
-    """An invalid call with the reply that refuses it.
+    """An invalid call, with the reply that refuses it.
 
     Attributes:
-        reply: The bytes of the reply.
+        reply: The encoded reply.
     """
 
     def __init__(self, reply: bytes) -> None:
-        super().__init__("a call that cannot be carried out")
+        super().__init__("invalid call")
         self.reply = reply
--- a/brookhinge/net/listener.py
+++ b/brookhinge/net/listener.py
@@ -1,6 +1,6 @@
-"""A listening socket on an asyncio loop that survives shortages.
+"""A listening socket on the asyncio loop that keeps working when descriptors or memory run short.
 
-When it stops, it first accepts every connection that came before.
+Before it stops, it accepts every connection that is still in the backlog.
 """
 
 import asyncio
@@ -12,23 +12,23 @@
 
 from brookhinge.net import stream
 
-BACKLOG = 1024  # connections that the system keeps until they are accepted
-MAX_ACCEPTS_PER_PASS = 64  # accepted in one pass of the loop: others must have their turn
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
+MAX_ACCEPTS_PER_PASS = 64  # per event loop pass, so that other tasks can run in between
 RETRY_ACCEPT_S = 0.05
 RETRY_STOP_S = 0.02
-SHORTAGES = stream.SHORTAGES | {errno.EMFILE, errno.ENFILE}  # here descriptors as well
+SHORTAGES = stream.SHORTAGES | {errno.EMFILE, errno.ENFILE}  # plus running out of descriptors
 
 
 class Outcome(enum.Enum):
-    """How a pass of accepting ended."""
+    """Why an accept pass ended."""
 
-    EMPTY = "empty"  # the system says that nothing is left
-    MORE = "more"  # as many as were to be accepted
-    SHORTAGE = "shortage"  # nothing can be accepted now
+    EMPTY = "empty"  # the backlog is empty
+    MORE = "more"  # the limit was reached; more connections may be waiting
+    SHORTAGE = "shortage"  # no connection can be accepted for now
 
 
 def bind(host: str, port: int) -> socket.socket:
-    """Return a socket that listens there; where that fails nothing is left open.
+    """Return a socket that listens on an address; if that fails, the socket is closed.
 
     Raises:
         OSError: The address cannot be bound.
@@ -49,8 +49,8 @@
 
     Attributes:
         socket: The listening socket; None before `listen` and once closed.
-        on_shortage: Called when nothing can be accepted for a while.
-        on_empty: Called when the backlog was seen empty.
+        on_shortage: Called when no connection can be accepted for now.
+        on_empty: Called when the backlog was found empty.
     """
 
     def __init__(
@@ -60,13 +60,13 @@
         has_capacity: Callable[[], bool] = lambda: True,
         max_accepts: Callable[[], int] = lambda: MAX_ACCEPTS_PER_PASS,
     ) -> None:
-        """Prepare to accept; `listen` begins.
+        """Create a listener without a socket; `listen` starts accepting.
 
         Args:
-            on_connection: Takes each socket and the host of its other end.
-            log: Takes (event, **values).
-            has_capacity: Whether one more connection may be accepted.
-            max_accepts: How many connections one pass of the loop may accept.
+            on_connection: Called with each accepted socket and the host of its peer.
+            log: Called with (event, **values).
+            has_capacity: Returns whether one more connection may be accepted.
+            max_accepts: Returns the maximum number of connections to accept in one event loop pass.
         """
         self._on_connection = on_connection
         self._log = log
@@ -80,17 +80,17 @@
 
     @property
     def open(self) -> bool:
-        """Whether the socket still listens."""
+        """Whether the socket is listening."""
         return self.socket is not None
 
     def listen(self, host: str, port: int, listener_fd: int | None = None) -> tuple[str, int]:
-        """Begin to accept and return the address.
+        """Start accepting connections and return the bound address.
 
         Args:
-            host: Where to listen.
-            port: Where to listen; 0 takes a free one.
-            listener_fd: Descriptor of a socket that listens already and outlives this process, in place of
-                an address.
+            host: Host to listen on.
+            port: Port to listen on; 0 picks a free one.
+            listener_fd: Descriptor of a socket that is already listening and outlives this process; if
+                given, `host` and `port` are ignored.
 
         Raises:
             OSError: The address cannot be bound.
@@ -106,10 +106,10 @@
             self._pause(shortage)
 
     def accept_some(self, limit: int) -> tuple[Outcome, str | None]:
-        """Accept up to `limit` connections; return how it ended, and what is short if anything."""
+        """Accept up to `limit` connections; return why the pass ended and the shortage, if any."""
         for _ in range(limit):
             if not self._has_capacity():
-                return Outcome.SHORTAGE, "connections hold their share of descriptors"
+                return Outcome.SHORTAGE, "maximum number of connections reached"
             try:
                 accepted, address = self.socket.accept()
             except BlockingIOError:
@@ -117,10 +117,10 @@
                 return Outcome.EMPTY, None
             except OSError as error:
                 if error.errno in SHORTAGES:
-                    return Outcome.SHORTAGE, f"no descriptor: {error.strerror}"
-                continue  # that connection ended before it was accepted
+                    return Outcome.SHORTAGE, f"accept failed: {error.strerror}"
+                continue  # the connection ended before it was accepted
             self._is_paused = False
-            with contextlib.suppress(OSError):  # without it small answers come a little later
+            with contextlib.suppress(OSError):  # without it, small replies are slightly delayed
                 accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self._on_connection(accepted, address[0])
         return Outcome.MORE, None
@@ -128,7 +128,7 @@
     def _pause(self, shortage: str) -> None:
         loop = asyncio.get_running_loop()
         loop.remove_reader(self.socket)
-        if not self._is_paused:  # one line for each shortage, not for each retry
+        if not self._is_paused:  # logs once per shortage, not once per retry
             self._log("not accepting", why=shortage)
         self._is_paused = True
         self.on_shortage()
@@ -139,10 +139,10 @@
             asyncio.get_running_loop().add_reader(self.socket, self._accept_pass)
 
     def stop(self) -> None:
-        """Close once all connections that came before are accepted.
+        """Close the socket once all connections in the backlog are accepted.
 
-        A close over connections that were not accepted resets them, with the requests on them. Where none
-        can be accepted now, this is tried again until `close`.
+        Closing it earlier would reset the connections in the backlog and lose their requests. If they
+        cannot be accepted now, this is retried until `close` is called.
         """
         if not self.open:
             return
@@ -155,7 +155,7 @@
             asyncio.get_running_loop().call_later(RETRY_STOP_S, self.stop)
 
     def close(self) -> None:
-        """Close at once, whatever was not accepted."""
+        """Close the socket immediately, even if connections in the backlog are lost."""
         if self.open:
             asyncio.get_running_loop().remove_reader(self.socket)
             self.socket.close()
--- a/brookhinge/net/receive_times.py
+++ b/brookhinge/net/receive_times.py
@@ -1,67 +1,68 @@
-"""The earliest time at which what is read now may have been received: deadlines count from there."""
+"""Estimates the earliest time at which a call may have been received; its deadline counts from there."""
 
 import asyncio
 
 from brookhinge.engine.loop_watch import LoopWatch
 
-SETTLING_PASSES = 4  # of the loop, until what lay on open connections after a gap has been read
+CATCH_UP_PASSES = 4  # event loop passes after a gap until all bytes on open connections have been read
 
 
 class ReceiveTimes:
-    """Estimates when calls were received, to the safe side.
+    """Estimates when calls were received, erring on the early side.
 
-    While the loop stands still, or nothing can be accepted, calls lie in the system and their clients' time
-    runs. What is read was received after the last look that found its connection empty; a connection that
-    is accepted, after the last look that found the backlog empty.
+    During a stall of the event loop, or while no connection can be accepted, calls wait in the kernel and
+    their timeouts run. Bytes that are read now were received after the last check that found their
+    connection empty; a connection that is accepted now arrived after the last check that found the backlog
+    empty.
     """
 
     def __init__(self, watch: LoopWatch) -> None:
-        """Follow the gaps that `watch` notices of the loop."""
+        """Start estimating from the event loop gaps that `watch` detects."""
         self._watch = watch
         self._accept_failing_since: float | None = None
         self._backlog_empty_at = watch.now()
-        self._all_read_until = watch.now()  # what came by then on open connections has been read
-        watch.gap_listeners.append(lambda ended_at: self._settle(ended_at, SETTLING_PASSES))
+        self._all_read_until = watch.now()  # bytes received on open connections by then have been read
+        watch.gap_listeners.append(lambda ended_at: self._count_down(ended_at, CATCH_UP_PASSES))
 
-    def _settle(self, gap_ended_at: float, passes: int) -> None:
-        """Count passes after a gap.
+    def _count_down(self, gap_ended_at: float, passes: int) -> None:
+        """Count down event loop passes after a gap.
 
-        With no other gap between them, all that lay on open connections has been read then.
+        Once they are over without another gap, all bytes that waited on open connections have been read.
         """
         if passes:
-            asyncio.get_running_loop().call_soon(self._settle, gap_ended_at, passes - 1)
+            asyncio.get_running_loop().call_soon(self._count_down, gap_ended_at, passes - 1)
             return
         _, latest_gap_ended_at = self._watch.gaps[-1]
         if latest_gap_ended_at == gap_ended_at:
             self._all_read_until = gap_ended_at
 
     def note_accept_failed(self) -> None:
-        """Note that nothing can be accepted for a while."""
+        """Note that connections cannot be accepted for now."""
         if self._accept_failing_since is None:
             self._accept_failing_since = self._watch.turned_at
 
     def note_backlog_empty(self) -> None:
-        """Note that every connection that came until now is accepted."""
+        """Note that every connection that arrived until now is accepted."""
         self._accept_failing_since = None
         self._backlog_empty_at = self._watch.now()
 
     def waiting_since(self) -> float | None:
-        """Return since when a connection accepted now may have waited; None if it did not."""
+        """Return since when a connection accepted now may have waited in the backlog; None if it did not."""
         return earliest(self._accept_failing_since, self._watch.blind_from(self._backlog_empty_at))
 
-    def received_at(self, emptied_at: float, accepted_from: float | None) -> float:
-        """Return when what is read now was received at the earliest.
+    def received_at(self, emptied_at: float, waiting_since: float | None) -> float:
+        """Return the earliest time at which bytes that are read now may have been received.
 
         Args:
-            emptied_at: When its connection was last seen empty.
-            accepted_from: `waiting_since()` of its connection, if the bytes lay there as it was accepted,
-                else None.
+            emptied_at: Time of the last check that found their connection empty.
+            waiting_since: `waiting_since()` of the connection if the bytes may have arrived before it was
+                accepted, else None.
         """
         blind_since = self._watch.blind_from(max(emptied_at, self._all_read_until))
-        received_at = earliest(blind_since, accepted_from)
+        received_at = earliest(blind_since, waiting_since)
         return self._watch.now() if received_at is None else received_at
 
 
 def earliest(*times: float | None) -> float | None:
-    """Return the first of those times that are known, or None."""
+    """Return the earliest of the times that are not None, or None if all are."""
     return min((at for at in times if at is not None), default=None)
--- a/brookhinge/net/request_validation.py
+++ b/brookhinge/net/request_validation.py
@@ -1,8 +1,8 @@
-"""The fields of a client's `serve` call, checked before anything of it goes on. No I/O.
+"""Validates the fields of a client's `serve` call before the request is processed. No I/O.
 
-What a cache server cannot read or use would end its connection, with every attempt on it. So all fields are
-checked here. This module and `brookhinge/net/client_protocol.py` are the only ones that know the names of
-the clients' wire.
+A field that a cache server cannot read makes it close the connection, which ends all attempts on it. So all
+fields are checked here. Only this module and `brookhinge/net/client_protocol.py` know the wire names of the
+client protocol.
 """
 
 import re
@@ -16,14 +16,14 @@
 
 MAX_BODY_BYTES = 240_000
 MAX_PURGE_GROUP = 255
-TIMEOUT_SLACK_S = 0.001  # a timeout is told in whole milliseconds
+TIMEOUT_SLACK_S = 0.001  # clients send timeouts in whole milliseconds
 
 _is_hex_id = re.compile(rb"[0-9a-f]{16}").fullmatch
 _is_word = re.compile(rb"[\w.:-]{1,80}").fullmatch
 _is_integer = re.compile(rb"[0-9]{1,9}").fullmatch
 _is_decimal = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,12})?").fullmatch
 
-# Names on the wire.
+# Field names on the wire.
 REQUEST_CLASS = b"service"
 REQUEST_ID = b"ref"
 TIMEOUT_MS = b"allow"
@@ -36,7 +36,7 @@
 
 
 class FieldRule(NamedTuple):
-    """What a field must look like."""
+    """The format that a field must have."""
 
     name: bytes
     is_valid: Callable[[bytes], object]
@@ -59,37 +59,37 @@
 def read_request(
     client: int, call: Call, received_at: float, max_timeout_s: Mapping[bytes, float]
 ) -> RequestReceived:
-    """Check and parse a `serve` call.
+    """Validate and parse a `serve` call.
 
-    What the decisions need is parsed, the rest stays as the bytes that came.
+    Fields that routing decisions need are parsed, the others are passed on as the bytes received.
 
     Args:
-        client: The number of the client's connection.
+        client: Connection id of the client.
         call: The call.
-        received_at: When it was received.
-        max_timeout_s: The longest time that clients may wait, by request class.
+        received_at: Time at which it was received.
+        max_timeout_s: Maximum request timeout by request class.
 
     Raises:
-        InvalidCallError: A field is missing or unusable; the message names it.
+        InvalidCallError: A field is missing or invalid; the message names it.
     """
     fields = call.arguments.get(FIELDS_ARGUMENT, {})
     body = call.arguments.get(BODY_ARGUMENT, b"")
     check_fields(fields)
     request_class = fields[REQUEST_CLASS]
-    longest_s = max_timeout_s.get(request_class)
-    if longest_s is None:
-        raise invalid("service: no such class")
+    class_timeout_s = max_timeout_s.get(request_class)
+    if class_timeout_s is None:
+        raise invalid_field("service: no such class")
     purge_group = int(fields.get(PURGE_GROUP, 0))
     timeout_s = int(fields[TIMEOUT_MS]) / 1000.0
     size_kb = float(fields.get(SIZE_KB, 0.0))
     if purge_group > MAX_PURGE_GROUP:
-        raise invalid("lot: out of range")
-    if not 0.0 < timeout_s <= longest_s + TIMEOUT_SLACK_S:
-        raise invalid("allow: out of range")
+        raise invalid_field("lot: out of range")
+    if not 0.0 < timeout_s <= class_timeout_s + TIMEOUT_SLACK_S:
+        raise invalid_field("allow: out of range")
     if not size_kb and SIZE_KB in fields:
-        raise invalid("room: out of range")
+        raise invalid_field("room: out of range")
     if len(body) > MAX_BODY_BYTES:
-        raise invalid("body: out of range")
+        raise invalid_field("body: out of range")
     return RequestReceived(
         client=client,
         number=call.sequence_number,
@@ -109,18 +109,18 @@
 
 
 def check_fields(fields: Mapping[bytes, bytes]) -> None:
-    """Check the form of each field.
+    """Check the format of each field.
 
     Raises:
-        InvalidCallError: A field is missing or unusable; the message names it.
+        InvalidCallError: A field is missing or malformed; the message names it.
     """
     for name, is_valid, is_required in FIELD_RULES:
         value = fields.get(name)
-        is_unusable = is_required if value is None else not is_valid(value)
-        if is_unusable:
-            raise invalid(f"{name.decode()}: missing or unusable")
+        is_invalid = is_required if value is None else not is_valid(value)
+        if is_invalid:
+            raise invalid_field(f"{name.decode()}: missing or unusable")
 
 
-def invalid(reason: str) -> InvalidCallError:
-    """Return the error of a call whose fields cannot be used."""
+def invalid_field(reason: str) -> InvalidCallError:
+    """Return the protocol error for a call with an invalid field."""
     return InvalidCallError(thrift.PROTOCOL_ERROR, reason)
--- a/brookhinge/net/stream.py
+++ b/brookhinge/net/stream.py
@@ -1,4 +1,4 @@
-"""Tornado's IOStream with tolerance for shortages of the system that pass by themselves."""
+"""Tornado's IOStream, made tolerant of temporary memory shortages in the kernel."""
 
 import enum
 import errno
@@ -6,21 +6,21 @@
 
 from tornado.iostream import IOStream
 
-# The system is short of memory for a moment: recv(2) and send(2) fail, the connection is as good as before.
+# The kernel is temporarily out of memory: recv(2) and send(2) fail, but the connection stays intact.
 SHORTAGES = frozenset((errno.ENOMEM, errno.ENOBUFS))
 
 
 class Unread(enum.Enum):
-    """What lies in the system of a connection, not read by this process."""
+    """What a connection holds in the kernel that this process has not read."""
 
     NOTHING = "nothing"
     BYTES = "bytes"
-    END = "end"  # the other side closed or reset it, or it is closed here
-    UNKNOWN = "unknown"  # a shortage: nobody can tell
+    END = "end"  # the peer closed or reset it, or it is closed on this side
+    UNKNOWN = "unknown"  # the check failed for lack of memory
 
 
 def unread(connection: socket.socket | None) -> Unread:
-    """Return what lies unread on a socket that does not block; a closed stream has None."""
+    """Return what is unread on a non-blocking socket; pass None for a closed stream."""
     if connection is None:
         return Unread.END
     try:
@@ -32,13 +32,13 @@
 
 
 class Stream(IOStream):
-    """A connection that a shortage of the system does not end: reads and writes are tried again.
+    """A stream that retries reads and writes when the kernel is short of memory.
 
-    Tornado's own stream closes on every failure but 'would block', with everything that is open on it.
+    Tornado's IOStream closes on every error except 'would block', which ends all requests on the connection.
     """
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
-        """Read into `buf`; return the number of bytes, or None if there is nothing to read now."""
+        """Read into `buf`; return the number of bytes, or None if nothing can be read now."""
         try:
             return super().read_from_fd(buf)
         except OSError as error:
@@ -46,7 +46,7 @@
                 raise
             return None
         finally:
-            # The stream keeps the error that ended it, and with it this frame and the buffer.
+            # The stream keeps the error that closed it, which would keep this frame and the buffer alive.
             del buf
 
     def write_to_fd(self, data: memoryview) -> int:
@@ -54,7 +54,7 @@
 
         Raises:
             BlockingIOError: Nothing can be written now.
-            OSError: The connection is broken.
+            OSError: The connection failed.
         """
         try:
             return super().write_to_fd(data)
--- a/brookhinge/net/thrift.py
+++ b/brookhinge/net/thrift.py
@@ -1,4 +1,4 @@
-"""Thrift as the clients speak it: framed transport, strict binary protocol. No I/O."""
+"""Thrift encoding of the client protocol: framed transport, strict binary protocol. No I/O."""
 
 import struct
 from collections.abc import Iterator, Mapping
@@ -7,22 +7,22 @@
 from brookhinge.net.errors import InvalidCallError, UnreadableError
 
 MAX_FRAME_BYTES = 256 * 1024
-MAX_DEPTH = 8  # of nested values in an argument that is skipped
-CUT_OFF = "a frame that is cut off"
-VERSION_1 = 0x8001  # upper half of the first word of a strict message
+MAX_DEPTH = 8  # nesting of values inside an argument that is skipped
+TRUNCATED = "frame is truncated"
+VERSION_1 = 0x8001  # upper 16 bits of the first word of a strict message
 
-# Kinds of messages.
+# Message types.
 CALL = 1
 REPLY = 2
 EXCEPTION = 3
 ONEWAY = 4
 
-# Codes of TApplicationException.
+# Error codes of TApplicationException.
 UNKNOWN_METHOD = 1
 WRONG_MESSAGE_TYPE = 2
 PROTOCOL_ERROR = 7
 
-# Types of values.
+# Value types.
 STOP = 0
 BOOL = 2
 BYTE = 3
@@ -39,11 +39,11 @@
 
 INT32 = struct.Struct(">i")
 INT16 = struct.Struct(">h")
-FIELD_HEADER = struct.Struct(">Bh")  # type, number
+FIELD_HEADER = struct.Struct(">Bh")  # field type, field number
 
 
 class MessageHeader(NamedTuple):
-    """What every message begins with."""
+    """The header of every message."""
 
     method: bytes
     message_type: int
@@ -51,11 +51,11 @@
 
 
 class FrameSplitter:
-    """Cuts a stream of bytes, in any pieces, into frames.
+    """Splits a byte stream, fed in chunks of any size, into frames.
 
     Attributes:
-        buffered: Bytes of a frame whose rest has not come.
-        error: Why nothing can be read any more, or None.
+        buffered: Bytes of an incomplete frame.
+        error: Why the stream cannot be read any further, or None.
     """
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
         self.error: str | None = None
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the frames that are complete with `data`, without their lengths."""
+        """Add `data` and return the frames that are complete now, without their length prefixes."""
         if self.error:
             return []
         self.buffered += data
@@ -72,14 +72,14 @@
         while len(self.buffered) - position >= INT32.size:
             (size,) = INT32.unpack_from(self.buffered, position)
             if not 0 < size <= MAX_FRAME_BYTES:
-                self.error = f"a frame of {size} bytes"
+                self.error = f"frame length {size} is out of range"
                 self.buffered = bytearray()
                 return frames
-            begin = position + INT32.size
-            end = begin + size
+            start = position + INT32.size
+            end = start + size
             if len(self.buffered) < end:
                 break
-            frames.append(bytes(self.buffered[begin:end]))
+            frames.append(bytes(self.buffered[start:end]))
             position = end
         del self.buffered[:position]
         return frames
@@ -89,100 +89,100 @@
     """Reads the values of one frame in order.
 
     Attributes:
-        frame: The bytes.
-        position: Of the next byte to read.
+        frame: The bytes of the frame.
+        position: Index of the next byte to read.
     """
 
     def __init__(self, frame: bytes) -> None:
         self.frame = frame
         self.position = 0
 
-    def take(self, count: int) -> bytes:
-        """Read so many bytes.
+    def read_bytes(self, count: int) -> bytes:
+        """Read `count` bytes.
 
         Raises:
-            UnreadableError: The frame has not so many.
+            UnreadableError: The frame has fewer bytes left.
         """
-        begin = self.position
-        self.position = begin + count
+        start = self.position
+        self.position = start + count
         if count < 0 or self.position > len(self.frame):
-            raise UnreadableError(CUT_OFF)
-        return self.frame[begin : self.position]
+            raise UnreadableError(TRUNCATED)
+        return self.frame[start : self.position]
 
     def read_int32(self) -> int:
-        """Read a signed integer of four bytes."""
-        begin = self.position
-        self.position = begin + INT32.size
+        """Read a signed 32-bit integer."""
+        start = self.position
+        self.position = start + INT32.size
         if self.position > len(self.frame):
-            raise UnreadableError(CUT_OFF)
-        return INT32.unpack_from(self.frame, begin)[0]
+            raise UnreadableError(TRUNCATED)
+        return INT32.unpack_from(self.frame, start)[0]
 
     def read_string(self) -> bytes:
         """Read a string, as bytes.
 
         Raises:
-            UnreadableError: The frame ends before it.
+            UnreadableError: The frame ends before the end of the string.
         """
         frame = self.frame
-        begin = self.position + INT32.size
-        if begin > len(frame):
-            raise UnreadableError(CUT_OFF)
+        start = self.position + INT32.size
+        if start > len(frame):
+            raise UnreadableError(TRUNCATED)
         (count,) = INT32.unpack_from(frame, self.position)
-        end = begin + count
+        end = start + count
         if count < 0 or end > len(frame):
-            raise UnreadableError(CUT_OFF)
+            raise UnreadableError(TRUNCATED)
         self.position = end
-        return frame[begin:end]
+        return frame[start:end]
 
     def skip(self, value_type: int, depth: int = 0) -> None:
-        """Read past a value of any type.
+        """Skip a value of any type.
 
         Raises:
-            UnreadableError: The type is unknown, or values are nested too deep.
+            UnreadableError: The type is unknown, or the value is nested too deeply.
         """
         if depth > MAX_DEPTH:
-            raise UnreadableError("values nested too deep")
+            raise UnreadableError("values are nested too deeply")
         if value_type in SIZES:
-            self.take(SIZES[value_type])
+            self.read_bytes(SIZES[value_type])
         elif value_type == STRING:
             self.read_string()
         elif value_type == STRUCT:
             for field_type, _ in self.read_fields():
                 self.skip(field_type, depth + 1)
         elif value_type in (MAP, SET, LIST):
-            entry_types = self.take(2 if value_type == MAP else 1)
+            entry_types = self.read_bytes(2 if value_type == MAP else 1)
             for _ in range(self.read_count()):
                 for entry_type in entry_types:
                     self.skip(entry_type, depth + 1)
         else:
-            raise UnreadableError(f"a value of the unknown type {value_type}")
+            raise UnreadableError(f"value has unknown type {value_type}")
 
     def read_count(self) -> int:
         """Read the number of entries of a container.
 
         Raises:
-            UnreadableError: The frame cannot hold so many.
+            UnreadableError: The number is negative or larger than the frame allows.
         """
         count = self.read_int32()
-        if not 0 <= count <= len(self.frame):  # an entry has a byte at least
-            raise UnreadableError(f"a count of {count}")
+        if not 0 <= count <= len(self.frame):  # each entry takes at least one byte
+            raise UnreadableError(f"entry count {count} is out of range")
         return count
 
     def read_fields(self) -> Iterator[tuple[int, int]]:
-        """Yield type and number of each field of a struct; the caller reads or skips the value."""
+        """Yield the type and number of each field of a struct; the caller must read or skip the value."""
         while True:
-            field_type = self.take(1)[0]
+            field_type = self.read_bytes(1)[0]
             if field_type == STOP:
                 return
-            yield field_type, INT16.unpack(self.take(INT16.size))[0]
+            yield field_type, INT16.unpack(self.read_bytes(INT16.size))[0]
 
     def read_string_map(self) -> dict[bytes, bytes]:
-        """Read a map of strings.
+        """Read a map from strings to strings.
 
         Raises:
-            InvalidCallError: The map has entries of another type.
+            InvalidCallError: The keys or values have another type.
         """
-        key_type, value_type = self.take(2)
+        key_type, value_type = self.read_bytes(2)
         count = self.read_count()
         if count and (key_type, value_type) != (STRING, STRING):
             raise InvalidCallError(PROTOCOL_ERROR, "fields: expected a map of strings")
@@ -190,19 +190,19 @@
 
 
 def is_message_of(frame: bytes, method: bytes) -> bool:
-    """Return whether a frame begins as a message of that method; its rest is not checked."""
+    """Return whether a frame starts like a message of `method`; the rest of it is not checked."""
     return frame[4:8] == INT32.pack(len(method)) and frame[8 : 8 + len(method)] == method
 
 
 def read_message_header(reader: Reader) -> MessageHeader:
-    """Read what a message begins with.
+    """Read the header of a message.
 
     Raises:
-        UnreadableError: The message is not one of the strict binary protocol.
+        UnreadableError: The message is truncated or not in the strict binary protocol.
     """
     first_word = reader.read_int32() & 0xFFFFFFFF
     if first_word >> 16 != VERSION_1:
-        raise UnreadableError("a message that is not strict binary")
+        raise UnreadableError("message is not strict binary protocol")
     return MessageHeader(reader.read_string(), first_word & 0xFF, reader.read_int32())
 
 
@@ -210,28 +210,28 @@
     """Read the arguments of a call by field number.
 
     Args:
-        reader: Stands behind the header of the message.
-        types: The type of each argument by field number; other fields are skipped.
+        reader: Reader positioned after the message header.
+        types: The expected type of each argument by field number; other fields are skipped.
 
     Raises:
-        InvalidCallError: An argument has another type.
-        UnreadableError: The frame cannot be read.
+        InvalidCallError: An argument has the wrong type.
+        UnreadableError: The frame cannot be decoded.
     """
     arguments: dict[int, object] = {}
-    mistyped = None
+    mistyped_argument = None
     for field_type, number in reader.read_fields():
         if types.get(number) != field_type:
             reader.skip(field_type)
             if number in types:
-                mistyped = mistyped or number
+                mistyped_argument = mistyped_argument or number
         elif field_type == MAP:
             arguments[number] = reader.read_string_map()
         elif field_type == STRING:
             arguments[number] = reader.read_string()
         elif field_type == I32:
             arguments[number] = reader.read_int32()
-    if mistyped is not None:
-        raise InvalidCallError(PROTOCOL_ERROR, f"argument {mistyped}: wrong type")
+    if mistyped_argument is not None:
+        raise InvalidCallError(PROTOCOL_ERROR, f"argument {mistyped_argument}: wrong type")
     return arguments
 
 
@@ -247,7 +247,7 @@
 
 
 def encode_message(method: bytes, message_type: int, sequence_number: int, *body: bytes) -> bytes:
-    """Encode a message with its frame; `body` are the pieces of its struct, STOP included."""
+    """Encode a message with its frame length; `body` is the encoded struct in parts, including the STOP."""
     header = b"".join(
         (
             INT32.pack((VERSION_1 << 16 | message_type) - (1 << 32)),
@@ -259,16 +259,16 @@
 
 
 def encode_reply(
-    method: bytes, sequence_number: int, body: bytes, fields: Mapping[bytes, bytes], *, is_well: bool
+    method: bytes, sequence_number: int, body: bytes, fields: Mapping[bytes, bytes], *, is_healthy: bool
 ) -> bytes:
-    """Encode a result of the type that all methods of the router return.
+    """Encode a result of the struct type that all methods of the router return.
 
     Args:
-        method: Of the call.
-        sequence_number: Of the call.
-        body: Field 1 of the result.
-        fields: Field 2 of the result.
-        is_well: Field 3 of the result.
+        method: Method of the call.
+        sequence_number: Sequence number of the call.
+        body: Field 1 of the result struct.
+        fields: Field 2 of the result struct.
+        is_healthy: Field 3 of the result struct.
     """
     return encode_message(
         method,
@@ -281,19 +281,19 @@
         FIELD_HEADER.pack(MAP, 2),
         encode_string_map(fields),
         FIELD_HEADER.pack(BOOL, 3),
-        bytes((is_well, STOP, STOP)),
+        bytes((is_healthy, STOP, STOP)),
     )
 
 
 def encode_declared_exception(
-    method: bytes, sequence_number: int, place: int, fields: Mapping[bytes, bytes]
+    method: bytes, sequence_number: int, field_number: int, fields: Mapping[bytes, bytes]
 ) -> bytes:
-    """Encode one of the exceptions that a method declares, by its place in the method's result."""
+    """Encode a declared exception of a method, by its field number in the result of the method."""
     return encode_message(
         method,
         REPLY,
         sequence_number,
-        FIELD_HEADER.pack(STRUCT, place),
+        FIELD_HEADER.pack(STRUCT, field_number),
         FIELD_HEADER.pack(MAP, 1),
         encode_string_map(fields),
         bytes((STOP, STOP)),
--- a/brookhinge/net/timeouts.py
+++ b/brookhinge/net/timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts that do not mistake what came during a stall of the event loop for late."""
+"""Timeouts that do not treat data as late if it arrived during a stall of the event loop."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -6,24 +6,24 @@
 
 from brookhinge.engine.loop_watch import LoopWatch
 
-GRACE_AFTER_STALL_S = 0.05  # until what lay in the system during a stall has been read
+GRACE_AFTER_STALL_S = 0.05  # time to read what arrived in the kernel during a stall
 
 Result = TypeVar("Result")
 
 
 async def within(awaitable: Awaitable[Result], seconds: float, watch: LoopWatch | None = None) -> Result:
-    """Return the result of `awaitable`; cancel it once its time is over.
+    """Return the result of `awaitable`; cancel it when the timeout expires.
 
-    Where the loop stood still meanwhile the time is over before anything is read, though it may have come
-    in time: a short grace is given then.
+    After a stall of the event loop the timeout may expire before data is read that arrived in time, so the
+    wait is extended by GRACE_AFTER_STALL_S.
 
     Args:
-        awaitable: What to wait for.
-        seconds: How long to wait.
-        watch: The watch of the loop, or None for no grace.
+        awaitable: The awaitable to wait for.
+        seconds: The timeout.
+        watch: Detects stalls of the event loop; None for no grace period.
 
     Raises:
-        TimeoutError: The time is over.
+        TimeoutError: The timeout expired.
     """
     task = asyncio.ensure_future(awaitable)
     try:
--- a/tests/net/test_codecs.py
+++ b/tests/net/test_codecs.py
@@ -1,4 +1,4 @@
-"""Parsers and encoders: bytes in any pieces, what can't be read, what is written."""
+"""Parsers and encoders of all protocols: input in chunks of any size, malformed input, encoded output."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from brookhinge.net import cachewire, http, thrift
 from brookhinge.net.errors import InvalidCallError, UnreadableError
 
-SERVE = (
+SERVE_CALL = (
     bytes.fromhex("80010001 00000005")
     + b"serve"
     + bytes.fromhex("00000007 0d0001 0b0b 00000001 00000003")
@@ -21,64 +21,70 @@
 )
 
 
-def pieces(data, size):
+def split_into_chunks(data, size):
     return [data[i : i + size] for i in range(0, len(data), size)]
 
 
 @pytest.mark.parametrize("size", [1, 3, 1000])
-def test_frames_in_any_pieces(size):
-    frames, wire = thrift.FrameSplitter(), (thrift.INT32.pack(len(SERVE)) + SERVE) * 2
-    assert [f for piece in pieces(wire, size) for f in frames.feed(piece)] == [SERVE, SERVE]
-    assert len(frames.buffered) == 0
+def test_frames_are_split_from_chunks_of_any_size(size):
+    splitter, wire = thrift.FrameSplitter(), (thrift.INT32.pack(len(SERVE_CALL)) + SERVE_CALL) * 2
+    assert [frame for chunk in split_into_chunks(wire, size) for frame in splitter.feed(chunk)] == [
+        SERVE_CALL,
+        SERVE_CALL,
+    ]
+    assert len(splitter.buffered) == 0
 
 
-def test_a_call_and_its_arguments_with_an_unknown_one_skipped():
-    reader = thrift.Reader(SERVE)
+def test_call_arguments_are_read_and_unknown_fields_are_skipped():
+    reader = thrift.Reader(SERVE_CALL)
     assert thrift.read_message_header(reader) == (b"serve", 1, 7)
     assert thrift.read_arguments(reader, {1: thrift.MAP, 2: thrift.STRING}) == {1: {b"ref": b"9b"}, 2: b"hi"}
 
 
 @pytest.mark.parametrize(
-    "frame, why",
+    "frame, message",
     [
         (b"\0\0\0\x05serve\x01\0\0\0\x07", "not strict binary"),
-        (SERVE[:30], "cut off"),
-        (SERVE.replace(bytes.fromhex("00000003"), bytes.fromhex("7fffffff"), 1), "cut off"),
-        (SERVE.replace(bytes.fromhex("08000900000001 00"), bytes.fromhex("05000900")), "unknown type 5"),
-        (SERVE.replace(bytes.fromhex("08000900000001 00"), bytes.fromhex("0c0009") * 12), "nested too deep"),
+        (SERVE_CALL[:30], "truncated"),
+        (SERVE_CALL.replace(bytes.fromhex("00000003"), bytes.fromhex("7fffffff"), 1), "truncated"),
+        (SERVE_CALL.replace(bytes.fromhex("08000900000001 00"), bytes.fromhex("05000900")), "unknown type 5"),
+        (
+            SERVE_CALL.replace(bytes.fromhex("08000900000001 00"), bytes.fromhex("0c0009") * 12),
+            "nested too deeply",
+        ),
         (
-            SERVE.replace(bytes.fromhex("00000001 00000003"), bytes.fromhex("ffffffff 00000003")),
-            "a count of -1",
+            SERVE_CALL.replace(bytes.fromhex("00000001 00000003"), bytes.fromhex("ffffffff 00000003")),
+            "entry count -1 is out of range",
         ),
     ],
 )
-def test_a_frame_that_cannot_be_read(frame, why):
-    with pytest.raises(UnreadableError) as fault:
+def test_malformed_frame_raises_unreadable_error(frame, message):
+    with pytest.raises(UnreadableError) as error:
         reader = thrift.Reader(frame)
         thrift.read_message_header(reader)
         thrift.read_arguments(reader, {1: thrift.MAP, 2: thrift.STRING})
-    assert why in str(fault.value)
+    assert message in str(error.value)
 
 
-def test_a_wrong_type_is_told_and_the_frame_stays_readable():
-    reader = thrift.Reader(SERVE)
+def test_argument_of_wrong_type_raises_invalid_call_error():
+    reader = thrift.Reader(SERVE_CALL)
     thrift.read_message_header(reader)
-    with pytest.raises(InvalidCallError) as fault:
+    with pytest.raises(InvalidCallError) as error:
         thrift.read_arguments(reader, {1: thrift.STRING, 2: thrift.STRING})
-    assert str(fault.value) == "argument 1: wrong type"
+    assert str(error.value) == "argument 1: wrong type"
 
 
 @pytest.mark.parametrize("size", [b"\0\0\0\0", b"\xff\xff\xff\xff", b"\0\x08\0\x01"])
-def test_a_frame_out_of_bounds(size):
-    """What was whole before it comes out, nothing after it, and nothing of it is held."""
-    frames, whole = thrift.FrameSplitter(), thrift.INT32.pack(len(SERVE)) + SERVE
-    assert frames.feed(whole + size + whole) == [SERVE]
-    assert frames.error == f"a frame of {thrift.INT32.unpack(size)[0]} bytes"
-    assert frames.feed(whole) == [] and not frames.buffered
+def test_frame_length_out_of_range_stops_the_stream(size):
+    """Complete frames before it are returned, later data is ignored, and nothing stays buffered."""
+    splitter, framed = thrift.FrameSplitter(), thrift.INT32.pack(len(SERVE_CALL)) + SERVE_CALL
+    assert splitter.feed(framed + size + framed) == [SERVE_CALL]
+    assert splitter.error == f"frame length {thrift.INT32.unpack(size)[0]} is out of range"
+    assert splitter.feed(framed) == [] and not splitter.buffered
 
 
-def test_what_a_client_is_answered():
-    assert thrift.encode_reply(b"serve", 7, b"hi", {b"unchanged": b"1"}, is_well=True).hex() == (
+def test_replies_to_clients_are_encoded():
+    assert thrift.encode_reply(b"serve", 7, b"hi", {b"unchanged": b"1"}, is_healthy=True).hex() == (
         "0000003e"
         "80010002"
         "00000005" + b"serve".hex() + "00000007"
@@ -100,13 +106,15 @@
     )
 
 
-ANSWERS = b"a1 data n=hit,l=util:0.5 5\r\nab\r\nc\r\na2 absent - 0\r\n\r\n"
+RESPONSES = b"a1 data n=hit,l=util:0.5 5\r\nab\r\nc\r\na2 absent - 0\r\n\r\n"
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, 1000])
-def test_answers_in_any_pieces(size):
-    answers = cachewire.AnswerSplitter()
-    assert [a for piece in pieces(ANSWERS, size) for a in answers.feed(piece)] == [
+def test_cache_server_responses_are_split_from_chunks_of_any_size(size):
+    splitter = cachewire.AnswerSplitter()
+    assert [
+        response for chunk in split_into_chunks(RESPONSES, size) for response in splitter.feed(chunk)
+    ] == [
         (b"a1", b"data", {b"n": b"hit", b"l": b"util:0.5"}, b"ab\r\nc"),
         (b"a2", b"absent", {}, b""),
     ]
@@ -123,12 +131,12 @@
         b"a" * 5000,
     ],
 )
-def test_an_answer_that_cannot_be_read(line):
+def test_malformed_cache_server_response_raises_unreadable_error(line):
     with pytest.raises(UnreadableError):
         cachewire.AnswerSplitter().feed(line)
 
 
-def test_results_notes_and_load():
+def test_cache_server_results_and_load_are_read():
     read = cachewire.read_result
     assert read(
         b"data",
@@ -173,8 +181,8 @@
 )
 
 
-def test_what_a_cache_is_sent():
-    full = PLAIN_ATTEMPT._replace(
+def test_requests_to_cache_servers_are_encoded():
+    full_attempt = PLAIN_ATTEMPT._replace(
         part=b"03",
         fill_from="s-11",
         retention=2,
@@ -185,40 +193,42 @@
         known_version=b"4be0",
         body=b"x",
     )
-    assert cachewire.encode_pull(full, 1.2345) == (
+    assert cachewire.encode_pull(full_attempt, 1.2345) == (
         b"PULL 9b1f sort=page,asset=7f3a,slice=03,patience=1234,parent=s-11,shelf=2,accept=500,"
         b"hints=merge+local+revalidate,got=4be0 1\r\nx\r\n"
     )
     assert cachewire.encode_pull(PLAIN_ATTEMPT, 0.0) == (
         b"PULL 9b1f sort=page,asset=7f3a,slice=3,patience=1 0\r\n\r\n"
     )
-    keyed = PLAIN_ATTEMPT._replace(class_name=b"order", idempotency_key=b"1ff975")
-    assert b",patience=1,op=1ff975 0\r\n" in cachewire.encode_pull(keyed, 0.0)
+    attempt_with_key = PLAIN_ATTEMPT._replace(class_name=b"order", idempotency_key=b"1ff975")
+    assert b",patience=1,op=1ff975 0\r\n" in cachewire.encode_pull(attempt_with_key, 0.0)
     assert cachewire.encode_kill(b"9b1f") + cachewire.encode_echo(b"t") == b"KILL 9b1f\r\nECHO t\r\n"
 
 
-HEAD = b"HTTP/1.1 200 OK\r\n"
+OK_STATUS_LINE = b"HTTP/1.1 200 OK\r\n"
 
 
 @pytest.mark.parametrize("size", [1, 4, 1000])
 @pytest.mark.parametrize(
-    "wire, kept",
+    "wire, keeps_alive",
     [
-        (HEAD + b"Content-Length: 5\r\n\r\n{...}", True),
-        (HEAD + b"Connection: close\r\ncontent-length:5\r\n\r\n{...}", False),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + HEAD + b"Content-Length: 5\r\n\r\n{...}", True),
-        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n2;x=1\r\n{.\r\n3\r\n..}\r\n0\r\n\r\n", True),
+        (OK_STATUS_LINE + b"Content-Length: 5\r\n\r\n{...}", True),
+        (OK_STATUS_LINE + b"Connection: close\r\ncontent-length:5\r\n\r\n{...}", False),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + OK_STATUS_LINE + b"Content-Length: 5\r\n\r\n{...}", True),
+        (OK_STATUS_LINE + b"Transfer-Encoding: chunked\r\n\r\n2;x=1\r\n{.\r\n3\r\n..}\r\n0\r\n\r\n", True),
     ],
 )
-def test_an_answer_of_the_channel_in_any_pieces(wire, kept, size):
-    answer = http.ResponseParser()
-    assert [done for piece in pieces(wire, size) if (done := answer.feed(piece))] == [(200, b"{...}", kept)]
+def test_channel_response_is_parsed_from_chunks_of_any_size(wire, keeps_alive, size):
+    parser = http.ResponseParser()
+    assert [response for chunk in split_into_chunks(wire, size) if (response := parser.feed(chunk))] == [
+        (200, b"{...}", keeps_alive)
+    ]
 
 
-def test_an_answer_without_a_length_ends_with_its_connection():
-    answer = http.ResponseParser()
-    assert answer.feed(HEAD + b"\r\n{..") is None
-    assert answer.end() == (200, b"{..", False)
+def test_channel_response_without_a_length_ends_with_its_connection():
+    parser = http.ResponseParser()
+    assert parser.feed(OK_STATUS_LINE + b"\r\n{..") is None
+    assert parser.end() == (200, b"{..", False)
     with pytest.raises(UnreadableError):
         http.ResponseParser().end()
 
@@ -227,15 +237,15 @@
     "wire",
     [
         b"what\r\n\r\n",
-        HEAD + b"no colon\r\n\r\n",
-        HEAD + b"Content-Length: x\r\n\r\n",
-        HEAD + b"Content-Length: 99999999\r\n\r\n",
-        HEAD + b"Transfer-Encoding: chunked\r\n\r\nxyz\r\n",
-        HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\nabcd\r\n",
+        OK_STATUS_LINE + b"no colon\r\n\r\n",
+        OK_STATUS_LINE + b"Content-Length: x\r\n\r\n",
+        OK_STATUS_LINE + b"Content-Length: 99999999\r\n\r\n",
+        OK_STATUS_LINE + b"Transfer-Encoding: chunked\r\n\r\nxyz\r\n",
+        OK_STATUS_LINE + b"Transfer-Encoding: chunked\r\n\r\n2\r\nabcd\r\n",
         b"h" * 20000,
     ],
 )
-def test_an_answer_of_the_channel_that_cannot_be_read(wire):
+def test_malformed_channel_response_raises_unreadable_error(wire):
     with pytest.raises(UnreadableError):
         http.ResponseParser().feed(wire)
 
@@ -243,12 +253,12 @@
 @pytest.mark.parametrize(
     "body", [b"", b"[]", b"null", b"{}", b'{"cursor":"x","cmds":[]}', b'{"cursor":1,"cmds":{}}']
 )
-def test_commands_that_cannot_be_read(body):
+def test_malformed_commands_raise_command_format_error(body):
     with pytest.raises(commands.CommandFormatError):
         commands.read_commands(body, 0.0)
 
 
-def test_the_request_to_the_channel():
+def test_poll_of_the_command_channel_is_encoded():
     assert http.encode_poll("h:1", 41, 2000) == (
         b"GET /cmd/next?resume=41&block=2000 HTTP/1.1\r\nHost: h:1\r\nAccept: application/json\r\n\r\n"
     )
--- a/tests/net/test_wire_bytes.py
+++ b/tests/net/test_wire_bytes.py
@@ -1,4 +1,4 @@
-"""The exact bytes that the router writes on each wire, as literals."""
+"""The exact bytes that the router writes in each protocol, as literals."""
 
 import pytest
 
@@ -42,7 +42,7 @@
     known_version=None,
     body=b"",
 )
-FORGET_ARGUMENTS = (thrift.FIELD_HEADER.pack(thrift.I32, 1), thrift.INT32.pack(7), b"\0")
+CANCEL_ARGUMENTS = (thrift.FIELD_HEADER.pack(thrift.I32, 1), thrift.INT32.pack(7), b"\0")
 
 
 @pytest.mark.parametrize(
@@ -57,7 +57,7 @@
             "000001320b000200000004626f647900",
         ),
         (
-            thrift.encode_message(b"forget", thrift.ONEWAY, 8, *FORGET_ARGUMENTS),
+            thrift.encode_message(b"forget", thrift.ONEWAY, 8, *CANCEL_ARGUMENTS),
             "0000001a8001000400000006666f72676574000000080800010000000700",
         ),
         (
@@ -67,7 +67,7 @@
     ],
     ids=["serve", "forget", "isWell"],
 )
-def test_a_client_call_has_these_bytes(message, wire):
+def test_client_call_bytes(message, wire):
     assert message.hex() == wire
 
 
@@ -84,7 +84,7 @@
             "65640000000131020003010000",
         ),
         (
-            client_protocol.health(9, is_well=False),
+            client_protocol.health(9, is_healthy=False),
             "0000002b8001000200000006697357656c6c000000090c00000b0001000000000d00020b0b00000000020003000000",
         ),
         (
@@ -110,9 +110,9 @@
             "0000002d800100030000000473696e67000000070b00010000000e6e6f206d6574686f642073696e670800020000000100",
         ),
     ],
-    ids=["object", "unchanged", "unwell", "reject with wait", "reject", "fail", "bad field", "no method"],
+    ids=["object", "unchanged", "unhealthy", "reject with delay", "reject", "fail", "bad field", "no method"],
 )
-def test_a_reply_to_a_client_has_these_bytes(message, wire):
+def test_reply_to_client_bytes(message, wire):
     assert message.hex() == wire
 
 
@@ -161,7 +161,7 @@
     ],
     ids=["every field", "no field", "idempotency key", "cached only", "cancel", "health check"],
 )
-def test_a_line_to_a_cache_server_has_these_bytes(line, wire):
+def test_line_to_cache_server_bytes(line, wire):
     assert line == wire
 
 
@@ -181,5 +181,5 @@
     ],
     ids=["wait a second", "do not wait"],
 )
-def test_a_poll_of_the_command_channel_has_these_bytes(message, wire):
+def test_poll_of_command_channel_bytes(message, wire):
     assert message == wire
