--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -1,5 +1,8 @@
-"""The client library against a real service among stand-ins: it comes back when told, never beside what is out, and
-never later than it said."""
+"""The client library against a real router with emulated cache servers.
+
+A retry keeps to the delay that the router sent, never overlaps an attempt in flight, and stays within the
+request's timeout.
+"""
 
 import asyncio
 import random
@@ -12,33 +15,40 @@
 from hypothesis import strategies as st
 
 from brookhinge.client import Client
-from brookhinge.client.backoff import RETRY_AFTER_JITTER_S, retry_pause_s
+from brookhinge.client.backoff import RETRY_AFTER_JITTER_S, retry_delay_s
 from brookhinge.decisions.rules import CloseReason
 
-X = "ab" * 8
+OBJECT_KEY = "ab" * 8
 
 
-def played(scene, folder, machines=None):
+def run_scenario(scenario, folder, machines=None):
     async def run():
-        async with LocalDeployment(folder, machines) as town:
-            return await scene(town)
+        async with LocalDeployment(folder, machines) as deployment:
+            return await scenario(deployment)
 
     return asyncio.run(run())
 
 
-def boxes(**how):
-    return {server: Machine(**how) for server in ("s-21", "s-22", "s-23")}
+def cache_servers(**behavior):
+    return {server: Machine(**behavior) for server in ("s-21", "s-22", "s-23")}
 
 
-def test_it_asks_and_has_the_bytes(tmp_path):
-    async def scene(t):
-        async with Client(t.address) as client:
-            answer = await client.fetch(X)
-            wrong = await client.fetch(X, track="tune")
-            many = await asyncio.gather(*(client.fetch(X, part=n) for n in range(80)))
-        return answer.kind, answer.body, answer.tries, wrong.kind, wrong.why, {a.kind for a in many}
+def test_fetch_returns_the_bytes_or_the_error_of_the_router(tmp_path):
+    async def scenario(deployment):
+        async with Client(deployment.address) as client:
+            answer = await client.fetch(OBJECT_KEY)
+            unknown_class = await client.fetch(OBJECT_KEY, track="tune")
+            concurrent = await asyncio.gather(*(client.fetch(OBJECT_KEY, part=n) for n in range(80)))
+        return (
+            answer.kind,
+            answer.body,
+            answer.tries,
+            unknown_class.kind,
+            unknown_class.why,
+            {each.kind for each in concurrent},
+        )
 
-    assert played(scene, tmp_path) == (
+    assert run_scenario(scenario, tmp_path) == (
         "satisfied",
         b"bytes of the object",
         1,
@@ -48,39 +58,39 @@
     )
 
 
-def test_it_is_back_in_its_time_whatever_happens(tmp_path):
-    async def scene(t):
-        began = time.monotonic()
-        async with Client(t.address, tries=20) as client:
-            answer = await client.fetch(X, patience_s=0.6)
-        return answer.kind in ("refused", "failed"), answer.tries > 1, time.monotonic() - began < 0.9
+def test_retries_of_failing_requests_end_within_the_timeout(tmp_path):
+    async def scenario(deployment):
+        started_at = time.monotonic()
+        async with Client(deployment.address, tries=20) as client:
+            answer = await client.fetch(OBJECT_KEY, patience_s=0.6)
+        return answer.kind in ("refused", "failed"), answer.tries > 1, time.monotonic() - started_at < 0.9
 
-    assert played(scene, tmp_path, boxes(act="failed")) == (True, True, True)
+    assert run_scenario(scenario, tmp_path, cache_servers(act="failed")) == (True, True, True)
 
 
-def test_what_may_have_run_is_not_asked_again_unless_it_may(tmp_path):
-    async def scene(t):
-        async with Client(t.address, replayable=False) as client:
-            return (await client.fetch(X, track="order", patience_s=0.5)).tries
+def test_failed_request_is_not_retried_if_not_replayable(tmp_path):
+    async def scenario(deployment):
+        async with Client(deployment.address, replayable=False) as client:
+            return (await client.fetch(OBJECT_KEY, track="order", patience_s=0.5)).tries
 
-    assert played(scene, tmp_path, boxes(act="failed")) == 1
+    assert run_scenario(scenario, tmp_path, cache_servers(act="failed")) == 1
 
 
-def test_cancelled_it_is_forgotten_and_a_router_that_ends_is_gone(tmp_path):
-    async def scene(t):
-        async with Client(t.address, tries=1) as client:
-            asking = asyncio.ensure_future(client.fetch(X))
+def test_cancel_reaches_the_router_and_a_closed_connection_returns_gone(tmp_path):
+    async def scenario(deployment):
+        async with Client(deployment.address, tries=1) as client:
+            fetching = asyncio.ensure_future(client.fetch(OBJECT_KEY))
             await asyncio.sleep(0.1)
-            asking.cancel()
+            fetching.cancel()
             await asyncio.sleep(0.1)
-            left = t.service.state.totals.counts["left"]
-            asking = asyncio.ensure_future(client.fetch(X))
+            cancelled_count = deployment.service.state.totals.counts["left"]
+            fetching = asyncio.ensure_future(client.fetch(OBJECT_KEY))
             await asyncio.sleep(0.05)
-            for client in list(t.service.client_connections.clients.values()):
-                t.service.client_connections.drop(client, CloseReason.STOPPING)
-            return left, (await asking).kind
+            for connection in list(deployment.service.client_connections.clients.values()):
+                deployment.service.client_connections.drop(connection, CloseReason.STOPPING)
+            return cancelled_count, (await fetching).kind
 
-    assert played(scene, tmp_path, boxes(act="silent")) == (1, "gone")
+    assert run_scenario(scenario, tmp_path, cache_servers(act="silent")) == (1, "gone")
 
 
 @given(
@@ -90,43 +100,49 @@
     st.sampled_from([0.0, 0.05, 0.5, 3.0]),
     st.integers(),
 )
-def test_pauses_keep_what_was_told_and_never_outlive_the_query(left, tries, most, told, seed):
-    wait = retry_pause_s(
-        time_left_s=left,
-        attempts=tries,
-        max_attempts=most,
-        retry_after_s=told,
-        chance=random.Random(seed),
+def test_retry_delay_respects_the_router_and_the_time_left(
+    time_left_s, attempts, max_attempts, retry_after_s, seed
+):
+    delay_s = retry_delay_s(
+        time_left_s=time_left_s,
+        attempts=attempts,
+        max_attempts=max_attempts,
+        retry_after_s=retry_after_s,
+        rng=random.Random(seed),
     )
-    if wait is None:
-        assert tries >= most or left < told + 1.1
+    if delay_s is None:
+        assert attempts >= max_attempts or time_left_s < retry_after_s + 1.1
     else:
-        assert wait >= told and wait <= left and (not told or wait <= told + RETRY_AFTER_JITTER_S)
+        assert (
+            delay_s >= retry_after_s
+            and delay_s <= time_left_s
+            and (not retry_after_s or delay_s <= retry_after_s + RETRY_AFTER_JITTER_S)
+        )
 
 
-def test_pauses_of_many_without_a_told_time_are_spread():
-    waits = sorted(
-        retry_pause_s(time_left_s=9.0, attempts=4, max_attempts=9, retry_after_s=0.0, chance=random.Random(n))
+def test_retry_delays_are_spread_if_the_router_sends_none():
+    delays_s = sorted(
+        retry_delay_s(time_left_s=9.0, attempts=4, max_attempts=9, retry_after_s=0.0, rng=random.Random(n))
         for n in range(1000)
     )
-    assert waits[100] < 0.06 < waits[500] < waits[900] and waits[-1] <= 0.4
+    assert delays_s[100] < 0.06 < delays_s[500] < delays_s[900] and delays_s[-1] <= 0.4
 
 
-def test_ask_from_the_command_line(tmp_path):
-    async def scene(t):
+def test_ask_command_prints_the_outcome_and_sets_the_exit_status(tmp_path):
+    async def scenario(deployment):
         def run(*args):
-            done = subprocess.run(
-                [sys.executable, "-m", "brookhinge", "ask", "%s:%d" % t.address, *args],
+            process = subprocess.run(
+                [sys.executable, "-m", "brookhinge", "ask", "%s:%d" % deployment.address, *args],
                 capture_output=True,
                 timeout=30,
             )
-            return done.returncode, done.stdout, done.stderr.decode()
+            return process.returncode, process.stdout, process.stderr.decode()
 
-        good = await asyncio.to_thread(run, X, "--out", "-")
-        bad = await asyncio.to_thread(run, "xyz")
-        return good, bad[0], bad[2].count("\n")
+        success = await asyncio.to_thread(run, OBJECT_KEY, "--out", "-")
+        invalid_object = await asyncio.to_thread(run, "xyz")
+        return success, invalid_object[0], invalid_object[2].count("\n")
 
-    assert played(scene, tmp_path) == (
+    assert run_scenario(scenario, tmp_path) == (
         (0, b"bytes of the object", "satisfied after 1 tries, 19 bytes\n"),
         2,
         1,
