--- a/benchmarks/soak/driver.py
+++ b/benchmarks/soak/driver.py
@@ -163,7 +163,7 @@
             connection = Connection((world.HOST, self.port))
             try:
                 await asyncio.wait_for(connection.connect(), 1.0)
-                well = await connection.well()
+                well = await connection.is_healthy()
                 connection.close()
                 if well:
                     self.ready = True
--- a/brookhinge/cache_server/command_channel.py
+++ b/brookhinge/cache_server/command_channel.py
@@ -61,7 +61,7 @@
         self.cursor = self._durable_up_to(self.taken)
         return await super().poll()
 
-    def take(self, cursor: int, commands: Sequence[Command]) -> None:
+    def apply_commands(self, cursor: int, commands: Sequence[Command]) -> None:
         """Post the commands of one answer, as far as they are new."""
         gap = self._gap(cursor, commands)
         for command in commands:
--- a/brookhinge/client/client.py
+++ b/brookhinge/client/client.py
@@ -98,7 +98,7 @@
         header = thrift.FIELD_HEADER.pack(thrift.MAP, 1)
         return await self.call(b"serve", header, thrift.encode_string_map(encoded), timeout_s=timeout_s)
 
-    async def well(self) -> bool:
+    async def is_healthy(self) -> bool:
         """Return whether the router answers a health check."""
         answer = await self.call(b"isWell", timeout_s=HEALTH_CHECK_TIMEOUT_S)
         return answer.kind == "satisfied"
--- a/brookhinge/net/client_calls.py
+++ b/brookhinge/net/client_calls.py
@@ -66,7 +66,7 @@
             self._start_read(client)
             while True:
                 data = await client.pending_read
-                received_at = self._receive_times.received_at(client.emptied_at, client.waiting_since)
+                received_at = self._receive_times.received_at(client.last_empty_at, client.waiting_since)
                 data += self._read_available(client, thrift.MAX_FRAME_BYTES - len(data))
                 if self._connections.is_open(client) and client.close_cause is None:
                     self._process_bytes(client, frames, data, received_at)
@@ -90,7 +90,7 @@
         checked_at = self._connections.now()
         client.pending_read = client.stream.read_bytes(READ_BYTES, partial=True)
         if not client.pending_read.done():
-            client.emptied_at = checked_at
+            client.last_empty_at = checked_at
             client.waiting_since = None
 
     def _read_available(self, client: ClientConnection, limit: int) -> bytes:
--- a/brookhinge/net/client_connection.py
+++ b/brookhinge/net/client_connection.py
@@ -61,7 +61,7 @@
         used_at: Time of the last call received or the last reply written.
         has_called: Whether the client has made a call.
         partial_since: Time since which a call has been incomplete, or None if there is none.
-        emptied_at: Time of the last check that found no unread bytes.
+        last_empty_at: Time of the last check that found no unread bytes.
         waiting_since: Earliest time at which the connection may have entered the backlog; None if it did
             not wait or once all bytes received while it waited have been read.
         pending_read: Result of the read in progress, or None.
@@ -90,7 +90,7 @@
         self.used_at = now
         self.has_called = False
         self.partial_since: float | None = None
-        self.emptied_at = now
+        self.last_empty_at = now
         self.waiting_since: float | None = None
         self.pending_read: asyncio.Future[bytes] | None = None
         self.may_read = asyncio.Event()
@@ -162,7 +162,7 @@
         is_read_done = self.pending_read is not None and self.pending_read.done()
         return not (self._unsent_bytes or self.calls or is_read_done)
 
-    def is_silent(self) -> bool:
+    def has_no_unread_bytes(self) -> bool:
         """Return whether the kernel holds no unread bytes; a close would lose an unread call."""
         return stream.unread(self.stream.socket) in (Unread.NOTHING, Unread.END)
 
--- a/brookhinge/net/client_connections.py
+++ b/brookhinge/net/client_connections.py
@@ -164,7 +164,7 @@
         ]
         count_before = len(self.clients)
         for client in heapq.nsmallest(MAX_CLOSED_FOR_CAPACITY, idle, key=lambda client: client.used_at):
-            self.release(client, CloseReason.ROOM)
+            self.close_gracefully(client, CloseReason.ROOM)
         self.lingering.trim()
         return len(self.clients) < count_before
 
@@ -209,11 +209,11 @@
         now = self.now()
         if client is None or number not in client.unanswered:
             return HeldBack.CLIENT_GONE
-        if now - client.emptied_at <= EMPTY_CHECK_TTL_S:
+        if now - client.last_empty_at <= EMPTY_CHECK_TTL_S:
             return None
         if client.has_unread():
             return HeldBack.CLIENT_UNREAD
-        client.emptied_at = now
+        client.last_empty_at = now
         return None
 
     # Writing.
@@ -293,7 +293,7 @@
         if self._has_open_requests(client.number):
             return
         if client.is_idle():
-            self.release(client, CloseReason.IDLE if client.has_called else CloseReason.NO_CALL)
+            self.close_gracefully(client, CloseReason.IDLE if client.has_called else CloseReason.NO_CALL)
         elif client.close_cause:  # the client does not read its last replies
             self.drop(client, CloseReason.UNREAD)
 
@@ -307,15 +307,17 @@
         """Close a connection even if calls on it are unread, and log the cause."""
         if self.is_open(client):
             self._log("client connection", why=cause.detail)
-            self.release(client, cause.reason, is_forced=True)
+            self.close_gracefully(client, cause.reason, is_forced=True)
 
-    def release(self, client: ClientConnection, reason: CloseReason, *, is_forced: bool = False) -> None:
+    def close_gracefully(
+        self, client: ClientConnection, reason: CloseReason, *, is_forced: bool = False
+    ) -> None:
         """Shut down a connection for writing and close it after a linger time.
 
         An immediate close could reset the connection and lose replies in transit. A connection with an
         unread call stays open, unless the close is forced.
         """
-        if not (is_forced or client.is_silent()):
+        if not (is_forced or client.has_no_unread_bytes()):
             return
         self._remove(client, reason)
         if client.unsent_bytes:  # the client does not read: its replies are discarded
@@ -356,7 +358,7 @@
         while (self.clients or self.lingering) and self.now() < until:
             for client in list(self.clients.values()):
                 if client.is_idle() and not self._has_open_requests(client.number):
-                    self.release(client, CloseReason.STOPPING)
+                    self.close_gracefully(client, CloseReason.STOPPING)
             await asyncio.sleep(CLOSE_CHECK_INTERVAL_S)
         for client in [*self.clients.values(), *self.lingering]:
             self.drop(client, CloseReason.STOPPING)
--- a/brookhinge/net/command_channel.py
+++ b/brookhinge/net/command_channel.py
@@ -28,7 +28,7 @@
 
 
 class CommandChannel:
-    """Follows the commands of one address. Subclasses may override `poll` and `take`.
+    """Follows the commands of one address. Subclasses may override `poll` and `apply_commands`.
 
     Attributes:
         post: Called with each command.
@@ -77,7 +77,7 @@
         # Send time of the last poll that was answered: all commands up to then are known.
         self._known_until = float("-inf")
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Switch to another address and continue after the last command; a poll of the old one ends."""
         self._address = address
         self._address_changed.set()
@@ -102,7 +102,7 @@
                 self.close()
             self._backoff_s = MIN_BACKOFF_S
             self._has_failed = False
-            self.take(cursor, commands)
+            self.apply_commands(cursor, commands)
             self._known_until = self._polled_at  # set last: before, the commands are read but not posted
         except (TimeoutError, StreamClosedError, OSError) as error:
             return type(error).__name__
@@ -159,7 +159,7 @@
         self.stream.set_nodelay(True)
         await self.stream.connect(self._address)
 
-    def take(self, cursor: int, commands: Sequence[Command]) -> None:
+    def apply_commands(self, cursor: int, commands: Sequence[Command]) -> None:
         """Post the commands of one response."""
         for command in commands:
             self.post(command)
--- a/brookhinge/net/receive_times.py
+++ b/brookhinge/net/receive_times.py
@@ -50,15 +50,15 @@
         """Return since when a connection accepted now may have waited in the backlog; None if it did not."""
         return earliest(self._accept_failing_since, self._watch.blind_from(self._backlog_empty_at))
 
-    def received_at(self, emptied_at: float, waiting_since: float | None) -> float:
+    def received_at(self, last_empty_at: float, waiting_since: float | None) -> float:
         """Return the earliest time at which bytes that are read now may have been received.
 
         Args:
-            emptied_at: Time of the last check that found their connection empty.
+            last_empty_at: Time of the last check that found their connection empty.
             waiting_since: `waiting_since()` of the connection if the bytes may have arrived before it was
                 accepted, else None.
         """
-        blind_since = self._watch.blind_from(max(emptied_at, self._all_read_until))
+        blind_since = self._watch.blind_from(max(last_empty_at, self._all_read_until))
         received_at = earliest(blind_since, waiting_since)
         return self._watch.now() if received_at is None else received_at
 
--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -371,7 +371,7 @@
         """Take the command channel of a new configuration; all else is read at a start alone."""
         host, port = site.channel
         self.log("configuration", channel=f"{host}:{port}")
-        self.command_channel.move(site.channel)
+        self.command_channel.change_address(site.channel)
 
     def stop(self) -> None:
         """End gracefully: drain, answer what is open, then return from `run`."""
--- a/tests/crossings/test_rare.py
+++ b/tests/crossings/test_rare.py
@@ -248,7 +248,7 @@
     errors = errno.EAGAIN, errno.ECONNRESET, errno.ENOMEM, errno.ENOBUFS
     memory = client_connection.MemoryUse(0)
     silent = [
-        client_connection.ClientConnection(1, FailingStream(error), 0.0, memory).is_silent()
+        client_connection.ClientConnection(1, FailingStream(error), 0.0, memory).has_no_unread_bytes()
         for error in errors
     ]
     assert silent == [True, True, False, False]
--- a/tests/crossings/test_sockets.py
+++ b/tests/crossings/test_sockets.py
@@ -171,14 +171,16 @@
     """It came after the last look for it and before the close."""
 
     async def scene(t):
-        raw, silent = Raw(t.address), client_connection.ClientConnection.is_silent
+        raw, silent = Raw(t.address), client_connection.ClientConnection.has_no_unread_bytes
         await until(lambda: len(t.service.client_connections.clients) == 2)
         monkeypatch.setattr(
             client_connection.ClientConnection,
-            "is_silent",
+            "has_no_unread_bytes",
             lambda c: raw.asks(1).send() and silent(c) if c.number == 2 else silent(c),
         )
-        t.service.client_connections.release(t.service.client_connections.clients[2], CloseReason.IDLE)
+        t.service.client_connections.close_gracefully(
+            t.service.client_connections.clients[2], CloseReason.IDLE
+        )
         return await (await raw.caller()).hear()
 
     assert played(scene, tmp_path) == (1, "satisfied 19")
@@ -240,7 +242,7 @@
     """It is written after the last query was settled and before the connection's end."""
 
     async def scene(t):
-        raw, silent, sent = Raw(t.address), client_connection.ClientConnection.is_silent, []
+        raw, silent, sent = Raw(t.address), client_connection.ClientConnection.has_no_unread_bytes, []
         await until(lambda: len(t.service.client_connections.clients) == 2)
 
         def crossing(client):
@@ -248,7 +250,7 @@
                 sent.append(raw.asks(1).send())
             return silent(client)
 
-        monkeypatch.setattr(client_connection.ClientConnection, "is_silent", crossing)
+        monkeypatch.setattr(client_connection.ClientConnection, "has_no_unread_bytes", crossing)
         t.service.stop()
         await t.task
         caller = await raw.caller()
--- a/tests/standstill/test_held_back.py
+++ b/tests/standstill/test_held_back.py
@@ -49,7 +49,7 @@
         raw, decided = await one_out(t)
         await until(t.service.scheduler.is_caught_up)
         before = t.service.write_guard.hold_reason(decided)
-        t.service.client_connections.clients[2].emptied_at = t.service.command_channel.checked_empty_at = (
+        t.service.client_connections.clients[2].last_empty_at = t.service.command_channel.checked_empty_at = (
             float("-inf")
         )
         return before, t.service.write_guard.hold_reason(change(t, raw, decided) or decided)
