--- a/brookhinge/client/client.py
+++ b/brookhinge/client/client.py
@@ -74,7 +74,7 @@
     async def call(self, method: bytes, *arguments: bytes, timeout_s: float = DEFAULT_TIMEOUT_S) -> Answer:
         """Return the answer to one call; GONE if the connection ends first or no response arrives in time.
 
-        If the task is cancelled, the router is told to cancel the request.
+        If the task is cancelled, a cancel is sent to the router.
         """
         async with self._slots:
             if not self.open:
@@ -278,7 +278,7 @@
 
 
 def fetch(address: Address, object_: str, **request: Any) -> Answer:  # noqa: ANN401 - as Client.fetch
-    """Fetch without an event loop, over a connection of its own; arguments as for Client.fetch."""
+    """Fetch without an event loop, over a new connection; arguments as for Client.fetch."""
 
     async def run() -> Answer:
         async with Client(address) as client:
--- a/brookhinge/net/client_calls.py
+++ b/brookhinge/net/client_calls.py
@@ -60,7 +60,7 @@
 
     async def read(self, client: ClientConnection) -> None:
         """Read a connection until its end."""
-        frames = thrift.FrameSplitter()
+        splitter = thrift.FrameSplitter()
         failure = None
         try:
             self._start_read(client)
@@ -69,7 +69,7 @@
                 received_at = self._receive_times.received_at(client.last_empty_at, client.waiting_since)
                 data += self._read_available(client, thrift.MAX_FRAME_BYTES - len(data))
                 if self._connections.is_open(client) and client.close_cause is None:
-                    self._process_bytes(client, frames, data, received_at)
+                    self._process_bytes(client, splitter, data, received_at)
                     while client.queued_bytes > MAX_QUEUED_BYTES:
                         client.may_read.clear()
                         await client.may_read.wait()
@@ -106,17 +106,17 @@
         return data
 
     def _process_bytes(
-        self, client: ClientConnection, frames: thrift.FrameSplitter, data: bytes, received_at: float
+        self, client: ClientConnection, splitter: thrift.FrameSplitter, data: bytes, received_at: float
     ) -> None:
-        calls = frames.feed(data)
+        calls = splitter.feed(data)
         client.add_calls(calls, received_at)
-        if not frames.buffered:
+        if not splitter.buffered:
             client.partial_since = None
         elif calls or client.partial_since is None:
             client.partial_since = received_at
-        client.set_buffered(client.queued_bytes + len(frames.buffered))
-        if frames.error:
-            client.close_cause = CloseCause(CloseReason.UNREADABLE, f"unreadable: {frames.error}")
+        client.set_buffered(client.queued_bytes + len(splitter.buffered))
+        if splitter.error:
+            client.close_cause = CloseCause(CloseReason.UNREADABLE, f"unreadable: {splitter.error}")
         self.process_calls(client)
         self._apply_queued_cancels(client)
         self._connections.enforce_memory_limit()
--- a/brookhinge/net/client_connections.py
+++ b/brookhinge/net/client_connections.py
@@ -250,7 +250,7 @@
 
     def _note_flushed(self, client: ClientConnection, size: int, flushed: asyncio.Future[None]) -> None:
         if not flushed.cancelled():
-            flushed.exception()  # looked at, or asyncio would log it
+            flushed.exception()  # retrieved, or asyncio would log it as never retrieved
         client.add_unsent(-size)
         self.calls.process_calls(client)
 
--- a/brookhinge/net/request_validation.py
+++ b/brookhinge/net/request_validation.py
@@ -19,7 +19,7 @@
 TIMEOUT_SLACK_S = 0.001  # clients send timeouts in whole milliseconds
 
 _is_hex_id = re.compile(rb"[0-9a-f]{16}").fullmatch
-_is_word = re.compile(rb"[\w.:-]{1,80}").fullmatch
+_is_token = re.compile(rb"[\w.:-]{1,80}").fullmatch
 _is_integer = re.compile(rb"[0-9]{1,9}").fullmatch
 _is_decimal = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,12})?").fullmatch
 
@@ -44,15 +44,15 @@
 
 
 FIELD_RULES = (
-    FieldRule(REQUEST_CLASS, _is_word, True),
+    FieldRule(REQUEST_CLASS, _is_token, True),
     FieldRule(REQUEST_ID, _is_hex_id, True),
     FieldRule(TIMEOUT_MS, _is_integer, True),
     FieldRule(OBJECT_KEY, _is_hex_id, True),
     FieldRule(PART, _is_integer, True),
     FieldRule(PURGE_GROUP, _is_integer, False),
     FieldRule(SIZE_KB, _is_decimal, False),
-    FieldRule(KNOWN_VERSION, _is_word, False),
-    FieldRule(IDEMPOTENCY_KEY, _is_word, False),
+    FieldRule(KNOWN_VERSION, _is_token, False),
+    FieldRule(IDEMPOTENCY_KEY, _is_token, False),
 )
 
 
@@ -76,15 +76,15 @@
     body = call.arguments.get(BODY_ARGUMENT, b"")
     check_fields(fields)
     request_class = fields[REQUEST_CLASS]
-    class_timeout_s = max_timeout_s.get(request_class)
-    if class_timeout_s is None:
+    max_class_timeout_s = max_timeout_s.get(request_class)
+    if max_class_timeout_s is None:
         raise invalid_field("service: no such class")
     purge_group = int(fields.get(PURGE_GROUP, 0))
     timeout_s = int(fields[TIMEOUT_MS]) / 1000.0
     size_kb = float(fields.get(SIZE_KB, 0.0))
     if purge_group > MAX_PURGE_GROUP:
         raise invalid_field("lot: out of range")
-    if not 0.0 < timeout_s <= class_timeout_s + TIMEOUT_SLACK_S:
+    if not 0.0 < timeout_s <= max_class_timeout_s + TIMEOUT_SLACK_S:
         raise invalid_field("allow: out of range")
     if not size_kb and SIZE_KB in fields:
         raise invalid_field("room: out of range")
--- a/brookhinge/net/stream.py
+++ b/brookhinge/net/stream.py
@@ -34,7 +34,7 @@
 class Stream(IOStream):
     """A stream that retries reads and writes when the kernel is short of memory.
 
-    Tornado's IOStream closes on every error except 'would block', which ends all requests on the connection.
+    On every error except 'would block', Tornado's IOStream closes the connection with all requests on it.
     """
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
--- a/tests/net/test_codecs.py
+++ b/tests/net/test_codecs.py
@@ -149,16 +149,16 @@
         },
         [b"x0", b"util", b"x1"],
     ) == ("satisfied", 10, 0.012, [1.0, 0.5, 0.0], 1.5, b"ab", None)
-    assert [read(word, {}, [])[0] for word in (b"unchanged", b"absent", b"full", b"failed", b"moot")] == [
+    assert [read(status, {}, [])[0] for status in (b"unchanged", b"absent", b"full", b"failed", b"moot")] == [
         "satisfied",
         "miss",
         "full",
         "errored",
         "moot",
     ]
-    for word, fields in ((b"maybe", {}), (b"data", {b"first": b"soon"}), (b"data", {b"l": b"util:x"})):
+    for status, fields in ((b"maybe", {}), (b"data", {b"first": b"soon"}), (b"data", {b"l": b"util:x"})):
         with pytest.raises(UnreadableError):
-            read(word, fields, [b"util"])
+            read(status, fields, [b"util"])
 
 
 PLAIN_ATTEMPT = SendAttempt(
