--- a/brookhinge/verdicts/__init__.py
+++ b/brookhinge/verdicts/__init__.py
@@ -1,14 +1,13 @@
-"""Fleet outlier detection: what all routers saw of a server, and what one router makes of it.
+"""Fleet outlier detection: routers share evidence of failing servers; each decides which ones to eject.
 
 See docs/design/verdicts.md.
 
-    evidence.py           attempts and failures by router, server and start; doubling and order change nothing
-    detector.py           whether a server is an outlier by the evidence of many; whose own trouble it is
-    otherwise collection.py         the exchange of evidence, and whose turn a trial of an ejected server is
-    outlier_detection.py  the core of one router: rounds, ejections, reports to the engine, status rows
-    shared.py             the decisions' outlier ejection with what members saw as a prior
+    evidence.py           attempts and failures by router, server and start; idempotent, in any order
+    detector.py           finds outliers in the evidence of several routers, and failures local to one router
+    collection.py         exchanges evidence, and assigns turns to try an ejected server
+    outlier_detection.py  the core of one router: rounds, ejections, events for the engine, status rows
+    shared.py             the decisions' outlier ejector, extended by the fleet's verdicts
 
-Evidence is shared, never an opinion: each router decides by itself. Times are float seconds of one
-monotonic clock per process; a server's start is in milliseconds of the Unix clock, as the command channel
-tells it.
+Routers share evidence, not conclusions: each decides by itself. Times are float seconds of one monotonic
+clock per process; the start time of a server comes from the command channel, in Unix milliseconds.
 """
--- a/brookhinge/verdicts/evidence.py
+++ b/brookhinge/verdicts/evidence.py
@@ -1,37 +1,37 @@
 """Outlier evidence: attempts and failures of servers, as counted by each router. No I/O, no clock.
 
-What goes over the wire are totals since a router's process began, with a number that rises: a datagram that
-comes twice, late or out of order changes nothing. What acts is the growth of a total within the last
-EVIDENCE_S; what came before the first total that was received is nobody's evidence, for its age is not known.
+Routers send totals since their process started, with increasing report numbers, so a datagram that arrives
+twice, late or out of order has no effect. The evidence is the growth of a total within the last EVIDENCE_S.
+Attempts counted in the first total received from a router are not evidence, since their age is unknown.
 """
 
 from collections import deque
 from collections.abc import Iterable
 from typing import NamedTuple
 
-EVIDENCE_S = 4.0  # no older evidence acts
-SLOT_S = 0.5  # one total is kept for so long a stretch
-MAX_EXTRA_DELAY_S = 1.0  # over the quickest report of a router; a later one is ignored
+EVIDENCE_S = 4.0  # maximum age of evidence
+SLOT_S = 0.5  # one total is kept per slot
+MAX_EXTRA_DELAY_S = 1.0  # above the fastest report of a router; slower reports are ignored
 FORGET_AFTER_S = 2 * EVIDENCE_S
 LONG_AGO = -1e9
 
 
 class Server(NamedTuple):
-    """One start of a server."""
+    """Identifies one start of a server; `started_at_ms` is in Unix milliseconds."""
 
     name: str
     started_at_ms: int
 
 
 class Counts(NamedTuple):
-    """Attempts, and how many of them failed."""
+    """A number of attempts, and how many of them failed."""
 
     attempts: int
     failures: int
 
 
 class Total(NamedTuple):
-    """A router's counts since its process began, as received at a moment."""
+    """A router's counts since its process started, and when they were received."""
 
     received_at: float
     attempts: int
@@ -39,19 +39,20 @@
 
 
 class ReporterLog:
-    """Totals received of one router by server, and the number of the last of them."""
+    """Totals received from one router, and the number of the last report, by server."""
 
     __slots__ = ("last_numbers", "quickest_delay_s", "received_at", "totals")
 
     def __init__(self) -> None:
         self.last_numbers: dict[Server, int] = {}
-        self.quickest_delay_s: float | None = None  # of two clocks: only differences of it mean anything
+        # Measured between two clocks: only differences between delays are meaningful.
+        self.quickest_delay_s: float | None = None
         self.totals: dict[Server, deque[Total]] = {}
         self.received_at = LONG_AGO
 
 
 class Evidence:
-    """What was received of all routers, by their incarnation ids."""
+    """Holds the totals received from all routers, by their incarnation ids."""
 
     def __init__(self) -> None:
         self.reporters: dict[int, ReporterLog] = {}
@@ -59,14 +60,14 @@
     def receive(
         self, now: float, router: int, number: int, sent_at: float, totals: Iterable[tuple[Server, int, int]]
     ) -> None:
-        """Take a report.
+        """Record a report, unless it was delayed too long.
 
         Args:
-            now: seconds.
-            router: who counted.
-            number: of the report; it rises.
-            sent_at: seconds of the sender's clock.
-            totals: (server, attempts, failures) each.
+            now: Current time.
+            router: Incarnation id of the router that counted.
+            number: Number of the report; increases with each report of the router.
+            sent_at: Time of sending, by the sender's clock.
+            totals: Rows (server, attempts, failures).
         """
         log = self.reporters.setdefault(router, ReporterLog())
         delay_s = now - sent_at
@@ -81,7 +82,7 @@
                 _append(log.totals.setdefault(server, deque()), Total(now, attempts, failures))
 
     def witnesses(self, server: Server, now: float) -> dict[int, Counts]:
-        """What each router that tried a server of late saw of it."""
+        """Return the recent counts of each router that recently tried a server."""
         return {
             router: counts
             for router, log in self.reporters.items()
@@ -89,7 +90,7 @@
         }
 
     def servers(self, now: float) -> set[Server]:
-        """All that any router tried of late."""
+        """Return the servers that any router recently tried."""
         return {
             server
             for log in self.reporters.values()
@@ -98,7 +99,7 @@
         }
 
     def expire(self, now: float) -> None:
-        """Drop what is too old to act."""
+        """Drop totals that are too old to be evidence."""
         for router, log in list(self.reporters.items()):
             if now - log.received_at > FORGET_AFTER_S:
                 del self.reporters[router]
@@ -112,7 +113,11 @@
 
 
 def _append(totals: deque[Total], total: Total) -> None:
-    """Keep a total, one a slot. What grew in a gap has no age; totals never fall within one process."""
+    """Append a total, keeping one per slot.
+
+    Earlier totals are dropped after a gap, since growth during the gap has no known age. A total that is
+    lower than the last one is ignored, since totals never decrease within one process.
+    """
     now = total.received_at
     if totals and now - totals[-1].received_at > EVIDENCE_S:
         totals.clear()
@@ -125,7 +130,7 @@
 
 
 def _growth(totals: deque[Total], now: float) -> Counts:
-    """By how much the totals grew within the last EVIDENCE_S."""
+    """Return the growth of the totals within the last EVIDENCE_S."""
     if not totals or now - totals[-1].received_at > EVIDENCE_S:
         return Counts(0, 0)
     first = next(total for total in totals if now - total.received_at <= EVIDENCE_S)
--- a/brookhinge/verdicts/outlier_detection.py
+++ b/brookhinge/verdicts/outlier_detection.py
@@ -1,4 +1,4 @@
-"""The core of fleet outlier detection of one router: rounds, ejections, reports to the engine. No I/O."""
+"""The outlier detection core of one router: rounds, ejections, events for the engine. No I/O."""
 
 import enum
 import math
@@ -12,23 +12,23 @@
 from brookhinge.verdicts.evidence import EVIDENCE_S, Counts, Server
 
 REPORT_INTERVAL_S = 0.5
-RAMP_S = 3.0  # over which requests come back after an ejection
+RAMP_S = 3.0  # duration of the increase from few requests to all after an ejection
 
-Seen = Mapping[Server, Mapping[int, Counts]]
+Observations = Mapping[Server, Mapping[int, Counts]]
 
 
 class Verdict(enum.StrEnum):
-    """What a row of OutlierVerdictsChanged says of a server, for so many seconds."""
+    """The verdict on a server in a row of OutlierVerdictsChanged."""
 
     EJECTED = "rest"
     TRIAL = "trial"
     RAMP = "ramp"
-    NO_EVIDENCE = "alone"  # not ejected any more, for there is no evidence of any router
+    NO_EVIDENCE = "alone"  # no longer ejected, since no router has recent evidence
     HEALTHY = "well"
 
 
 class Ejection:
-    """A server that is ejected by the fleet's evidence: since when and why, and when its ramp began."""
+    """The ejection of a server: start time, reason, and the start of its ramp; None before the ramp."""
 
     __slots__ = ("ramp_began_at", "reason", "since")
 
@@ -39,19 +39,19 @@
 
     @property
     def is_ramping(self) -> bool:
-        """Whether trials went well and requests come back."""
+        """Whether trials succeeded and requests are being increased again."""
         return self.ramp_began_at is not None
 
 
 class OutlierDetection:
-    """Decides by the evidence of all routers which servers this one leaves alone.
+    """Decides which servers this router ejects, by the evidence of all routers.
 
-    OutlierVerdictsChanged has rows (server, start, verdict, seconds): see Verdict.
+    Posts OutlierVerdictsChanged with rows (server, start, verdict, seconds that the verdict holds).
     """
 
     message_types = (EvidenceReport, EvidenceTable)
     status_topic = StatusTopic.VERDICTS
-    shrinks_at = math.inf  # what is said to the engine has its end with it
+    shrinks_at = math.inf  # verdicts are posted with their duration
 
     def __init__(
         self,
@@ -62,30 +62,30 @@
         servers: Callable[[], int],
         now: float,
     ) -> None:
-        """Start.
+        """Initialize the core.
 
         Args:
-            context: this router and the fleet.
-            routers: how many stand in the zone.
-            own_totals: (attempts, failures) of this process by server and start.
-            servers: how many there are to choose from.
-            now: seconds.
+            context: This router and the view of its fleet.
+            routers: Returns the number of routers in the zone.
+            own_totals: Returns (attempts, failures) of this process by server and start.
+            servers: Returns the number of servers to choose from.
+            now: Current time.
         """
         self.collection = EvidenceCollection(context)
         self.routers = routers
         self.own_totals = own_totals
         self.servers = servers
         self.ejections: dict[Server, Ejection] = {}
-        self.own_trouble: set[Server] = set()
+        self.local_failures: set[Server] = set()
         self._next_report_at = now
         self._posted: set[Server] = set()
 
     def next_at(self) -> float:
-        """When the next report is due."""
+        """Return when the next report is due."""
         return self._next_report_at
 
     def round(self, now: float, inbox: Sequence[CoreMessage], writer: CoreWriter) -> None:
-        """Take what was received, then report and decide if it is due."""
+        """Process received messages, then report and decide if a report is due."""
         for received in inbox:
             if isinstance(received.message, EvidenceReport):
                 self.collection.receive_report(now, received)
@@ -98,30 +98,32 @@
     def _report(self, now: float, writer: CoreWriter) -> None:
         own_totals = {Server(*server): Counts(*counts) for server, counts in self.own_totals().items()}
         self.collection.take_own_totals(now, own_totals)
-        seen = self.collection.seen(now)
+        observations = self.collection.observations(now)
         for server in self.collection.report(now, own_totals, writer):
             self.collection.take_turn(now, server, self.ejections)
-        self._decide(now, seen, writer)
+        self._decide(now, observations, writer)
 
-    def _decide(self, now: float, seen: Seen, writer: CoreWriter) -> None:
-        """Eject and take back by the evidence as it is now."""
+    def _decide(self, now: float, observations: Observations, writer: CoreWriter) -> None:
+        """Eject and readmit servers by the current evidence."""
         ejected = [server for server, ejection in self.ejections.items() if not ejection.is_ramping]
-        outliers = detector.find_outliers(seen, self.routers(), self.servers(), ejected)
-        self.own_trouble = set(detector.own_trouble(seen, self.collection.incarnation_id))
+        outliers = detector.find_outliers(observations, self.routers(), self.servers(), ejected)
+        self.local_failures = set(detector.local_failures(observations, self.collection.incarnation_id))
         for server, rate in outliers.items():
             ejection = self.ejections.get(server)
             if ejection is None or ejection.is_ramping:
-                attempts = detector.pool(seen[server]).attempts
+                attempts = detector.pool(observations[server]).attempts
                 self.ejections[server] = Ejection(now, f"{rate:.2f} of {attempts} failed")
-        without_evidence = self._take_back(now, seen, outliers)
+        without_evidence = self._readmit(now, observations, outliers)
         self.collection.expire_turns(now, self.ejections)
-        self._post(now, seen, without_evidence, writer)
+        self._post(now, observations, without_evidence, writer)
 
-    def _take_back(self, now: float, seen: Seen, outliers: Mapping[Server, float]) -> list[Server]:
-        """End ejections by a ramp when trials went well, at once without evidence; return the latter."""
+    def _readmit(
+        self, now: float, observations: Observations, outliers: Mapping[Server, float]
+    ) -> list[Server]:
+        """Start ramps after healthy trials; end ejections without evidence at once and return those."""
         without_evidence = []
         for server, ejection in list(self.ejections.items()):
-            pooled = detector.pool(seen.get(server, {}))
+            pooled = detector.pool(observations.get(server, {}))
             if not ejection.is_ramping and not pooled.attempts:
                 without_evidence.append(server)
                 del self.ejections[server]
@@ -129,7 +131,7 @@
             if (
                 not ejection.is_ramping
                 and server not in outliers
-                and pooled.attempts >= detector.HEALTHY_TRIALS
+                and pooled.attempts >= detector.MIN_HEALTHY_TRIALS
                 and pooled.failure_rate < detector.HEALTHY_FAILURE_RATE
             ):
                 ejection.ramp_began_at = now
@@ -137,24 +139,26 @@
                 del self.ejections[server]
         return without_evidence
 
-    def _post(self, now: float, seen: Seen, without_evidence: list[Server], writer: CoreWriter) -> None:
-        """Post all verdicts in force to the engine, and which are over."""
+    def _post(
+        self, now: float, observations: Observations, without_evidence: list[Server], writer: CoreWriter
+    ) -> None:
+        """Post all verdicts in force to the engine, and the end of those no longer in force."""
         rows: list[Row] = []
         for server, ejection in self.ejections.items():
-            own = seen.get(server, {}).get(self.collection.incarnation_id, Counts(0, 0))
-            if not detector.outweighs(own):
+            own = observations.get(server, {}).get(self.collection.incarnation_id, Counts(0, 0))
+            if not detector.outweighs_fleet(own):
                 verdict, until = self._verdict(now, server, ejection)
                 rows.append((*server, verdict, round(until - now, 3)))
-        posting = {Server(*row[:2]) for row in rows}
-        for server in sorted(self._posted - posting):
+        in_force = {Server(*row[:2]) for row in rows}
+        for server in sorted(self._posted - in_force):
             verdict = Verdict.NO_EVIDENCE if server in without_evidence else Verdict.HEALTHY
             rows.append((*server, verdict, 0.0))
-        self._posted = posting
+        self._posted = in_force
         if rows:
             writer.post_event(OutlierVerdictsChanged(rows))
 
     def _verdict(self, now: float, server: Server, ejection: Ejection) -> tuple[Verdict, float]:
-        """What is said of a server, and until when it holds."""
+        """Return the verdict on a server, and until when it holds."""
         if ejection.is_ramping:
             return Verdict.RAMP, ejection.ramp_began_at + RAMP_S
         if server in self.collection.turns:
@@ -162,12 +166,12 @@
         return Verdict.EJECTED, now + EVIDENCE_S
 
     def publish(self, now: float, writer: CoreWriter) -> None:
-        """Post nothing: nothing here ends by itself."""
+        """Do nothing, since verdicts are posted with their duration."""
 
     def status_rows(self, now: float) -> list[Row]:
-        """Rows of server, state, seconds in it, why, witnesses, attempts, failures, own trouble."""
+        """Return rows (server, state, age in seconds, reason, witnesses, attempts, failures, is local)."""
         rows = []
-        for server in sorted(self.collection.in_question.keys() | self.ejections.keys()):
+        for server in sorted(self.collection.suspected_until.keys() | self.ejections.keys()):
             witnesses = self.collection.evidence.witnesses(server, now)
             ejection = self.ejections.get(server)
             rows.append(
@@ -179,7 +183,7 @@
                     len(witnesses),
                     sum(counts.attempts for counts in witnesses.values()),
                     sum(counts.failures for counts in witnesses.values()),
-                    int(server in self.own_trouble),
+                    int(server in self.local_failures),
                 )
             )
         return rows
--- a/brookhinge/verdicts/shared.py
+++ b/brookhinge/verdicts/shared.py
@@ -1,7 +1,7 @@
-"""The decisions where outlier evidence is shared.
+"""Extends the decisions for shared outlier evidence.
 
-Tries and failures of caches are counted for the peers, and what follows from all routers' evidence comes in
-beside the router's own. No I/O, no clock.
+Counts attempts and failures of caches for the peers, and applies the fleet's verdicts in addition to the
+router's own outlier ejection. No I/O, no clock.
 """
 
 from collections.abc import Sequence
@@ -12,48 +12,52 @@
 from brookhinge.decisions.rules import NEVER, READY_STATE, AttemptResult
 from brookhinge.verdicts.outlier_detection import RAMP_S
 
-FIRST_SHARE = 0.1  # of the requests that come back at once when an ejection ends; the rest over the ramp
+MIN_RAMP_SHARE = 0.1  # minimum share of requests during a ramp
 
-# Verdicts as they are told; "rest" ejects.
+# Verdicts; their values are those of outlier_detection.Verdict. Any other value ejects.
 TRIAL = "trial"
-RAMP_UP = "ramp"
-ALONE = "alone"  # nobody has seen anything of it lately: as without peers
-WELL = "well"
+RAMP = "ramp"
+NO_EVIDENCE = "alone"  # no router has recent evidence: the router's own ejection applies
+HEALTHY = "well"
 
 
 class FleetOutlierEjector(OutlierEjector):
-    """Ejects by the fleet's evidence too: such a server gets one request a turn, then more by and by."""
+    """Also ejects by the fleet's verdicts: one request per trial turn, then a growing share during a ramp."""
 
-    def __init__(self, chance: Random) -> None:
-        """`chance` draws which requests come back during a ramp."""
+    def __init__(self, rng: Random) -> None:
+        """Take the generator that selects the requests admitted during a ramp."""
         super().__init__()
-        self.counts: dict[int, tuple[int, float]] = {}  # (tries, failures) of this process
-        self.verdicts: dict[int, tuple[str, float]] = {}  # (verdict, until when)
-        # A response that counts as a failure was late beside the peers': that is each router's own measure.
-        self.is_late_response = False
-        self._chance = chance
-        self._turns_used: dict[int, float] = {}  # the end of the turn in which a server was tried
+        self.counts: dict[int, tuple[int, float]] = {}  # by server: (attempts, failures) of this process
+        self.verdicts: dict[int, tuple[str, float]] = {}  # by server: (verdict, end of the verdict)
+        # Whether the attempt now observed was satisfied. If it counts as a failure, it was only later than
+        # those of the peers. Such failures are not evidence, since each router measures lateness by itself.
+        self.is_satisfied = False
+        self._rng = rng
+        self._last_tried_until: dict[int, float] = {}  # end of the verdict in which a server was last tried
 
     def forget(self, server: int) -> None:
-        """Drop what is known of a server."""
+        """Drop the figures of a server whose index is being reused for another server."""
         super().forget(server)
-        for figures in (self.counts, self.verdicts, self._turns_used):
+        for figures in (self.counts, self.verdicts, self._last_tried_until):
             figures.pop(server, None)
 
     def observe(self, server: int, now: float, failed: bool, weight: float, peers: Sequence[int]) -> bool:
-        """As the plain ejector, and counts the evidence."""
-        tries, failures = self.counts.get(server, (0, 0.0))
-        self.counts[server] = tries + 1, failures + (weight if failed and not self.is_late_response else 0.0)
+        """Count the attempt for the fleet's evidence, then observe it like the base class."""
+        attempts, failures = self.counts.get(server, (0, 0.0))
+        self.counts[server] = (
+            attempts + 1,
+            failures + (weight if failed and not self.is_satisfied else 0.0),
+        )
         if server in self.verdicts:
-            self._turns_used[server] = self.verdicts[server][1]
+            self._last_tried_until[server] = self.verdicts[server][1]
         return super().observe(server, now, failed, weight, peers)
 
     def apply(self, server: int, verdict: str, now: float, until: float) -> None:
-        """Take a verdict on a server."""
-        if verdict == WELL:
+        """Apply a verdict on a server."""
+        if verdict == HEALTHY:
             self.verdicts.pop(server, None)
             self.ejected_until.pop(server, None)
-        elif verdict == ALONE:
+        elif verdict == NO_EVIDENCE:
             self.verdicts.pop(server, None)
             self.ejected_until[server] = now
         else:
@@ -61,21 +65,21 @@
             self.ejected_until.setdefault(server, now)
 
     def is_eligible(self, server: int, now: float) -> bool:
-        """Whether a server may be asked, by the fleet's verdict or else as the plain ejector."""
+        """Return whether a server may take a request: by the fleet's verdict, or else like the base class."""
         verdict, until = self.verdicts.get(server, (None, 0.0))
         if verdict is None or now >= until:
             return super().is_eligible(server, now)
         if verdict == TRIAL:
             is_probe_due = now - self.probed_at.get(server, NEVER) >= EJECTION_S
-            return self._turns_used.get(server) != until and is_probe_due
-        return verdict == RAMP_UP and self._chance.random() < max(FIRST_SHARE, 1.0 - (until - now) / RAMP_S)
+            return self._last_tried_until.get(server) != until and is_probe_due
+        return verdict == RAMP and self._rng.random() < max(MIN_RAMP_SHARE, 1.0 - (until - now) / RAMP_S)
 
 
 class FleetOutliersMixin:
-    """Goes before Router: it also takes `OutlierVerdictsChanged`, and `seen` tells totals of this process."""
+    """Extends Router, which must follow it in the bases: handles verdicts and reports attempt totals."""
 
     def create_cache_ejector(self) -> FleetOutlierEjector:
-        """Make the ejector that takes the fleet's verdicts."""
+        """Return the ejector that applies the fleet's verdicts."""
         return FleetOutlierEjector(self.rng)
 
     def handle(self, message: RouterMessage) -> None:
@@ -89,12 +93,12 @@
             super().handle(message)
 
     def on_attempt_ended(self, end: AttemptEnded) -> None:
-        """As the router."""
-        self.cache_outliers.is_late_response = end.result == AttemptResult.SATISFIED
+        """Handle the end of an attempt; note whether it was satisfied."""
+        self.cache_outliers.is_satisfied = end.result == AttemptResult.SATISFIED
         super().on_attempt_ended(end)
 
     def seen(self) -> list[tuple]:
-        """Return (server, started_at, tries, failures) of caches, since they were last entered."""
+        """Return (server, started_at, attempts, failures) of ready caches, counted since each was added."""
         return [
             (self.endpoints.ids[server], self.endpoints.started_at[server], *counts)
             for server, counts in self.cache_outliers.counts.items()
--- a/tests/verdicts/test_rig.py
+++ b/tests/verdicts/test_rig.py
@@ -1,88 +1,99 @@
-"""Real routers that share what they see of three boxes: a box that fails is left by all, one that heals is taken back, and
-one router's own trouble is nobody else's."""
+"""Router processes that share outlier evidence about three cache servers.
+
+A failing server is ejected by all routers and readmitted once it recovers. Failures local to one router eject no server.
+"""
 
 import asyncio
 
 from brookhinge.emulator.load_generator import Load
 from brookhinge.emulator.process_cluster import ProcessCluster
 
-LONG = 60.0
+TIMEOUT_S = 60.0
 
 
-def play(script, folder, routers=8, more="share_verdicts = true", **rig_):
+def run_cluster(script, folder, routers=8, more="share_verdicts = true", **options):
     async def run():
-        async with ProcessCluster(folder, routers=routers, boxes=3, more=more, patience_s=2.0, **rig_) as rig:
-            assert await rig.until(rig.one_view, LONG)
-            await script(rig)
+        async with ProcessCluster(
+            folder, routers=routers, boxes=3, more=more, patience_s=2.0, **options
+        ) as cluster:
+            assert await cluster.until(cluster.one_view, TIMEOUT_S)
+            await script(cluster)
 
     asyncio.run(run())
 
 
-async def state(rig, name, box):
-    rows = {row[0]: row[1] for row in await rig.verdicts(name) or ()}
+async def state_of(cluster, name, box):
+    """Return the state of a cache server as a router reports it."""
+    rows = {row[0]: row[1] for row in await cluster.verdicts(name) or ()}
     return rows.get(box, "well")
 
 
-def all_say(rig, box, states, names=None):
+def all_report(cluster, box, states, names=None):
+    """Return a condition: all those routers report one of the states for a cache server."""
+
     async def holds():
-        said = await asyncio.gather(*(state(rig, name, box) for name in names or rig.names))
-        return all(one in states for one in said)
+        reported = await asyncio.gather(*(state_of(cluster, name, box) for name in names or cluster.names))
+        return all(state in states for state in reported)
 
     return holds
 
 
-def test_all_eject_a_server_that_fails_one_in_three_and_come_back(tmp_path):
-    """Each router sees a query or two a second of it: alone it could not tell for long."""
+def test_failing_server_is_ejected_by_all_and_readmitted_after_it_recovers(tmp_path):
+    """Each router sends it one or two requests a second: too few to detect the failures quickly by itself."""
 
-    async def script(rig):
-        async with Load(rig, dict.fromkeys(rig.names, 5.0)) as load:
+    async def script(cluster):
+        async with Load(cluster, dict.fromkeys(cluster.names, 5.0)) as load:
             await asyncio.sleep(2.0)
-            rig.boxes["s-1"].fails = 0.4
-            assert await rig.until(all_say(rig, "s-1", ("resting",)), LONG)
-            before = len(rig.boxes["s-1"].came)
+            cluster.boxes["s-1"].fails = 0.4
+            assert await cluster.until(all_report(cluster, "s-1", ("resting",)), TIMEOUT_S)
+            before = len(cluster.boxes["s-1"].came)
             await asyncio.sleep(2.0)
-            others = sum(len(rig.boxes[box].came) for box in ("s-2", "s-3"))
-            assert len(rig.boxes["s-1"].came) - before < others / 4  # trials at one pace, not a query of each
-            assert await all_say(rig, "s-2", ("well",))() and await all_say(rig, "s-3", ("well",))()
-            rig.boxes["s-1"].fails = 0.0
-            assert await rig.until(all_say(rig, "s-1", ("well",)), LONG)
-            before = len(rig.boxes["s-1"].came)
-            assert await rig.until(lambda: len(rig.boxes["s-1"].came) > before + 20, LONG)
+            others = sum(len(cluster.boxes[box].came) for box in ("s-2", "s-3"))
+            # Trials have one rate for the fleet, not one per router.
+            assert len(cluster.boxes["s-1"].came) - before < others / 4
+            assert (
+                await all_report(cluster, "s-2", ("well",))()
+                and await all_report(cluster, "s-3", ("well",))()
+            )
+            cluster.boxes["s-1"].fails = 0.0
+            assert await cluster.until(all_report(cluster, "s-1", ("well",)), TIMEOUT_S)
+            before = len(cluster.boxes["s-1"].came)
+            assert await cluster.until(lambda: len(cluster.boxes["s-1"].came) > before + 20, TIMEOUT_S)
         assert sum(kinds.get("lost", 0) for kinds in load.kinds.values()) == 0
 
-    play(script, tmp_path)
+    run_cluster(script, tmp_path)
 
 
-def test_one_routers_own_link_ejects_no_server(tmp_path):
-    async def script(rig):
-        async with Load(rig, dict.fromkeys(rig.names, 6.0)):
+def test_failures_local_to_one_router_eject_no_server(tmp_path):
+    async def script(cluster):
+        async with Load(cluster, dict.fromkeys(cluster.names, 6.0)):
             await asyncio.sleep(1.0)
-            rig.pipes["n1", "s-1"].breaks = rig.pipes["n1", "s-2"].breaks = 0.7
+            cluster.pipes["n1", "s-1"].breaks = cluster.pipes["n1", "s-2"].breaks = 0.7
 
-            async def knows():
-                return any(row[7] for row in await rig.verdicts("n1") or ())
+            async def reports_local_failure():
+                return any(row[7] for row in await cluster.verdicts("n1") or ())
 
-            assert await rig.until(knows, LONG)  # it learns that the fault is on its own way
+            assert await cluster.until(reports_local_failure, TIMEOUT_S)
             for _ in range(20):
                 await asyncio.sleep(0.2)
-                for name in rig.names[1:]:
-                    assert {await state(rig, name, box) for box in rig.box_names} == {"well"}
+                for name in cluster.names[1:]:
+                    assert {await state_of(cluster, name, box) for box in cluster.box_names} == {"well"}
 
-    play(script, tmp_path, piped=("n1",))
+    run_cluster(script, tmp_path, piped=("n1",))
 
 
-def test_a_router_cut_off_is_as_it_would_be_alone(tmp_path):
-    """What the others saw ends with its age; then only its own experience counts."""
+def test_router_that_is_cut_off_ends_the_ejection_when_the_evidence_expires(tmp_path):
+    """After the evidence of the other routers has expired, only its own observations count."""
 
-    async def script(rig):
-        async with Load(rig, dict.fromkeys(rig.names, 5.0)):
+    async def script(cluster):
+        async with Load(cluster, dict.fromkeys(cluster.names, 5.0)):
             await asyncio.sleep(1.0)
-            rig.boxes["s-1"].fails = 0.6
-            assert await rig.until(all_say(rig, "s-1", ("resting",)), LONG)
-            rig.wires.cut = lambda a, b: "n8" in (a, b)
-            assert await rig.until(all_say(rig, "s-1", ("well",), ["n8"]), LONG)
-            assert await rig.until(all_say(rig, "s-1", ("resting",), rig.names[:7]), LONG)
-            rig.boxes["s-1"].fails = 0.0
-            assert await rig.until(all_say(rig, "s-1", ("well",)), LONG)
-
-    play(script, tmp_path)
+            cluster.boxes["s-1"].fails = 0.6
+            assert await cluster.until(all_report(cluster, "s-1", ("resting",)), TIMEOUT_S)
+            cluster.wires.cut = lambda a, b: "n8" in (a, b)
+            assert await cluster.until(all_report(cluster, "s-1", ("well",), ["n8"]), TIMEOUT_S)
+            assert await cluster.until(all_report(cluster, "s-1", ("resting",), cluster.names[:7]), TIMEOUT_S)
+            cluster.boxes["s-1"].fails = 0.0
+            assert await cluster.until(all_report(cluster, "s-1", ("well",)), TIMEOUT_S)
+
+    run_cluster(script, tmp_path)
