--- a/benchmarks/view_traffic.py
+++ b/benchmarks/view_traffic.py
@@ -13,7 +13,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from brookhinge.emulator.simulated_membership import Net
-from brookhinge.limits.lease_terms import SILENT_S
+from brookhinge.limits.lease_terms import NO_QUOTA_S
 from brookhinge.membership.claims import PRESENT_STATES
 
 SITE_ROUTERS = 16
@@ -53,7 +53,7 @@
 
 def counted_too_few(net, configured):
     """By how many the count of any router is short of those that use a share by now."""
-    using = sum(net.now - host.started_at > SILENT_S for host in net.living())
+    using = sum(net.now - host.started_at > NO_QUOTA_S for host in net.living())
     return max(using - host.peer.estimate_fleet_size(net.now, LEASE_S, configured) for host in net.living())
 
 
--- a/brookhinge/limits/lease_terms.py
+++ b/brookhinge/limits/lease_terms.py
@@ -11,8 +11,8 @@
 
 # A process that has just started uses none of its own quota until the other members have learned of it, then
 # only MIN_KEPT_FRACTION of it until the grants of its predecessor have expired.
-SILENT_S = 1.0
-START_S = GRANT_TERM_S * (1.0 + MAX_CLOCK_DRIFT) + SILENT_S
+NO_QUOTA_S = 1.0
+START_S = GRANT_TERM_S * (1.0 + MAX_CLOCK_DRIFT) + NO_QUOTA_S
 
 DEMAND_HEADROOM = 1.25  # quota that a lessee keeps or requests, as a multiple of its recent demand
 DEMAND_AVERAGING_S = 5.0  # long enough for routers whose few requests arrive in bursts
--- a/brookhinge/limits/lessee.py
+++ b/brookhinge/limits/lessee.py
@@ -14,7 +14,7 @@
     LEASE_TERM_S,
     MESSAGES_REMEMBERED,
     MIN_KEPT_FRACTION,
-    SILENT_S,
+    NO_QUOTA_S,
     START_S,
 )
 from brookhinge.limits.records import Demand, Grant, Lease, Limit, RequestRow
@@ -39,7 +39,7 @@
     def own_fraction(self, now: float) -> float:
         """Return the fraction of its own quotas that a process of this age may use, 0 to 1."""
         age_s = now - self.started_at
-        if age_s < SILENT_S:
+        if age_s < NO_QUOTA_S:
             return 0.0
         return MIN_KEPT_FRACTION if age_s < START_S else 1.0
 
--- a/tests/limits/test_shared.py
+++ b/tests/limits/test_shared.py
@@ -8,8 +8,8 @@
     GRANT_TERM_S,
     LEASE_TERM_S,
     MIN_KEPT_FRACTION,
+    NO_QUOTA_S,
     REPORT_INTERVAL_S,
-    SILENT_S,
     START_S,
 )
 from brookhinge.limits.lessee import Lessee
@@ -33,7 +33,7 @@
 
 def test_new_process_uses_no_quota_then_the_kept_fraction_then_its_own_quota():
     lessee = Lessee(100.0)
-    assert [round(lessee.quota(LIMIT, 0.25, 100.0 + age), 3) for age in (0.0, SILENT_S, START_S)] == [
+    assert [round(lessee.quota(LIMIT, 0.25, 100.0 + age), 3) for age in (0.0, NO_QUOTA_S, START_S)] == [
         0.0,
         MIN_KEPT_FRACTION * 0.25,
         0.25,
