--- a/brookhinge/limits/lease_protocol.py
+++ b/brookhinge/limits/lease_protocol.py
@@ -39,7 +39,7 @@
         self.lessee = Lessee(now, is_sole_router=max(fleet_size()) <= 1)
         self.lessor = Lessor()
         self.demand = DemandEstimate(now)
-        self.contended: dict[Limit, dict[int, float]] = {}  # by lessor: when its report expires
+        self.contended: dict[Limit, dict[int, float]] = {}  # by lessor: until when its offer counts
         self._last_offers: dict[int, int] = {}  # by lessor: number of its last offer
 
     # members and quotas
--- a/brookhinge/limits/shared.py
+++ b/brookhinge/limits/shared.py
@@ -149,7 +149,7 @@
 
         Rates are transfer seconds per second; the fleet rate is 0 for a server that is not limited by slow
         start. For concurrency limits, the rate is the largest share of the server that was needed, and the
-        fleet rate is 1. Limited servers of this location without demand have rows with a rate of 0.
+        fleet rate is 1. Limited local caches and parents without demand have rows with a rate of 0.
         """
         endpoints = self.endpoints
         elapsed_s = max(MIN_DEMAND_SPAN_S, now - self._demand_reported_at)
--- a/brookhinge/verdicts/detector.py
+++ b/brookhinge/verdicts/detector.py
@@ -2,8 +2,8 @@
 
 The counts of a router that sees many of its servers fail are ignored, since the fault is probably its own.
 No single router can eject a server, whatever it reports: its attempts count at most twice as much as those
-of the median witness, and several routers must have seen failures. If more than two in five servers would be
-ejected, none is: the cause is then probably not in the servers.
+of the median witness, and several routers must have seen failures. If more than one server and more than two
+in five would be ejected, no further one is: the cause is then probably not in the servers.
 """
 
 from collections.abc import Collection, Mapping
@@ -15,7 +15,7 @@
 HEALTHY_FAILURE_RATE = 0.1
 OUTLIER_MEDIAN_MULTIPLE = 2.0  # minimum failure rate of an outlier, as a multiple of the median server's
 MIN_WITNESSES = 3  # fewer in a small fleet, but never below MIN_CORROBORATION
-MIN_CORROBORATION = 2  # also the minimum number of failing servers that show a router to be impaired
+MIN_CORROBORATION = 2  # routers that see an outlier fail; also failing servers of an impaired router
 MAX_EJECTED_FRACTION = 0.4
 MAX_WITNESS_MEDIAN_MULTIPLE = 2
 MIN_ATTEMPTS = 6  # of all witnesses together; with fewer, a server is not judged
--- a/brookhinge/verdicts/outlier_detection.py
+++ b/brookhinge/verdicts/outlier_detection.py
@@ -120,7 +120,7 @@
     def _readmit(
         self, now: float, observations: Observations, outliers: Mapping[Server, float]
     ) -> list[Server]:
-        """Start ramps after healthy trials; end ejections without evidence at once and return those."""
+        """Start ramps after healthy trials; end ejections without evidence and return their servers."""
         without_evidence = []
         for server, ejection in list(self.ejections.items()):
             pooled = detector.pool(observations.get(server, {}))
@@ -169,7 +169,7 @@
         """Do nothing, since verdicts are posted with their duration."""
 
     def status_rows(self, now: float) -> list[Row]:
-        """Return rows (server, state, age in seconds, reason, witnesses, attempts, failures, is local)."""
+        """Return rows (server, state, seconds ejected, reason, witnesses, attempts, failures, is local)."""
         rows = []
         for server in sorted(self.collection.suspected_until.keys() | self.ejections.keys()):
             witnesses = self.collection.evidence.witnesses(server, now)
