--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -7,7 +7,7 @@
 import sys
 import time
 
-from helpers import LocalDeployment, Machine
+from helpers import FakeCacheServer, LocalDeployment
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -27,7 +27,7 @@
 
 
 def boxes(**how):
-    return {server: Machine(**how) for server in ("s-21", "s-22", "s-23")}
+    return {server: FakeCacheServer(**how) for server in ("s-21", "s-22", "s-23")}
 
 
 def test_it_asks_and_has_the_bytes(tmp_path):
@@ -55,7 +55,7 @@
             answer = await client.fetch(X, patience_s=0.6)
         return answer.kind in ("refused", "failed"), answer.tries > 1, time.monotonic() - began < 0.9
 
-    assert played(scene, tmp_path, boxes(act="failed")) == (True, True, True)
+    assert played(scene, tmp_path, boxes(behavior="failed")) == (True, True, True)
 
 
 def test_what_may_have_run_is_not_asked_again_unless_it_may(tmp_path):
@@ -63,7 +63,7 @@
         async with Client(t.address, replayable=False) as client:
             return (await client.fetch(X, track="order", patience_s=0.5)).tries
 
-    assert played(scene, tmp_path, boxes(act="failed")) == 1
+    assert played(scene, tmp_path, boxes(behavior="failed")) == 1
 
 
 def test_cancelled_it_is_forgotten_and_a_router_that_ends_is_gone(tmp_path):
@@ -80,7 +80,7 @@
                 t.service.client_connections.drop(client, CloseReason.STOPPING)
             return left, (await asking).kind
 
-    assert played(scene, tmp_path, boxes(act="silent")) == (1, "gone")
+    assert played(scene, tmp_path, boxes(behavior="silent")) == (1, "gone")
 
 
 @given(
--- a/tests/crossings/test_cold_sum.py
+++ b/tests/crossings/test_cold_sum.py
@@ -7,7 +7,7 @@
 from brookhinge.decisions.messages import EndpointsListed
 from brookhinge.decisions.settings import SlowStart
 from brookhinge.decisions.slow_start import SlowStartBudget
-from tests.helpers import Bench
+from tests.helpers import RouterHarness
 
 START = SlowStart(0.2, 10.0, 2.5, 2.0)
 
@@ -97,7 +97,7 @@
     cold six be sent more than twice what they bear."""
 
     def power(gone):
-        b = Bench(weight=0.0, caches=range(21, 31), routers=8)
+        b = RouterHarness(weight=0.0, caches=range(21, 31), routers=8)
         for step in range(200):
             b.router.now = b.now = b.now + 0.1
             for c in b.router.endpoints.local_caches:
@@ -115,12 +115,14 @@
     """In a jam what is sent to the last warm parent is not what it does."""
 
     def power(result):
-        b = Bench(weight=0.0, routers=40, tells="all")
+        b = RouterHarness(weight=0.0, routers=40, note_detail="all")
         for part in range(60):
             b.ask("k", part=part)
-            while b.next in b.router.requests:
-                looks = b.router.requests[b.next].source == b.router.requests[b.next].server
-                b.end(b.next, "miss" if looks else result, took=0.3, note=0 if looks else 3)
+            while b.last_request_id in b.router.requests:
+                looks = (
+                    b.router.requests[b.last_request_id].source == b.router.requests[b.last_request_id].server
+                )
+                b.end(b.last_request_id, "miss" if looks else result, took_s=0.3, note=0 if looks else 3)
         return b.router.throughput.power(b.router.endpoints.index[11], b.now)
 
     assert power("timeout") == 1.0 < power("satisfied")
--- a/tests/crossings/test_rare.py
+++ b/tests/crossings/test_rare.py
@@ -19,7 +19,7 @@
 from brookhinge.net.request_validation import MAX_BODY_BYTES
 from brookhinge.overload.retry_lineage import RetryLineage
 from tests.crossings.test_sockets import Raw, warm
-from tests.helpers import Bench, Desk, Machine, configuration, request_class, settings
+from tests.helpers import FakeCacheServer, RouterHarness, StateHarness, configuration, request_class, settings
 from tests.test_service import caches, played, until
 
 HOUR_S = 3600.0
@@ -32,13 +32,13 @@
     monkeypatch.setattr(time, "time", lambda: real() + offset_s[0])
 
     async def scene(t):
-        t.caller.ask(1)
-        await until(t.pulled)
+        t.client.ask(1)
+        await until(t.attempt_lines)
         offset_s[0] = step_s
-        received = [await t.caller.hear()]
+        received = [await t.client.receive()]
         for number in range(2, 12):
-            t.caller.ask(number, lookup=f"{number:016x}")
-            received.append(await t.caller.hear())
+            t.client.ask(number, lookup=f"{number:016x}")
+            received.append(await t.client.receive())
         return received
 
     machines = caches(delay=0.1)
@@ -83,8 +83,8 @@
     monkeypatch.setattr(listener, "socket", FailingSockets(error, 3))
 
     async def scene(t):
-        t.caller.ask(1)
-        return await t.caller.hear()
+        t.client.ask(1)
+        return await t.client.receive()
 
     assert played(scene, tmp_path) == (1, "satisfied 19")
 
@@ -97,9 +97,9 @@
             t.service.client_connections.listener.socket, error
         )
         t.service.stop()
-        caller = await Raw(t.address).asks(1).send().caller()
+        caller = await Raw(t.address).asks(1).send().client()
         asyncio.get_running_loop().call_later(0.9, setattr, failing, "fails", False)
-        answer = await caller.hear()
+        answer = await caller.receive()
         await t.task
         return answer and answer[0]
 
@@ -112,11 +112,11 @@
 
     async def scene(t):
         t.service.client_connections.max_connections = 1
-        t.caller.ask(1)
-        await until(t.pulled)
-        caller = await Raw(t.address).asks(1).send().caller()
+        t.client.ask(1)
+        await until(t.attempt_lines)
+        caller = await Raw(t.address).asks(1).send().client()
         t.service.stop()
-        answers = await t.caller.hear(), await caller.hear()
+        answers = await t.client.receive(), await caller.receive()
         await t.task
         return [answer and answer[0] for answer in answers]
 
@@ -130,8 +130,8 @@
         raw = Raw(t.address).asks(1, 2)
         whole = len(raw.bytes) // 2
         raw.bytes = raw.bytes[: whole + 30]
-        caller = await raw.send().caller()
-        return await caller.hear(), await caller.hear()
+        caller = await raw.send().client()
+        return await caller.receive(), await caller.receive()
 
     assert played(scene, tmp_path, machines=caches(delay=client_connections.CALL_TIMEOUT_S + 0.4)) == (
         (1, "satisfied 19"),
@@ -143,11 +143,11 @@
     """A client whose first query is out at a server that is silent, and that reads none of many large answers."""
     key = "cd" * 8
     for machine in t.machines.values():
-        machine.act = lambda line: "silent" if key in line[2] else "data"
+        machine.behavior = lambda line: "silent" if key in line[2] else "data"
         machine.body = b"x" * 200_000
     raw = Raw(t.address)
     raw.asks(1, lookup=key).send()
-    await until(t.pulled)
+    await until(t.attempt_lines)
     client = list(t.service.client_connections.clients.values())[-1]
     for number in range(2, 32):
         raw.asks(number, lookup=f"{number:016x}").send()
@@ -162,7 +162,7 @@
             writer.transport.abort()
     await asyncio.sleep(0.3)
     raw.close(reset=True)
-    return [line for line in t.pulled() if f"PULL {1:016x}" in line]
+    return [line for line in t.attempt_lines() if f"PULL {1:016x}" in line]
 
 
 def test_a_cancel_does_not_wait_behind_answers_that_are_not_read(tmp_path):
@@ -178,7 +178,7 @@
     assert len(played(scene, tmp_path)) == 1
 
 
-class DeafMachine(Machine):
+class DeafCacheServer(FakeCacheServer):
     """A cache server that accepts connections and reads nothing."""
 
     async def serve(self, reader, writer):
@@ -210,7 +210,7 @@
         }  # fmt: skip
         for number in range(1, 11):
             told = {k.encode(): v.encode() for k, v in {**fields, "ref": f"{number:016x}"}.items()}
-            t.caller.call(
+            t.client.call(
                 b"serve",
                 thrift.FIELD_HEADER.pack(thrift.MAP, 1),
                 thrift.encode_string_map(told),
@@ -225,7 +225,7 @@
         ]
         return len(stalled) > 0, max(len(line.in_flight) for line in stalled)
 
-    machines = {server: DeafMachine() for server in ("s-21", "s-22", "s-23")}
+    machines = {server: DeafCacheServer() for server in ("s-21", "s-22", "s-23")}
     patient = settings(ConnectTimeoutNs=2e9)  # a server that is silent is given up only after half of it
     assert played(scene, tmp_path, machines=machines, settings=patient) == (True, 1)
 
@@ -269,8 +269,8 @@
         streams = [client.stream for client in t.service.client_connections.clients.values()]
         streams += [line.stream for line in t.service.upstream_connections.pool.connections]
         failing.update(stream.socket.fileno() for stream in streams)
-        t.caller.ask(1)
-        return await t.caller.hear()
+        t.client.ask(1)
+        return await t.client.receive()
 
     for case in itertools.product(("recv_into", "send"), (errno.ENOMEM, errno.ENOBUFS)):
         with pytest.MonkeyPatch.context() as patch:
@@ -281,14 +281,14 @@
 def test_a_retry_does_not_wait_for_a_copy_from_before_a_purge(tmp_path):
     """With storms on a retry waits for its first try's answer; what that was asked with knew nothing of the purge."""
     for group, key in ((0, "aa"), (4, "")):
-        desk = Desk(tmp_path)
+        desk = StateHarness(tmp_path)
         tracks = [track.name.encode() for track in desk.router.request_classes]
         desk.state = RouterState(
             desk.router, tracks, list(desk.state.endpoints.zones), lineage=RetryLineage()
         )
-        desk.hear(*read_commands(configuration()["known"], 0.0)[1])
+        desk.process(*read_commands(configuration()["known"], 0.0)[1])
         assert any("pull" in line for line in desk.ask(allow=3.0))
-        desk.hear(ObjectsPurged(4, group, desk.now, key))
+        desk.process(ObjectsPurged(4, group, desk.now, key))
         assert any("pull" in line for line in desk.ask(at=desk.now + 1.0)), (group, key)
 
 
@@ -300,7 +300,7 @@
 def note_patience(t):
     t.told = []
     for machine in t.machines.values():
-        machine.act = lambda line: t.told.append(line[2]) or "data"
+        machine.behavior = lambda line: t.told.append(line[2]) or "data"
 
 
 def test_the_deadline_counts_from_before_the_loop_stood_still(tmp_path):
@@ -315,11 +315,11 @@
         time.sleep(0.6)  # the loop stands still
         await until(lambda: t.told)
         await asyncio.sleep(0.3)
-        await t.caller.connect(t.address)
-        t.caller.ask(
+        await t.client.connect(t.address)
+        t.client.ask(
             2
         )  # long after nothing is taken off: six tenths of its time, so that another attempt fits
-        await t.caller.hear()
+        await t.client.receive()
         return patience_told(t)
 
     first, second = played(scene, tmp_path)
@@ -334,10 +334,10 @@
         listener = FailingListener(t.service.client_connections.listener.socket, errno.ENFILE)
         t.service.client_connections.listener.socket = listener
         asyncio.get_running_loop().call_later(0.6, setattr, listener, "fails", False)
-        caller = await Raw(t.address).asks(1).send().caller()
-        answer = await caller.hear()
-        t.caller.ask(2)
-        await t.caller.hear()
+        caller = await Raw(t.address).asks(1).send().client()
+        answer = await caller.receive()
+        t.client.ask(2)
+        await t.client.receive()
         return answer, patience_told(t)
 
     answer, (first, second) = played(scene, tmp_path)
@@ -348,7 +348,7 @@
 def test_what_is_told_in_the_pass_of_a_query_binds_for_it(tmp_path, fact):
     """The query was read first; a copy from before the purge, or the server that drains, must not be asked for. Nor may it
     cost the query its answer."""
-    desk, asked = Desk(tmp_path), []
+    desk, asked = StateHarness(tmp_path), []
     real = desk.state.sink.forward
     desk.state.sink.forward = lambda query, attempt: (
         asked.append((attempt.server, attempt.max_age_s)),
@@ -361,7 +361,7 @@
     row = ListedEndpoint(server, ("127.0.0.1", 9), "edge-1", "box", 0, "draining", 4.0, None)
     event = {"purge": ObjectsPurged(4, 0, desk.now, "aa"), "drain": EndpointsListed(4, False, [row])}[fact]
     query = (1, 9, b"r9", b"page", b"aa", b"0", 0, 4, 100.0, 1.0, None, b"", desk.now)
-    desk.hear(RequestReceived(*query), event)
+    desk.process(RequestReceived(*query), event)
     ((to, oldest_s),) = asked
     assert dict(desk.state.invariants.violations) == {}
     assert (to != server) if fact == "drain" else 0.0 < oldest_s < 0.1
@@ -370,7 +370,7 @@
 def test_a_query_that_runs_at_the_origin_is_not_looked_for_where_a_copy_is():
     """Another class reads the same object, which is in demand: a cache more, filled from a holder and from nowhere else, is
     no place for an effect. It would end as 'not held'."""
-    bench = Bench(
+    bench = RouterHarness(
         request_classes=[request_class(), request_class("order", Idempotency.ONCE, uncacheable=True)]
     )
     for key in "abcdefgh":
@@ -396,10 +396,10 @@
             time.sleep(0.5)
 
         t.service.upstream_connections.place = stopped_once
-        t.caller.ask(1)
-        t.caller.ask(2)
-        answers = await t.caller.hear(), await t.caller.hear()
-        numbers = {answer[0] - t.caller.number for answer in answers}
+        t.client.ask(1)
+        t.client.ask(2)
+        answers = await t.client.receive(), await t.client.receive()
+        numbers = {answer[0] - t.client.number for answer in answers}
         return numbers, {answer[1] for answer in answers}, sorted(patience_told(t))
 
     numbers, answers, (second, first) = played(scene, tmp_path, machines=caches())
--- a/tests/crossings/test_sizes.py
+++ b/tests/crossings/test_sizes.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.helpers import CACHES, Bench, request_class
+from tests.helpers import CACHES, RouterHarness, request_class
 
 STEP, SECONDS, MEAN, LINK = 0.01, 40.0, 0.3, 4.0
 
@@ -15,7 +15,7 @@
 
     def __init__(self, load, seed):
         self.chance, self.load, self.now = random.Random(seed), load, 0.0
-        self.b = Bench(request_classes=[request_class(timeout_s=4.0)], weight=LINK, tells="all")
+        self.b = RouterHarness(request_classes=[request_class(timeout_s=4.0)], weight=LINK, note_detail="all")
         self.left, self.sizes, self.since, self.done = {c: {} for c in CACHES}, {}, {}, {}
 
     def heed(self, lines):
@@ -43,7 +43,7 @@
                 b.end(
                     query,
                     "satisfied" if good else "timeout",
-                    took=self.now - self.since[query],
+                    took_s=self.now - self.since[query],
                     note=1,
                     at=self.now,
                 )
@@ -57,11 +57,13 @@
             self.step()
             while due <= self.now:
                 due += self.chance.expovariate(rate)
-                size = self.sizes[self.b.next + 1] = min(
+                size = self.sizes[self.b.last_request_id + 1] = min(
                     3.0, MEAN * math.exp(self.chance.gauss(0.0, 1.0) - 0.5)
                 )
                 self.heed(
-                    self.b.ask(f"k{self.chance.randrange(60)}", left=4.0, size=1000.0 * size, at=self.now)
+                    self.b.ask(
+                        f"k{self.chance.randrange(60)}", remaining_s=4.0, size=1000.0 * size, at=self.now
+                    )
                 )
         by_size = sorted((q for q in self.sizes if q in self.done), key=self.sizes.get)
         tenth = len(by_size) // 10
--- a/tests/crossings/test_sockets.py
+++ b/tests/crossings/test_sockets.py
@@ -19,7 +19,16 @@
 from brookhinge.engine.events import RequestReceived, ShutdownBegan
 from brookhinge.net import client_calls, client_connection, client_connections, program, upstream_pool
 from brookhinge.net.service import Service
-from tests.helpers import Caller, Commands, Desk, configuration, host, listed, read, settings
+from tests.helpers import (
+    FakeCommandChannel,
+    StateHarness,
+    ThriftClient,
+    configuration,
+    endpoint_list_command,
+    host,
+    load_site,
+    settings,
+)
 from tests.test_service import ROOT, caches, played, until
 
 DATA = b"ID data n=hit 3\r\nyes\r\n"
@@ -30,7 +39,7 @@
 
     def __init__(self, address):
         self.socket, self.bytes = socket.create_connection(address), b""
-        self.call = Caller(None, self)
+        self.call = ThriftClient(None, self)
 
     def write(self, data):
         self.bytes += data
@@ -50,23 +59,23 @@
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.socket.close()
 
-    async def caller(self):
+    async def client(self):
         self.socket.setblocking(False)
-        return Caller(*await asyncio.open_connection(sock=self.socket))
+        return ThriftClient(*await asyncio.open_connection(sock=self.socket))
 
 
 def pulls(t):
-    return [line for line in t.pulled() if "PULL" in line]
+    return [line for line in t.attempt_lines() if "PULL" in line]
 
 
 async def warm(t):
     """Connections to every cache are up and idle: what is pushed is written in the same pass."""
     for n in range(1000, 1030):
-        t.caller.ask(n, lookup=f"{n:016x}")
-        await t.caller.hear()
+        t.client.ask(n, lookup=f"{n:016x}")
+        await t.client.receive()
     await until(lambda: all(line.is_connected for line in t.service.upstream_connections.pool.connections))
     for machine in t.machines.values():
-        machine.seen.clear()
+        machine.received_lines.clear()
 
 
 # a client's end and what it asked before
@@ -81,8 +90,8 @@
         raw.asks(1, 2, 3)
         raw.write(struct.pack(">i", len(much) + 9) + much)  # a frame that breaks off, before the end
         raw.send().close(reset)
-        t.caller.ask(9)
-        heard = await t.caller.hear()
+        t.client.ask(9)
+        heard = await t.client.receive()
         await asyncio.sleep(0.1)
         return heard[1], len(pulls(t)), t.service.state.requests.open
 
@@ -113,7 +122,7 @@
         await warm(t)
         t.service.state.decisions.retry_budget.tokens = 10.0
         for machine in t.machines.values():
-            machine.act = "silent"
+            machine.behavior = "silent"
         raw = Raw(t.address).asks(2, allow="1600", lookup=f"{1000:016x}").send()
         await until(lambda: len(pulls(t)) == 1)
         due = t.service.state.next_at()
@@ -132,10 +141,10 @@
         t.service.state.decisions.retry_budget.tokens = 10.0
         first = []
         for machine in t.machines.values():
-            machine.act = lambda line: first.append(line) or "silent"
+            machine.behavior = lambda line: first.append(line) or "silent"
         raw = Raw(t.address).asks(1).send()
         await until(lambda: first)
-        name, machine = first[0][1].encode(), next(m for m in t.machines.values() if m.seen)
+        name, machine = first[0][1].encode(), next(m for m in t.machines.values() if m.received_lines)
         line = next(n for n in t.service.upstream_connections.pool.connections if name in n.in_flight)
         writer = next(
             w for w in machine.writers if w.get_extra_info("peername") == line.stream.socket.getsockname()
@@ -161,8 +170,8 @@
                 t.service.client_connections.make_capacity()
 
         t.service.client_connections.calls.post = and_close
-        t.caller.ask(1)
-        return await t.caller.hear()
+        t.client.ask(1)
+        return await t.client.receive()
 
     assert played(scene, tmp_path) == (1, "satisfied 19")
 
@@ -179,7 +188,7 @@
             lambda c: raw.asks(1).send() and silent(c) if c.number == 2 else silent(c),
         )
         t.service.client_connections.release(t.service.client_connections.clients[2], CloseReason.IDLE)
-        return await (await raw.caller()).hear()
+        return await (await raw.client()).receive()
 
     assert played(scene, tmp_path) == (1, "satisfied 19")
 
@@ -189,8 +198,8 @@
 
     async def scene(t):
         raw = Raw(t.address).asks(1).send()
-        caller = await raw.caller()
-        heard = [await caller.hear(), await caller.hear()]  # the answer, then the end
+        caller = await raw.client()
+        heard = [await caller.receive(), await caller.receive()]  # the answer, then the end
         caller.ask(2)
         await asyncio.sleep(0.05)
         return (
@@ -209,8 +218,8 @@
     async def scene(t):
         raw = Raw(t.address).asks(*range(1, 9), room="-1")
         raw.write(b"\0" * 300_000)
-        caller = await raw.send().caller()
-        heard = [await caller.hear() for _ in range(9)]
+        caller = await raw.send().client()
+        heard = [await caller.receive() for _ in range(9)]
         return [h and h[1] for h in heard], caller.reader.exception()
 
     heard, fault = played(scene, tmp_path)
@@ -224,8 +233,8 @@
         raw = Raw(t.address).asks(1, 2)
         raw.write(b"\xff" * 70_000)
         raw.asks(3)
-        caller = await raw.send().caller()
-        return {await caller.hear(), await caller.hear()}, await caller.hear(), len(pulls(t))
+        caller = await raw.send().client()
+        return {await caller.receive(), await caller.receive()}, await caller.receive(), len(pulls(t))
 
     assert played(scene, tmp_path, machines=caches(delay=0.1)) == (
         {(1, "satisfied 19"), (2, "satisfied 19")},
@@ -251,23 +260,23 @@
         monkeypatch.setattr(client_connection.ClientConnection, "is_silent", crossing)
         t.service.stop()
         await t.task
-        caller = await raw.caller()
-        return await caller.hear(), await caller.hear(), caller.reader.exception(), pulls(t)
+        caller = await raw.client()
+        return await caller.receive(), await caller.receive(), caller.reader.exception(), pulls(t)
 
     assert played(scene, tmp_path) == ((1, "nack"), None, None, [])
 
 
 def test_what_is_read_after_the_end_began_is_refused(tmp_path):
-    desk = Desk(tmp_path)
+    desk = StateHarness(tmp_path)
     assert desk.ask()[0][:4] == "pull"
-    assert [line.split()[0] for line in desk.hear(ShutdownBegan())] == ["kill", "error"]
+    assert [line.split()[0] for line in desk.process(ShutdownBegan())] == ["kill", "error"]
     assert desk.ask(key=b"bb") == ["nack 1 2 0.0"]
     assert not desk.state.requests.open and not desk.router.requests
 
 
 def test_told_to_end_before_it_is_ready_it_ends(tmp_path):
     async def play():
-        service = Service(read(configuration(), tmp_path), lambda event, **values: None)
+        service = Service(load_site(configuration(), tmp_path), lambda event, **values: None)
         service.stop()
         await asyncio.wait_for(service.run(), 5)
         return service.lifecycle.phase
@@ -293,7 +302,7 @@
 
     async def play(t):
         Held.gate = asyncio.Event()
-        t.caller.ask(1, lookup="ab" * 8)
+        t.client.ask(1, lookup="ab" * 8)
         await until(lambda: any(line.waiting for line in t.service.upstream_connections.pool.connections))
         server = next(
             line.server.server for line in t.service.upstream_connections.pool.connections if line.waiting
@@ -310,11 +319,11 @@
 ):
     async def scene(t, server):
         row = host(server, t.machines[server].port, health=health)
-        t.commands.answers.append(Commands.reply(4, listed(4, [row], whole=False)))
+        t.commands.answers.append(FakeCommandChannel.reply(4, endpoint_list_command(4, [row], whole=False)))
         await until(lambda: t.service.state.commands.cursor == 4)
         await asyncio.sleep(0.1)
         Held.gate.set()
-        return await t.caller.hear(), [line for line in pulls(t) if line.startswith(server)]
+        return await t.client.receive(), [line for line in pulls(t) if line.startswith(server)]
 
     assert held(scene, tmp_path, monkeypatch) == ((1, "satisfied 19"), [])
 
@@ -325,13 +334,15 @@
     async def scene(t, server):
         t.service.state.decisions.fill_planner.routers_here = 1
         rows = [host(s, t.machines[s].port, health="draining") for s in ("s-11", "s-12")]
-        t.commands.answers.append(Commands.reply(4, listed(4, rows, whole=False)))
+        t.commands.answers.append(FakeCommandChannel.reply(4, endpoint_list_command(4, rows, whole=False)))
         await until(lambda: t.service.state.commands.cursor == 4)
         await asyncio.sleep(0.1)
         Held.gate.set()
-        return await t.caller.hear(), [("parent=s-11" in line[2], "parent=s-12" in line[2]) for line in lines]
+        return await t.client.receive(), [
+            ("parent=s-11" in line[2], "parent=s-12" in line[2]) for line in lines
+        ]
 
-    machines = caches(act=lambda line: lines.append(line) or "data")
+    machines = caches(behavior=lambda line: lines.append(line) or "data")
     assert held(scene, tmp_path, monkeypatch, machines=machines) == ((1, "satisfied 19"), [(False, False)])
 
 
@@ -341,20 +352,20 @@
     async def scene(t, server):
         drop = {"cursor": 4, "drop": {"id": "ab" * 8, "when": int(time.time() * 1000)}}
         t.service.state.decisions.purges.settled_s = 6.0
-        t.commands.answers.append(Commands.reply(4, drop))
+        t.commands.answers.append(FakeCommandChannel.reply(4, drop))
         await until(lambda: t.service.state.commands.cursor == 4)
         await asyncio.sleep(0.1)
         Held.gate.set()
-        await t.caller.hear()
+        await t.client.receive()
         return [0 < int(line[2].partition("accept=")[2].split(",")[0] or 0) < 1000 for line in lines]
 
-    machines = caches(act=lambda line: lines.append(line) or "data")
+    machines = caches(behavior=lambda line: lines.append(line) or "data")
     assert held(scene, tmp_path, monkeypatch, machines=machines) == [True]
 
 
 def test_a_push_that_waits_is_not_written_once_its_client_went(tmp_path, monkeypatch):
     async def scene(t, server):
-        t.caller.writer.transport.abort()
+        t.client.writer.transport.abort()
         await until(lambda: not t.service.state.requests.open)
         Held.gate.set()
         await asyncio.sleep(0.1)
@@ -368,7 +379,7 @@
 
     async def scene(t, server):
         Held.gate.set()
-        return await t.caller.hear(), t.service.state.totals.counts["pushes"], len(pulls(t))
+        return await t.client.receive(), t.service.state.totals.counts["pushes"], len(pulls(t))
 
     assert held(scene, tmp_path, monkeypatch) == ((1, "satisfied 19"), 1, 1)
 
@@ -392,11 +403,11 @@
 
         t.service.upstream_connections.write = noted
         for machine in t.machines.values():
-            machine.act = lambda line: spoilt if len(used) == 1 else "data"
+            machine.behavior = lambda line: spoilt if len(used) == 1 else "data"
         heard = []
         for n in range(1, 6):
-            t.caller.ask(n)
-            heard.append(await t.caller.hear())
+            t.client.ask(n)
+            heard.append(await t.client.receive())
         await until(lambda: used[0].is_closed)
         return heard, used[0] in used[1:]
 
@@ -411,11 +422,11 @@
 
     async def scene(t):
         for machine in t.machines.values():
-            machine.act = b"ID data - 200000\r\nfirst"
-        t.caller.ask(1, allow="100")
-        heard = await t.caller.hear()
+            machine.behavior = b"ID data - 200000\r\nfirst"
+        t.client.ask(1, allow="100")
+        heard = await t.client.receive()
         line = next(n for n in t.service.upstream_connections.pool.connections if n.answers.head)
-        writer = next(w for m in t.machines.values() for w in m.writers if m.seen)
+        writer = next(w for m in t.machines.values() for w in m.writers if m.received_lines)
         for _ in range(200):
             if line.is_closed:
                 break
@@ -435,7 +446,7 @@
         half = Raw(t.address)
         wire = half.asks(1).bytes
         half.socket.sendall(wire[:30])
-        idle = [await Caller.connect(t.address) for _ in range(3)]
+        idle = [await ThriftClient.connect(t.address) for _ in range(3)]
         await until(
             lambda: (
                 len(t.service.client_connections.clients) == 5
@@ -443,19 +454,19 @@
             )
         )
         t.service.client_connections.clients[1].used_at += 100.0  # the town's own, used last of all
-        late = [await Caller.connect(t.address) for _ in range(2)]
-        gone = await idle[0].hear()
+        late = [await ThriftClient.connect(t.address) for _ in range(2)]
+        gone = await idle[0].receive()
         late[-1].ask(2)
         half.socket.sendall(wire[30:])
-        return gone, await late[-1].hear(), await (await half.caller()).hear()
+        return gone, await late[-1].receive(), await (await half.client()).receive()
 
     assert played(scene, tmp_path) == (None, (1, "satisfied 19"), (1, "satisfied 19"))
 
 
 def test_small_writes_are_never_held_back(tmp_path):
     async def scene(t):
-        t.caller.ask(1)
-        await t.caller.hear()
+        t.client.ask(1)
+        await t.client.receive()
         await until(lambda: t.service.command_channel.stream is not None)
         streams = (
             [c.stream for c in t.service.client_connections.clients.values()]
@@ -478,7 +489,10 @@
         spare.close()
         box = t.machines["s-22"]
         values = {**t.values, "channel": f"127.0.0.1:{port}"}
-        values["known"] = {"cursor": 3, "cmds": [listed(3, [host("s-01", t.machines["s-01"].port)])]}
+        values["known"] = {
+            "cursor": 3,
+            "cmds": [endpoint_list_command(3, [host("s-01", t.machines["s-01"].port)])],
+        }
         (tmp_path / "n1.json").write_text(json.dumps(values))
         router = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -494,12 +508,14 @@
         address = "127.0.0.1", int(json.loads(line)["address"].split(":")[1])
         idle = [Raw(address) for _ in range(150)]
         await asyncio.sleep(0.3)
-        commands = Commands(Commands.reply(4, listed(4, [host("s-22", box.port)], whole=False)))
+        commands = FakeCommandChannel(
+            FakeCommandChannel.reply(4, endpoint_list_command(4, [host("s-22", box.port)], whole=False))
+        )
         commands.server = await asyncio.start_server(commands.serve, "127.0.0.1", port)
         for n in range(200):
-            caller = await Caller.connect(address)
+            caller = await ThriftClient.connect(address)
             caller.ask(n)
-            heard = await caller.hear()
+            heard = await caller.receive()
             if heard and heard[1] == "satisfied 19":
                 break
             await asyncio.sleep(0.05)
@@ -513,7 +529,7 @@
 
 
 def test_the_share_of_descriptors_is_of_what_the_system_gives(tmp_path, monkeypatch):
-    site = read(configuration(), tmp_path)
+    site = load_site(configuration(), tmp_path)
     monkeypatch.setattr(program.resource, "getrlimit", lambda what: (256, 256))
     assert program.limit_descriptors(site).bounds.sockets == 256
     monkeypatch.setattr(program.resource, "getrlimit", lambda what: (16, 16))
@@ -525,7 +541,7 @@
     """The file is a pipe: the router stands in the middle of reading it when the signal comes."""
 
     async def scene(t):
-        pipe, new = tmp_path / "n1.json", await Commands().start()
+        pipe, new = tmp_path / "n1.json", await FakeCommandChannel().start()
         os.mkfifo(pipe)
         router = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -560,7 +576,7 @@
         for at in range(0, len(wire), 7):
             raw.socket.sendall(wire[at : at + 7])
             await asyncio.sleep(0)
-        return await (await raw.caller()).hear(), len(pulls(t))
+        return await (await raw.client()).receive(), len(pulls(t))
 
     assert played(scene, tmp_path) == ((1, "satisfied 19"), 1)
 
@@ -573,9 +589,9 @@
         gc.disable()
         try:
             for n in range(20):
-                caller = await Caller.connect(t.address)
+                caller = await ThriftClient.connect(t.address)
                 caller.ask(n)
-                await caller.hear()
+                await caller.receive()
                 caller.writer.close()
             await until(lambda: len(t.service.client_connections.clients) == 1)
             await asyncio.sleep(0.05)
--- a/tests/engine/test_invariants.py
+++ b/tests/engine/test_invariants.py
@@ -13,7 +13,7 @@
 from brookhinge.engine.events import EndpointsListed, ObjectsPurged
 from brookhinge.engine.log import Log
 from brookhinge.engine.trace import Trace
-from tests.helpers import Desk, request_class
+from tests.helpers import StateHarness, request_class
 from tests.test_service import caches, played, until
 
 
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def desk(tmp_path):
-    return Desk(tmp_path)
+    return StateHarness(tmp_path)
 
 
 def planted(desk, act, **ask):
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize("health", ["draining", "gone"])
 def test_a_server_listed_as_draining_or_gone(desk, health, as_source):
     row = ListedEndpoint("s-22", ("127.0.0.1", 9), "edge-1", "box", 0, health, 4.0, None)
-    desk.hear(EndpointsListed(4, False, [row]))
+    desk.process(EndpointsListed(4, False, [row]))
     server = "s-21" if as_source else "s-22"
     lines, counted = planted(desk, lambda query: push(desk, query, server, "s-22"))
     assert counted == {"drain": 1}
@@ -69,7 +69,7 @@
 
 
 def test_a_copy_from_before_a_purge(desk):
-    desk.hear(ObjectsPurged(4, 0, desk.now, "aa"))
+    desk.process(ObjectsPurged(4, 0, desk.now, "aa"))
     _, counted = planted(desk, lambda query: push(desk, query, oldest_s=5.0))
     assert counted == {"purge": 1}
     _, counted = planted(desk, lambda query: push(desk, query, oldest_s=0.0))
@@ -115,7 +115,7 @@
 def test_more_than_all_routers_may_send_to_a_server_that_warms_up(desk):
     desk.router.slow_start["cache"].start = SlowStart(0.1, 60.0, 1.0, 1.0)
     row = ListedEndpoint("s-22", ("127.0.0.1", 9), "edge-1", "box", 0, "ready", 4.0, desk.now)
-    desk.hear(EndpointsListed(4, False, [row]))
+    desk.process(EndpointsListed(4, False, [row]))
     desk.router.route = lambda request: push(desk, request.request_id, "s-22", "s-22")
     for number in range(30):
         desk.ask(key=b"%x" % number)
@@ -164,25 +164,25 @@
 
 def test_a_close_with_a_request_open_and_a_second_response_on_the_socket(tmp_path):
     async def scene(t):
-        t.caller.ask(1)
-        await until(t.pulled)
+        t.client.ask(1)
+        await until(t.attempt_lines)
         client = t.service.client_connections.clients[1]
         t.service.client_connections.respond(Respond(1, 7, b"never asked", False))
         t.service.client_connections.drop(client, CloseReason.IDLE)
-        return await t.caller.hear(), dict(t.service.state.invariants.violations)
+        return await t.client.receive(), dict(t.service.state.invariants.violations)
 
     assert played(scene, tmp_path, machines=caches(delay=0.3)) == (None, {"one_answer": 1, "close": 1})
 
 
 def test_a_response_that_crosses_its_cancel_breaks_nothing(tmp_path):
     async def scene(t):
-        t.caller.ask(1)
-        await until(t.pulled)
+        t.client.ask(1)
+        await until(t.attempt_lines)
         client = t.service.client_connections.clients[1]
         t.service.client_connections.calls.cancel(client, 1)
         t.service.client_connections.respond(Respond(1, 1, b"late", False))
-        t.caller.ask(2)
-        return await t.caller.hear(), dict(t.service.state.invariants.violations)
+        t.client.ask(2)
+        return await t.client.receive(), dict(t.service.state.invariants.violations)
 
     assert played(scene, tmp_path, machines=caches(delay=0.1)) == ((2, "satisfied 19"), {})
 
@@ -196,9 +196,9 @@
         t.service.state.context.is_traced = True
         acts = iter(["absent", "data"])
         for machine in t.machines.values():
-            machine.act = lambda line: next(acts)
-        t.caller.ask(1)
-        return await t.caller.hear()
+            machine.behavior = lambda line: next(acts)
+        t.client.ask(1)
+        return await t.client.receive()
 
     played(scene, tmp_path)
     steps = [json.loads(line) for line in (tmp_path / "trace").read_text().splitlines()]
@@ -230,12 +230,12 @@
 
     async def scene(t):
         t.service.log = Log("n1", Sink(lines))
-        t.caller.ask(1)
-        await t.caller.hear()
+        t.client.ask(1)
+        await t.client.receive()
         t.service.shutdown.done.set()
         await t.task
 
-    played(scene, tmp_path, machines=caches(act="full"))
+    played(scene, tmp_path, machines=caches(behavior="full"))
     totals = [json.loads(line) for line in lines if b"totals" in line]
     assert len(totals) == 1 and sum(totals[0]["refusals"].values()) == 1 and totals[0]["violations"] == {}
 
@@ -255,8 +255,8 @@
 
 def test_refusals_are_counted_by_reason(tmp_path):
     async def scene(t):
-        t.caller.ask(1)
-        return await t.caller.hear(), dict(t.service.state.totals.refusals)
+        t.client.ask(1)
+        return await t.client.receive(), dict(t.service.state.totals.refusals)
 
-    answer, refusals = played(scene, tmp_path, machines=caches(act="full"))
+    answer, refusals = played(scene, tmp_path, machines=caches(behavior="full"))
     assert answer == (1, "nack") and sum(refusals.values()) == 1 and set(refusals) <= set(Refusal)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -66,7 +66,7 @@
     return RequestClass(**{**base, **other})
 
 
-class Trace:
+class PrintingSink:
     """The sink: keeps what was decided as printed lines."""
 
     def __init__(self):
@@ -97,7 +97,7 @@
         self.lines.append(f"say {text}")
 
 
-class Bench:
+class RouterHarness:
     """A router of one location with four caches, two parents and an origin, and a clock."""
 
     def __init__(
@@ -109,17 +109,19 @@
         direct=False,
         weight=4.0,
         routers=1,
-        tells="hit",
+        note_detail="hit",
         seed=7,
         **other,
     ):
-        self.trace, self.now, self.next = Trace(), 0.0, 0
+        self.trace, self.now, self.last_request_id = PrintingSink(), 0.0, 0
         self.router = Router(
             seed,
             request_classes=request_classes or [request_class()],
             location=Location(1, routers, routers, 0, weight > 0),
             limits=RouterLimits(6, False, True, 1.0),
-            fill_policy=FillPolicy(SiblingFills(siblings), direct, True, NoteDetail(tells), 1000.0, 0.0),
+            fill_policy=FillPolicy(
+                SiblingFills(siblings), direct, True, NoteDetail(note_detail), 1000.0, 0.0
+            ),
             cache_slow_start=SlowStart(0.2, 10.0, 2.0, 1.0),
             parent_slow_start=SlowStart(0.1, 10.0, 2.0, 1.0),
             purge_settled_s=6.0,
@@ -142,18 +144,20 @@
         self.router.process(self.now, [message], self.trace)
         return self.trace.lines[before:]
 
-    def ask(self, key, part=0, group=0, request_class=0, left=3.0, size=100.0, at=None):
-        self.next += 1
-        request = RequestArrived(self.next, request_class, key, part, group, size, False, left)
+    def ask(self, key, part=0, group=0, request_class=0, remaining_s=3.0, size=100.0, at=None):
+        self.last_request_id += 1
+        request = RequestArrived(
+            self.last_request_id, request_class, key, part, group, size, False, remaining_s
+        )
         return self.call(request, at=at)
 
-    def end(self, query, result, took=0.1, note=0, over=None, at=None, copy=None):
+    def end(self, query, result, took_s=0.1, note=0, is_final=None, at=None, copy=None):
         """Ends the push that is out for a query."""
         q = self.router.requests[query]
         server = self.router.endpoints.ids[q.server]
-        over = result == "satisfied" if over is None else over
+        is_final = result == "satisfied" if is_final is None else is_final
         copy = copy and StoredCopy(*copy)
-        return self.call(AttemptEnded(query, server, result, took, over, note, 0.0, copy), at=at)
+        return self.call(AttemptEnded(query, server, result, took_s, is_final, note, 0.0, copy), at=at)
 
     def serve(self, key, note=2, **ask):
         """A query that is satisfied at once, after a miss if it was looked for first; what it printed."""
@@ -161,10 +165,11 @@
         if (
             note > 1
             and lines
-            and self.router.requests[self.next].source == self.router.requests[self.next].server
+            and self.router.requests[self.last_request_id].source
+            == self.router.requests[self.last_request_id].server
         ):
-            lines += self.end(self.next, "miss")
-        self.end(self.next, "satisfied", note=note)
+            lines += self.end(self.last_request_id, "miss")
+        self.end(self.last_request_id, "satisfied", note=note)
         return lines
 
 
@@ -206,11 +211,11 @@
     }
 
 
-def listed(cursor, hosts, whole=True):
+def endpoint_list_command(cursor, hosts, whole=True):
     return {"cursor": cursor, "nodes": {"seq": cursor, "whole": whole, "hosts": hosts}}
 
 
-ALWAYS = {}  # keys of every configuration: tests/overload plays the services' tests with `storm` on
+EXTRA_CONFIGURATION = {}  # keys of every configuration: tests/overload plays the services' tests with `storm` on
 
 
 def configuration(ports=None, channel=9, **other):
@@ -221,14 +226,14 @@
         "seed": "8c1f",
         "channel": f"127.0.0.1:{channel}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"cursor": 3, "cmds": [listed(3, hosts)]},
+        "known": {"cursor": 3, "cmds": [endpoint_list_command(3, hosts)]},
         "settings": settings(),
-        **ALWAYS,
+        **EXTRA_CONFIGURATION,
         **other,
     }
 
 
-def read(values, folder):
+def load_site(values, folder):
     """The site of a configuration, as the program would read it."""
     path = folder / "config.json"
     path.write_text(values if isinstance(values, str) else json.dumps(values))
@@ -236,7 +241,7 @@
 
 
 # The words of printed effects.
-PRINTED_AS = {
+EFFECT_WORDS = {
     SendAttempt: "pull",
     CancelAttempt: "kill",
     RetireServer: "retire",
@@ -251,26 +256,26 @@
 }
 
 
-class Desk:
+class StateHarness:
     """A router's state with its decisions, called by events; effects come back as printed lines."""
 
     def __init__(self, folder, **other):
-        site = read(configuration(**other), folder)
+        site = load_site(configuration(**other), folder)
         self.router = Router(site.seed, machine=site.bounds, **site.decisions._asdict())
         self.state = RouterState(
             self.router, [t.name.encode() for t in site.decisions.request_classes], site.zones
         )
         self.now, self.asked = 0.0, 0
-        self.hear(*read_commands(site.known, 0.0)[1])
+        self.process(*read_commands(site.known, 0.0)[1])
 
-    def hear(self, *posted, at=None):
+    def process(self, *posted, at=None):
         self.now = self.now + 0.01 if at is None else at
-        return [self.printed(effect) for effect in self.state.reduce(self.now, posted)]
+        return [self.format_effect(effect) for effect in self.state.reduce(self.now, posted)]
 
     def ask(self, key=b"aa", kind=b"page", name=None, client=1, number=None, at=None, allow=1.0, tag=None):
         self.asked += 1
         came = self.now + 0.01 if at is None else at
-        return self.hear(
+        return self.process(
             events.RequestReceived(
                 client,
                 number or self.asked,
@@ -289,14 +294,14 @@
             at=at,
         )
 
-    def end(self, query, push, result, body=b"", same=False, at=None, **copy):
-        return self.hear(
-            events.AttemptEnded(query, push, result, 2, 0.0, None, body, same, self.now, *copy.values()),
+    def end(self, query, push, result, body=b"", unchanged=False, at=None, **copy):
+        return self.process(
+            events.AttemptEnded(query, push, result, 2, 0.0, None, body, unchanged, self.now, *copy.values()),
             at=at,
         )
 
-    def printed(self, effect):
-        word = PRINTED_AS[type(effect)]
+    def format_effect(self, effect):
+        word = EFFECT_WORDS[type(effect)]
         if isinstance(effect, SendAttempt):
             left = effect.deadline - self.now
             return (
@@ -310,13 +315,21 @@
         return " ".join([word, *(str(v) for v in effect)])
 
 
-class Machine:
-    """A cache server: answers PULLs as `act` says: a word of the wire, raw bytes, 'silent', 'reset', 'half' or
+class FakeCacheServer:
+    """A cache server: answers PULLs as `behavior` says: a word of the wire, raw bytes, 'silent', 'reset', 'half' or
     'garbage'."""
 
-    def __init__(self, act="data", delay=0.0, body=b"bytes of the object"):
-        self.act, self.delay, self.body, self.seen, self.made, self.writers, self.stuck = (
-            act,
+    def __init__(self, behavior="data", delay=0.0, body=b"bytes of the object"):
+        (
+            self.behavior,
+            self.delay,
+            self.body,
+            self.received_lines,
+            self.connections_accepted,
+            self.writers,
+            self.stalled_writers,
+        ) = (
+            behavior,
             delay,
             body,
             [],
@@ -338,42 +351,42 @@
         await asyncio.sleep(0)
 
     async def serve(self, reader, writer):
-        self.made += 1
+        self.connections_accepted += 1
         self.writers.append(writer)
         try:
             while line := (await reader.readline()).decode().split():
-                self.seen.append(" ".join(line[:2]))
+                self.received_lines.append(" ".join(line[:2]))
                 if line[0] == "PULL":
                     await reader.readexactly(int(line[3]) + 2)
                     asyncio.ensure_future(self.answer(writer, line))
-                elif line[0] == "ECHO" and self.act != "silent":
+                elif line[0] == "ECHO" and self.behavior != "silent":
                     writer.write(f"{line[1]} well - 0\r\n\r\n".encode())
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
 
     async def answer(self, writer, line):
-        act = self.act(line) if callable(self.act) else self.act
+        behavior = self.behavior(line) if callable(self.behavior) else self.behavior
         await asyncio.sleep(self.delay)
-        if writer in self.stuck:
+        if writer in self.stalled_writers:
             return
-        if act == "reset":
+        if behavior == "reset":
             writer.transport.abort()
-        elif isinstance(act, bytes):
-            writer.write(act.replace(b"ID", line[1].encode()))
-        elif act == "half":
-            self.stuck.append(writer)
+        elif isinstance(behavior, bytes):
+            writer.write(behavior.replace(b"ID", line[1].encode()))
+        elif behavior == "half":
+            self.stalled_writers.append(writer)
             writer.write(b"%b data - 90\r\nhalf of it" % line[1].encode())
-        elif act == "garbage":
+        elif behavior == "garbage":
             writer.write(b"what is this\r\n")
-        elif act != "silent":
-            body = self.body if act == "data" else b""
+        elif behavior != "silent":
+            body = self.body if behavior == "data" else b""
             writer.write(
                 b"%b %b n=filled,l=util:0.5;x0:0.1 %d\r\n%b\r\n"
-                % (line[1].encode(), act.encode(), len(body), body)
+                % (line[1].encode(), behavior.encode(), len(body), body)
             )
 
 
-class Commands:
+class FakeCommandChannel:
     """The command channel: each poll is answered by the next of `answers` (raw bytes), then kept waiting."""
 
     def __init__(self, *answers):
@@ -403,7 +416,7 @@
         return b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status.encode(), len(body), body)
 
 
-class Caller:
+class ThriftClient:
     """A client: sends calls, prints what comes back under their sequence numbers."""
 
     def __init__(self, reader, writer):
@@ -437,7 +450,7 @@
             b"forget", thrift.FIELD_HEADER.pack(thrift.I32, 1), thrift.INT32.pack(number), kind=thrift.ONEWAY
         )
 
-    async def hear(self):
+    async def receive(self):
         """One answer as (sequence number, text), or None at the end of the connection."""
         try:
             (size,) = thrift.INT32.unpack(await self.reader.readexactly(4))
@@ -462,8 +475,8 @@
 
     def __init__(self, folder, machines=None, commands=None, **other):
         self.folder, self.other, self.lines = folder, other, []
-        self.machines = {server: (machines or {}).get(server) or Machine() for server in SERVERS}
-        self.commands = commands or Commands()
+        self.machines = {server: (machines or {}).get(server) or FakeCacheServer() for server in SERVERS}
+        self.commands = commands or FakeCommandChannel()
 
     def log(self, event, **values):
         self.lines.append(" ".join([event, *(str(v) for v in values.values())]))
@@ -474,12 +487,12 @@
         await self.commands.start()
         ports = {server: machine.port for server, machine in self.machines.items()}
         self.values = configuration(ports, self.commands.port, **self.other)
-        self.service = Service(read(self.values, self.folder), self.log)
+        self.service = Service(load_site(self.values, self.folder), self.log)
         self.task = asyncio.ensure_future(self.service.run())
         while self.service.lifecycle.phase is Phase.STARTING:
             await asyncio.sleep(0.001)
         self.address = self.service.client_connections.listener.socket.getsockname()
-        self.caller = await Caller.connect(self.address)
+        self.client = await ThriftClient.connect(self.address)
         return self
 
     async def __aexit__(self, *_):
@@ -487,11 +500,11 @@
             self.service.shutdown.done.set()
         await asyncio.wait_for(self.task, 5)
 
-    def pulled(self):
+    def attempt_lines(self):
         """Every PULL and KILL that came to a cache."""
         return sorted(
             f"{server} {line}"
             for server, machine in self.machines.items()
-            for line in machine.seen
+            for line in machine.received_lines
             if line[:4] in ("PULL", "KILL")
         )
--- a/tests/membership/test_safety_notices.py
+++ b/tests/membership/test_safety_notices.py
@@ -1,6 +1,6 @@
 """What peers tell of servers: it tightens at once, and nothing it says loosens."""
 
-from helpers import Bench
+from helpers import RouterHarness
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -91,7 +91,7 @@
 
 
 def test_more_sharers_make_a_cold_budget_smaller_at_once():
-    b = Bench(routers=4)
+    b = RouterHarness(routers=4)
     rate = [cold.fleet_rate(0.5, 0.0, 4.0, 0.1) * cold.share(0, 0.0) for cold in b.router.slow_start.values()]
     b.call(RouterCountChanged(8, 16))
     assert [
--- a/tests/membership/test_warm_start.py
+++ b/tests/membership/test_warm_start.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from helpers import Bench
+from helpers import RouterHarness
 
 from brookhinge.decisions.messages import ObjectsPurged, WarmStartReceived
 from brookhinge.decisions.router import Router
@@ -16,7 +16,7 @@
 from brookhinge.membership.warm_start_decisions import WarmStartMixin
 
 
-class Taught(Bench):
+class Taught(RouterHarness):
     """A bench whose router remembers."""
 
     def __init__(self, **named):
--- a/tests/overload/test_daemon.py
+++ b/tests/overload/test_daemon.py
@@ -15,25 +15,25 @@
 
 @pytest.fixture(autouse=True)
 def storm():
-    helpers.ALWAYS["storm"] = True
+    helpers.EXTRA_CONFIGURATION["storm"] = True
     yield
-    del helpers.ALWAYS["storm"]
+    del helpers.EXTRA_CONFIGURATION["storm"]
 
 
 def test_a_slow_transfer_holds_up_its_own_repeats_alone(tmp_path):
     """Who asks again for what is out waits for it, never beside it; other objects go by other connections."""
 
     async def scene(t):
-        t.caller.ask(1)
-        heard = [await t.caller.hear()]
+        t.client.ask(1)
+        heard = [await t.client.receive()]
         for machine in t.machines.values():
-            machine.act = lambda line: "half" if line[1].endswith("2") else "data"
-        t.caller.ask(2, allow="400")
-        t.caller.ask(3, allow="400")
+            machine.behavior = lambda line: "half" if line[1].endswith("2") else "data"
+        t.client.ask(2, allow="400")
+        t.client.ask(3, allow="400")
         for n in (4, 5):
-            t.caller.ask(n, lookup=f"{n:02d}" * 8)
-        heard += [await t.caller.hear() for _ in range(4)]
-        return heard, sum(line.split()[2].endswith("3") for line in t.pulled() if "PULL" in line)
+            t.client.ask(n, lookup=f"{n:02d}" * 8)
+        heard += [await t.client.receive() for _ in range(4)]
+        return heard, sum(line.split()[2].endswith("3") for line in t.attempt_lines() if "PULL" in line)
 
     heard, beside = played(scene, tmp_path)
     assert sorted(heard[1:3]) == [(4, "satisfied 19"), (5, "satisfied 19")] and beside == 0
@@ -94,13 +94,13 @@
     """Two hundred connections from one address: the descriptors' share holds, who is open goes on."""
 
     async def scene(t):
-        t.caller.ask(1)
-        heard = [await t.caller.hear()]
+        t.client.ask(1)
+        heard = [await t.client.receive()]
         t.service.ingress.detector.observed_since = -300.0  # as after five calm minutes
         crowd = await asyncio.gather(*(asyncio.open_connection(*t.address) for _ in range(200)))
         await asyncio.sleep(0.2)
-        t.caller.ask(2, lookup="cd" * 8)
-        heard.append(await t.caller.hear())
+        t.client.ask(2, lookup="cd" * 8)
+        heard.append(await t.client.receive())
         kept = len(t.service.client_connections.clients)
         ingress = t.service.ingress
         for _, writer in crowd:
--- a/tests/overload/test_decisions.py
+++ b/tests/overload/test_decisions.py
@@ -1,21 +1,21 @@
 """What the decisions make of retries and promised places: new queries first on a cold fleet, promises kept within its
 budget, and nobody shut out for good."""
 
-from helpers import CACHES, Bench
+from helpers import CACHES, RouterHarness
 
 from brookhinge.decisions.messages import EndpointsListed, RequestArrived
 from brookhinge.overload.retry_schedule import RetrySchedule
 
 
 def bench(**other):
-    b = Bench(routers=2, **other)
+    b = RouterHarness(routers=2, **other)
     b.router.retry_schedule = RetrySchedule(2.0)
     return b
 
 
 def ask(b, key="a", part=0, since=0.0, who=None, at=None):
-    b.next += 1
-    return b.call(RequestArrived(b.next, 0, key, part, 0, 100.0, False, 3.0, since, who), at=at)
+    b.last_request_id += 1
+    return b.call(RequestArrived(b.last_request_id, 0, key, part, 0, 100.0, False, 3.0, since, who), at=at)
 
 
 def test_a_retry_counts_under_its_first_try():
@@ -51,8 +51,8 @@
             b.router.retry_schedule.reservations[n, (0, f"o{n}", 0)] = now
         lines = ask(b, f"o{n}", since=since, who=n if told else None, at=now)
         counts[kind] += any(" push " in line for line in lines)
-        if b.next in b.router.requests:
-            b.end(b.next, "satisfied", at=now + 0.004)
+        if b.last_request_id in b.router.requests:
+            b.end(b.last_request_id, "satisfied", at=now + 0.004)
     return counts
 
 
--- a/tests/overload/test_retry_lineage.py
+++ b/tests/overload/test_retry_lineage.py
@@ -15,17 +15,17 @@
     ShutdownBegan,
 )
 from brookhinge.overload.retry_lineage import MAX_CONNECTIONS_OF_CLIENT, RetryLineage
-from tests.helpers import Desk
+from tests.helpers import StateHarness
 
 A, B, PROXY = "192.0.2.1", "192.0.2.2", "198.51.100.1"
 NAME = (0, "aa", 0)
 
 
 def desk(folder, *places):
-    d = Desk(folder)
+    d = StateHarness(folder)
     d.state.coalescer.lineage = RetryLineage()
     for client, place in enumerate(places, 1):
-        d.hear(ClientConnected(client, place))
+        d.process(ClientConnected(client, place))
     return d
 
 
@@ -72,7 +72,7 @@
     d.ask(client=1, number=1)
     d.ask(client=2, number=2, allow=0.5)
     d.ask(client=3, number=3)
-    lines = d.hear(RequestCancelled(1, 1))
+    lines = d.process(RequestCancelled(1, 1))
     assert [line.split()[0] for line in lines] == ["kill", "pull"] and " q1.1 " in lines[
         1
     ]  # one of both, not two
@@ -99,7 +99,7 @@
     d.ask(client=1, allow=1.0)
     d.ask(client=2, allow=0.2)
     at = d.state.requests.open[1].deadline
-    assert d.state.next_at() <= at and d.hear(at=at - 0.015) == ["error 2 2"]
+    assert d.state.next_at() <= at and d.process(at=at - 0.015) == ["error 2 2"]
     assert d.end(0, 1, "satisfied", b"x") == ["satisfy 1 1 b'x' False"]
 
 
@@ -109,7 +109,7 @@
     d.ask(client=2)
     d.state.context.effects = []
     d.state.sink.reject(0, 0.25)
-    assert [d.printed(e) for e in d.state.context.effects] == ["nack 1 1 0.25", "nack 2 2 0.25"]
+    assert [d.format_effect(e) for e in d.state.context.effects] == ["nack 1 1 0.25", "nack 2 2 0.25"]
 
 
 def test_a_retry_has_its_first_tries_time_and_is_forgotten_by_itself():
@@ -166,12 +166,12 @@
         end = self.now + by
         while (at := self.d.state.next_at()) is not None and at < end:
             self.now = max(self.now, at)
-            self.take(self.d.hear(at=self.now))
+            self.take(self.d.process(at=self.now))
         self.now = end
 
     def step(self, *events, by=0.01):
         self.advance(by)
-        self.take(self.d.hear(*events, at=self.now))
+        self.take(self.d.process(*events, at=self.now))
 
     @rule(
         client=st.integers(1, 3), key=st.sampled_from([b"aa", b"bb"]), allow=st.sampled_from([0.05, 0.3, 1.0])
@@ -214,7 +214,7 @@
             client, number = self.chance.choice(sorted(self.owed))
             self.advance()  # its own time may be over before it is withdrawn: then its answer was due
             self.owed.pop((client, number), None)
-            self.take(self.d.hear(RequestCancelled(client, number), at=self.now))
+            self.take(self.d.process(RequestCancelled(client, number), at=self.now))
 
     @rule(by=st.sampled_from([0.005, 0.05]))
     def wait(self, by):
@@ -226,7 +226,7 @@
         self.advance()
         self.owed = {key: at for key, at in self.owed.items() if key[0] != client}
         self.take(
-            self.d.hear(
+            self.d.process(
                 ClientDisconnected(client), ClientConnected(client, A if client < 3 else B), at=self.now
             )
         )
@@ -248,7 +248,7 @@
 
     def teardown(self):
         if hasattr(self, "d"):
-            self.take(self.d.hear(ShutdownBegan()))
+            self.take(self.d.process(ShutdownBegan()))
             assert not self.owed and not self.d.state.requests.open
 
 
--- a/tests/standstill/program.py
+++ b/tests/standstill/program.py
@@ -7,7 +7,7 @@
 import sys
 from pathlib import Path
 
-from tests.helpers import SERVERS, Caller, Commands, Machine, configuration
+from tests.helpers import SERVERS, FakeCacheServer, FakeCommandChannel, ThriftClient, configuration
 from tests.test_service import ROOT
 
 CACHES = ("s-21", "s-22", "s-23")
@@ -25,11 +25,11 @@
         self.attempts, self.fields, self.answer, self.lines = [], {}, asyncio.Event(), []
 
     async def __aenter__(self):
-        self.machines = {server: Machine() for server in SERVERS}
+        self.machines = {server: FakeCacheServer() for server in SERVERS}
         for server, machine in self.machines.items():
             machine.answer = self.answering(machine)
             await machine.start()
-        self.commands = await Commands().start()
+        self.commands = await FakeCommandChannel().start()
         ports = {server: machine.port for server, machine in self.machines.items()}
         (self.folder / "n1.json").write_text(
             json.dumps(configuration(ports, self.commands.port, **self.other))
@@ -124,10 +124,10 @@
 
     async def warm(self):
         """Connections to every cache server are up and idle."""
-        caller = await Caller.connect(self.address)
+        caller = await ThriftClient.connect(self.address)
         for number in range(WARMING, WARMING + 30):
             caller.ask(number, lookup=f"{number:016x}")
-            await caller.hear()
+            await caller.receive()
         caller.writer.close()
 
 
--- a/tests/standstill/test_client_gone.py
+++ b/tests/standstill/test_client_gone.py
@@ -75,7 +75,7 @@
         await stopped(program, point)
         await asyncio.sleep(STOPPED_S)
         await program.go_on()
-        return await (await raw.caller()).hear()
+        return await (await raw.client()).receive()
 
     cases = [(point,) for point in POINTS]
     assert played(answer, tmp_path, *cases) == dict.fromkeys(cases, (ASKED, "satisfied 19"))
--- a/tests/standstill/test_every_point.py
+++ b/tests/standstill/test_every_point.py
@@ -67,7 +67,7 @@
     def __init__(self, town, clock, how):
         self.town, self.clock, self.how, self.asked, self.begun = town, clock, how, 0, set()
         for machine in town.machines.values():
-            machine.act = self.answer
+            machine.behavior = self.answer
         self.steps = None
 
     def answer(self, line):
@@ -99,7 +99,7 @@
             self.steps.end()
         raw.close()
         await until(lambda: not set(clients) - others)
-        attempts = sum(line.split()[2] == name for line in town.pulled() if " PULL " in line)
+        attempts = sum(line.split()[2] == name for line in town.attempt_lines() if " PULL " in line)
         return self.steps, attempts - 1
 
     def leave(self, raw):
--- a/tests/standstill/test_held_back.py
+++ b/tests/standstill/test_held_back.py
@@ -54,7 +54,7 @@
         )
         return before, t.service.write_guard.hold_reason(change(t, raw, decided) or decided)
 
-    before, after = played(scene, tmp_path, machines=caches(act="silent"))
+    before, after = played(scene, tmp_path, machines=caches(behavior="silent"))
     assert before is None
     return after
 
@@ -128,4 +128,4 @@
         t.service.upstream_connections.place(line, PendingAttempt(other, queued_at))
         return dict(t.service.upstream_connections.holds)
 
-    assert played(scene, tmp_path, machines=caches(act="silent")) == {HeldBack.LATE: 1}
+    assert played(scene, tmp_path, machines=caches(behavior="silent")) == {HeldBack.LATE: 1}
--- a/tests/standstill/test_other_inputs.py
+++ b/tests/standstill/test_other_inputs.py
@@ -8,7 +8,7 @@
 import time
 
 from tests.crossings.test_sockets import Raw
-from tests.helpers import Commands, host, listed, settings
+from tests.helpers import FakeCommandChannel, endpoint_list_command, host, settings
 from tests.standstill.program import CACHES, played
 from tests.standstill.test_client_gone import ASKED, POINTS, asks, stopped
 from tests.test_service import until
@@ -20,7 +20,7 @@
 def drains(program):
     """The command channel's answer that tells that every cache server drains."""
     hosts = [host(server, program.machines[server].port, health="draining") for server in CACHES]
-    return Commands.reply(4, listed(4, hosts, whole=False))
+    return FakeCommandChannel.reply(4, endpoint_list_command(4, hosts, whole=False))
 
 
 async def sent_to_draining(program, point, *answers_before):
@@ -43,7 +43,7 @@
 
 def test_nor_where_they_were_told_to_drain_after_its_last_poll_had_been_answered(tmp_path):
     """An answer without events lies unread; the drain came after it and is told to the next poll alone."""
-    cases = [(point, Commands.reply(3)) for point in POINTS]
+    cases = [(point, FakeCommandChannel.reply(3)) for point in POINTS]
     assert played(sent_to_draining, tmp_path, *cases) == dict.fromkeys(cases, 0)
 
 
@@ -52,7 +52,7 @@
         raw = await asks(program)
         await stopped(program, point)
         drop = {"cursor": 4, "drop": {"id": "ab" * 8, "when": int(time.time() * 1000)}}
-        program.commands.answers.append(Commands.reply(4, drop))
+        program.commands.answers.append(FakeCommandChannel.reply(4, drop))
         await asyncio.sleep(BEYOND_GRACE_S)
         await program.go_on()
         await until(lambda: len(program.fields_for(ASKED)) > 1)
@@ -95,7 +95,7 @@
         raw.send()
         await asyncio.sleep(2.4)
         await program.go_on()
-        return (await (await raw.caller()).hear())[0]
+        return (await (await raw.client()).receive())[0]
 
     assert played(answer, tmp_path, ()) == {(): ASKED}
 
@@ -112,8 +112,8 @@
         raw.asks(2).send()
         await asyncio.sleep(told_at + 3.65 - time.monotonic())
         await program.go_on()
-        caller = await raw.caller()
-        heard = {await caller.hear(), await caller.hear()}
+        caller = await raw.client()
+        heard = {await caller.receive(), await caller.receive()}
         await asyncio.wait_for(program.process.wait(), 1.0)
         return sorted(number for number, _ in heard), program.process.returncode
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,13 +1,13 @@
 """The ordinary path: home, holders, sibling fills, parents, sub-ranges."""
 
-from helpers import Bench, request_class
+from helpers import RouterHarness, request_class
 
 from brookhinge.decisions.beacon_rings import BeaconRings
 
 
 def test_home_then_holder():
     """The home fills from the parent hashed from the object, and is asked again as its holder."""
-    b = Bench()
+    b = RouterHarness()
     assert b.serve("a") + b.serve("b") + b.serve("a", note=1) == [
         "q1 push 21 from 12 rank 1",
         "q2 push 22 from 11 rank 1",
@@ -23,7 +23,7 @@
 
 
 def test_object_in_demand_gets_a_sibling_copy_and_queries_spread():
-    b = Bench()
+    b = RouterHarness()
     assert in_demand(b) + [line for _ in range(4) for line in b.serve("a")] == [
         "q8 push 21 from 12 rank 1",
         "q9 push 21 from 12 rank 2",
@@ -35,22 +35,22 @@
 
 
 def test_failed_sibling_fill_retries_home():
-    b = Bench()
+    b = RouterHarness()
     in_demand(b)
-    assert b.ask("a") + b.end(b.next, "miss", note=8) == [
+    assert b.ask("a") + b.end(b.last_request_id, "miss", note=8) == [
         "q10 push 22 from 21 rank 2 held",
         "q10 push 21 from 12 rank 2",
     ]
 
 
 def test_no_siblings_allowed_no_parents_listed():
-    b = Bench(siblings="none", parents=())
+    b = RouterHarness(siblings="none", parents=())
     in_demand(b)
     assert b.ask("a") == ["q10 push 21 from 1 rank 2"]
 
 
 def test_next_parent_then_origin_on_failure():
-    b = Bench()
+    b = RouterHarness()
     assert b.ask("a") + b.end(1, "full") + b.end(1, "full") + b.end(1, "full") == [
         "q1 push 21 from 12 rank 1",
         "q1 push 21 from 11 rank 1",
@@ -84,7 +84,7 @@
 
 def test_a_cycle_lasts_until_the_counts_tell():
     """depot-fare-cache-later big-1: a few counts each sent the routers' ranges apart, and objects got many homes."""
-    b = Bench()
+    b = RouterHarness()
     for i in range(999):
         b.serve(f"k{i % 50}", at=i / 90)
     assert b.now > 10.0 and [ends for _, ends, _ in b.router.rings.rings] == [[500, 1000], [500, 1000]]
@@ -93,11 +93,11 @@
 
 
 def test_one_cache_and_none():
-    assert Bench(caches=(21,)).ask("a") == ["q1 push 21 from 12 rank 1"]
-    assert Bench(caches=()).ask("a") == ["q1 nack"]
-    assert Bench(caches=(), direct=True).ask("a") == ["q1 push 12 from 12 rank 0"]
+    assert RouterHarness(caches=(21,)).ask("a") == ["q1 push 21 from 12 rank 1"]
+    assert RouterHarness(caches=()).ask("a") == ["q1 nack"]
+    assert RouterHarness(caches=(), direct=True).ask("a") == ["q1 push 12 from 12 rank 0"]
 
 
 def test_ageing_copies_are_renewed():
-    b = Bench(request_classes=[request_class(fresh_s=5.0, stale_s=10.0)])
+    b = RouterHarness(request_classes=[request_class(fresh_s=5.0, stale_s=10.0)])
     assert b.ask("a") == ["q1 push 21 from 12 rank 1 age<5.000 renew"]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,6 +1,6 @@
 """The five rules, each as the decisions it shows in."""
 
-from helpers import Bench, request_class
+from helpers import RouterHarness, request_class
 
 from brookhinge.decisions.messages import AttemptEnded, EndpointsListed, ObjectsPurged, RequestWithdrawn
 from brookhinge.decisions.settings import DeduplicationScope, Idempotency
@@ -8,22 +8,22 @@
 
 def test_one_final_answer():
     """After its answer or its client's leaving nothing more is sent for a query."""
-    b = Bench()
+    b = RouterHarness()
     b.ask("a")
     b.call(RequestWithdrawn(1))
-    assert b.end(1, "errored", over=True) == []
+    assert b.end(1, "errored", is_final=True) == []
     assert b.call(AttemptEnded(1, 21, "errored", 0.1, True, 0, 0.0)) == []
-    assert b.ask("b", left=0.0) == ["q2 nack"]
+    assert b.ask("b", remaining_s=0.0) == ["q2 nack"]
 
 
 def test_time_is_up():
-    b = Bench()
+    b = RouterHarness()
     b.ask("a")
     assert b.end(1, "timeout", at=3.02) == ["q1 nack"]
 
 
 def test_single_use_that_may_have_run_is_neither_repeated_nor_nacked():
-    b = Bench(request_classes=[request_class(idempotency=Idempotency.ONCE)])
+    b = RouterHarness(request_classes=[request_class(idempotency=Idempotency.ONCE)])
     assert b.ask("a") + b.end(1, "unreachable") + b.end(1, "errored") == [
         "q1 push 21 from 12 rank 1",
         "q1 push 23 from 12 rank 1",
@@ -32,7 +32,7 @@
 
 
 def test_referenced_that_may_have_run_stays_in_its_group_and_window():
-    b = Bench(
+    b = RouterHarness(
         request_classes=[
             request_class(
                 idempotency=Idempotency.KEYED,
@@ -43,7 +43,7 @@
     )
     assert b.ask("a") + b.end(1, "broken") == ["q1 push 21 from 12 rank 1", "q1 push 23 from 12 rank 1"]
     assert b.end(1, "broken", at=1.2) == ["q1 error"]
-    b = Bench(
+    b = RouterHarness(
         request_classes=[
             request_class(
                 idempotency=Idempotency.KEYED,
@@ -57,20 +57,20 @@
 
 
 def test_drained_as_cache_and_as_source():
-    b = Bench()
+    b = RouterHarness()
     b.serve("a")
     b.call(EndpointsListed(False, [b.row(21, "draining"), b.row(12, "draining", kind="parent", zone=0)]))
     assert b.ask("a") == ["q2 push 22 from 11 rank 2"]
 
 
 def test_left_out_of_a_full_list_is_gone():
-    b = Bench()
+    b = RouterHarness()
     b.call(EndpointsListed(True, [b.row(1, kind="origin", zone=0), b.row(23)]))
     assert b.ask("a") == ["q1 push 23 from 1 rank 1"]
 
 
 def test_restarted_holder_is_forgotten():
-    b = Bench()
+    b = RouterHarness()
     b.serve("a")
     assert b.router.objects.states["a", 0].holders
     b.call(EndpointsListed(False, [b.row(21, born=0.01, weight=400.0)]))
@@ -81,7 +81,7 @@
     """How many of `each` queries of every one of so many routers went to a server started at 0, in a second."""
     lines = []
     for seed in range(routers):
-        b = Bench(routers=routers, seed=seed)
+        b = RouterHarness(routers=routers, seed=seed)
         b.call(EndpointsListed(False, [b.row(21, born=0.0), b.row(12, kind="parent", zone=0, born=0.0)]))
         lines += [line for i in range(each) for line in b.serve("a", part=i, at=start + 0.1 + i / each)]
     return sum(f"{server} " in line for line in lines)
@@ -100,9 +100,9 @@
 
 def test_power_not_told_is_guessed_low():
     """Hunt day hfe3941: with most parents just started the last warm one was asked for more than it could do."""
-    b = Bench(
+    b = RouterHarness(
         weight=0.0,
-        tells="none",
+        note_detail="none",
         routers=40,
         parents=(11, 12, 13, 14),
         request_classes=[request_class(fresh_s=60.0)],
@@ -118,7 +118,7 @@
 
 
 def test_purged_object_and_group():
-    b = Bench()
+    b = RouterHarness()
     b.serve("a", group=5)
     b.serve("b", group=6)
     b.call(ObjectsPurged(5, 0.0, ""), at=1.0)
@@ -133,7 +133,7 @@
 
 def test_referenced_that_may_have_run_does_not_pass_by_its_group():
     """No cache is left; a parent is no member of the group that drops repeats."""
-    b = Bench(
+    b = RouterHarness(
         request_classes=[
             request_class(idempotency=Idempotency.KEYED, deduplication_scope=DeduplicationScope.ZONE)
         ],
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,7 +1,7 @@
 """The configuration: each fault is told by its key and what was expected."""
 
 import pytest
-from helpers import configuration, read, settings
+from helpers import configuration, load_site, settings
 
 from brookhinge.decisions.settings import Idempotency
 from brookhinge.settings_reader import StartError
@@ -9,7 +9,7 @@
 
 
 def test_a_configuration_as_read(tmp_path):
-    site = read(configuration(), tmp_path)
+    site = load_site(configuration(), tmp_path)
     assert (site.name, site.listen, site.channel, site.seed) == (
         "n1",
         ("127.0.0.1", 0),
@@ -105,7 +105,7 @@
 )
 def test_a_fault_names_its_key(tmp_path, change, message):
     with pytest.raises(StartError) as fault:
-        read({**configuration(), **change}, tmp_path)
+        load_site({**configuration(), **change}, tmp_path)
     assert str(fault.value) == message
 
 
@@ -115,6 +115,6 @@
     ):
         read_site({"BALANCER_CONFIG": "/no/such"})
     with pytest.raises(StartError, match=r"^BALANCER_CONFIG: expected JSON, got "):
-        read("{", tmp_path)
+        load_site("{", tmp_path)
     with pytest.raises(StartError, match=r"^BALANCER_CONFIG: expected an object, got "):
-        read("[]", tmp_path)
+        load_site("[]", tmp_path)
