--- a/brookhinge/overload/__init__.py
+++ b/brookhinge/overload/__init__.py
@@ -1,4 +1,5 @@
-"""Overload by retries and reconnects: retries are recognized, rejected clients get a time to come back.
+"""Protection against overload by retries and reconnects.
 
-Modules decide without I/O, clock or chance of their own; times are float seconds that come with each call.
+Detects overload, limits new connections, recognizes retries, and gives rejected clients a time to retry at.
+The modules do no I/O, read no clock and draw no random numbers; the caller passes times as float seconds.
 """
--- a/brookhinge/overload/ingress.py
+++ b/brookhinge/overload/ingress.py
@@ -1,4 +1,4 @@
-"""Networks, overload detector and admission as the listener and the service meet them. No I/O, no clock."""
+"""Entry point of overload protection for the listener and the service. No I/O, no clock."""
 
 from typing import NamedTuple
 
@@ -8,29 +8,52 @@
 
 
 class Arrival(NamedTuple):
-    """A new connection: the network it comes from, and whether it is kept."""
+    """Outcome of a new connection.
+
+    Attributes:
+        network: Name of the network that the client's address belongs to.
+        is_admitted: Whether the connection is kept.
+    """
 
     network: str
     is_admitted: bool
 
 
 class StateChange(NamedTuple):
-    """A change of the overload state, with the names that the log line `storm` has. Rates are a second."""
+    """A change of the overload state. The field names are the keys of the log event `storm`.
+
+    Attributes:
+        state: New state.
+        was: Previous state.
+        connects_s: New connections per second.
+        queries_s: Requests per second.
+        returns: Share of retries among the requests.
+        networks: Effective number of client networks.
+        turned_away: Connections rejected since the start.
+    """
 
     state: OverloadState
     was: OverloadState
     connects_s: float
     queries_s: float
-    returns: float  # share of retries among the requests
+    returns: float
     networks: float
-    turned_away: int  # connections rejected since the start
+    turned_away: int
 
 
 class Ingress:
-    """What watches the connections of one router."""
+    """Overload protection of one router: network lookup, overload detector and connection admission.
+
+    Attributes:
+        networks: Maps client addresses to networks.
+        detector: Classifies the load.
+        admission: Admits or rejects new connections.
+        lag_s: Lag of the event loop at the last update.
+        state: Overload state at the last update.
+    """
 
     def __init__(self, max_connections: int) -> None:
-        """`max_connections`: descriptors for clients."""
+        """Create the protection for a router with `max_connections` file descriptors for clients."""
         self.networks = Networks()
         self.detector = OverloadDetector()
         self.admission = ConnectionAdmission(max_connections)
@@ -40,30 +63,30 @@
         self._retries = 0
 
     def max_accepts(self) -> int:
-        """How many connections to accept in one pass of the loop."""
+        """Return how many connections to accept in one pass of the loop."""
         return self.admission.max_accepts(self.lag_s)
 
     def admit(self, now: float, address: str) -> Arrival:
-        """Take note of a new connection and decide whether it is kept."""
+        """Record a new connection and decide whether to keep it."""
         network = self.networks.network_of(address)
         self.detector.record_connection(now, network)
         return Arrival(network, self.admission.admit(network))
 
     def release(self, network: str) -> None:
-        """Note that a connection from a network has ended."""
+        """Record that a connection from a network has ended."""
         self.admission.release(network)
 
     def update(self, now: float, lag_s: float, requests: int, retries: int) -> StateChange | None:
-        """Update the state, several times a second.
+        """Update the overload state; called several times per second.
 
         Args:
-            now: The time.
-            lag_s: By how much the loop lags.
-            requests: Since the start.
-            retries: Those among them.
+            now: Current time.
+            lag_s: Lag of the event loop.
+            requests: Requests received since the start.
+            retries: Retries among those requests.
 
         Returns:
-            The change of the state, or None.
+            The state change, or None if the state stays the same.
         """
         self.lag_s = lag_s
         self.detector.record_requests(now, requests - self._requests, retries - self._retries)
--- a/brookhinge/overload/log_report.py
+++ b/brookhinge/overload/log_report.py
@@ -1,4 +1,4 @@
-"""Reports on overload from a router's log: when it began, how it was seen, how it ended. No I/O."""
+"""Reports overload episodes from a router's log: when each began, its signs, and how it ended. No I/O."""
 
 import json
 from collections.abc import Callable, Iterable, Iterator
@@ -8,14 +8,19 @@
 from brookhinge.overload.overload_detector import OverloadState
 
 _NO_OVERLOAD = (OverloadState.CALM, OverloadState.BUSY)
-_STATE_FIGURES = ("connects_s", "queries_s", "returns", "networks")  # of the line `storm`
-_COUNTS = ("queries", "satisfied", "nacked", "errored", "again", "beside")  # of the line `figures`
+_STATE_FIGURES = ("connects_s", "queries_s", "returns", "networks")  # of the log event `storm`
+_COUNTS = ("queries", "satisfied", "nacked", "errored", "again", "beside")  # of the log event `figures`
 
 LogRow = dict[str, Any]
 
 
 class ParsedLog(NamedTuple):
-    """The lines of a log in the order of their times, and how many could not be read."""
+    """A parsed log.
+
+    Attributes:
+        rows: Log lines sorted by time.
+        unreadable: Number of lines that could not be parsed.
+    """
 
     rows: list[LogRow]
     unreadable: int
@@ -23,13 +28,32 @@
 
 @dataclass(slots=True)
 class Episode:
-    """One storm, or crowd of one client. The names stand in the report's JSON; times are Unix seconds."""
+    """One storm, or one surge caused by a client. The field names are keys of the JSON report.
+
+    Attributes:
+        router: Name of the router.
+        begin: Start of the episode, in Unix seconds.
+        end: End of the episode, in Unix seconds; None if the log ends before it.
+        kind: Value of the worst overload state reached.
+        connects_s: Highest rate of new connections per second among the `storm` events.
+        queries_s: Highest rate of requests per second.
+        returns: Highest share of retries among the requests.
+        networks: Highest effective number of client networks.
+        queries: Requests in the `figures` events of the episode.
+        satisfied: Requests that were satisfied.
+        nacked: Requests that were rejected.
+        errored: Requests that failed.
+        again: Retries that were counted toward their first request.
+        beside: Requests that waited for an open request for the same object.
+        lines: Number of `figures` events in the episode.
+        restarted: Whether a restart of the router ended the episode.
+    """
 
     router: str
     begin: float
     end: float | None
     kind: str
-    connects_s: float = 0.0  # the highest of its lines, as are the next three
+    connects_s: float = 0.0
     queries_s: float = 0.0
     returns: float = 0.0
     networks: float = 0.0
@@ -39,29 +63,29 @@
     errored: int = 0
     again: int = 0
     beside: int = 0
-    lines: int = 0  # `figures` that fall into it
-    restarted: bool = False  # the router started anew in the middle
+    lines: int = 0
+    restarted: bool = False
 
     def as_dict(self) -> dict[str, Any]:
-        """The episode for JSON."""
+        """Return the episode as a JSON-serializable dict."""
         return asdict(self)
 
     def add_state(self, row: LogRow) -> None:
-        """Take a line `storm`."""
+        """Add the figures of a `storm` event."""
         if row["state"] == OverloadState.STORM:
             self.kind = OverloadState.STORM.value
         for name in _STATE_FIGURES:
             setattr(self, name, max(getattr(self, name), row.get(name, 0.0)))
 
     def add_counts(self, row: LogRow) -> None:
-        """Take a line `figures`."""
+        """Add the counts of a `figures` event."""
         self.lines += 1
         for name in _COUNTS:
             setattr(self, name, getattr(self, name) + row.get(name, 0))
 
 
 def parse_log(lines: Iterable[str]) -> ParsedLog:
-    """Read the lines of a log; a blank one is passed over."""
+    """Parse the lines of a log, skipping blank ones."""
     rows = []
     unreadable = 0
     for line in lines:
@@ -86,7 +110,7 @@
 
 
 def find_episodes(rows: Iterable[LogRow]) -> list[Episode]:
-    """The episodes of a log; a router that starts anew in the middle of one ends it."""
+    """Find the overload episodes of a log; a restart of the router ends the current one."""
     episodes = []
     current: Episode | None = None
     for row in rows:
@@ -115,28 +139,28 @@
 
 
 def describe(episode: Episode, format_time: Callable[[float], str]) -> Iterator[str]:
-    """An episode as lines of text."""
-    what = "a storm" if episode.kind == OverloadState.STORM else "a crowd from one or two networks"
-    yield f"{format_time(episode.begin)} {what} at {episode.router or 'a router'}"
+    """Yield lines of text that describe an episode."""
+    kind = "storm" if episode.kind == OverloadState.STORM else "connection surge from one or two networks"
+    yield f"{format_time(episode.begin)} {kind} at {episode.router or 'a router'}"
     yield (
-        f"  seen by {episode.connects_s:g} connections a second from about {episode.networks:g} networks, "
-        f"{episode.queries_s:g} queries a second, {100 * episode.returns:.0f}% of them returns"
+        f"  peak rates: {episode.connects_s:g} connections/s from about {episode.networks:g} networks, "
+        f"{episode.queries_s:g} requests/s, {100 * episode.returns:.0f}% of them retries"
     )
     if episode.lines:
         satisfied = _percent(episode.satisfied, episode.queries)
         rejected = _percent(episode.nacked, episode.queries)
         yield (
-            f"  damped: of {episode.queries} queries {satisfied} were satisfied and {rejected} told to come "
-            f"back; {episode.again} were retries counted under their first try, {episode.beside} waited for "
-            "what was out"
+            f"  outcome: of {episode.queries} requests {satisfied} were satisfied and {rejected} rejected; "
+            f"{episode.again} were counted as retries of an earlier request, {episode.beside} waited for an "
+            "open request"
         )
     yield _describe_end(episode)
 
 
 def _describe_end(episode: Episode) -> str:
     if episode.end is None:
-        return "  not over when the log ends"
+        return "  still in progress at the end of the log"
     duration_s = episode.end - episode.begin
     if episode.restarted:
-        return f"  the router started anew after {duration_s:.0f} s: its plan of returns went with it"
-    return f"  over after {duration_s:.0f} s"
+        return f"  the router restarted after {duration_s:.0f} s and lost its retry schedule"
+    return f"  ended after {duration_s:.0f} s"
--- a/brookhinge/overload/networks.py
+++ b/brookhinge/overload/networks.py
@@ -1,39 +1,40 @@
-"""Networks that clients come from: blocks of the operator where they are known, else address prefixes.
+"""Lookup of the network that a client address belongs to: a configured address block, else a prefix.
 
-The one place that knows the prefix tree's library (py-radix). Memory is bounded whatever addresses come.
+This is the only module that uses the prefix tree library (py-radix). Memory is bounded for any set of
+addresses.
 """
 
 from collections.abc import Mapping, Sequence
 
 import radix
 
-PREFIX_BITS_V4 = 24  # of a network that is in no block
+PREFIX_BITS_V4 = 24  # prefix length for an address in no configured block
 PREFIX_BITS_V6 = 64
-WIDE_PREFIX_BITS_V4 = 16  # once there are too many of those
+WIDE_PREFIX_BITS_V4 = 16  # prefix length once `max_networks` prefixes have been learned
 WIDE_PREFIX_BITS_V6 = 48
 DEFAULT_MAX_NETWORKS = 4096
-UNKNOWN_NETWORK = ""  # of what is no address
-OTHER_NETWORKS = "elsewhere"  # all for which there is no place
+UNKNOWN_NETWORK = ""  # name for text that is not an IP address
+OTHER_NETWORKS = "elsewhere"  # common name for all addresses beyond the memory bound
 
 
 class Networks:
     """Maps addresses to networks.
 
     Attributes:
-        learned: Networks that are known by prefix.
+        learned: Number of prefixes learned from client addresses.
     """
 
     def __init__(
         self, blocks: Mapping[str, Sequence[str]] | None = None, max_networks: int = DEFAULT_MAX_NETWORKS
     ) -> None:
-        """Make a map.
+        """Create a map that knows only the configured blocks.
 
         Args:
-            blocks: Prefixes by the name of their network.
-            max_networks: Networks known by prefix; beyond them wider prefixes are used, as many again.
+            blocks: Address prefixes of each network name.
+            max_networks: Prefixes learned at the narrow length; then as many again at the wide length.
 
         Raises:
-            ValueError: Names a prefix that can't be read.
+            ValueError: A configured prefix cannot be parsed.
         """
         self.learned = 0
         self._tree = radix.Radix()
@@ -46,14 +47,14 @@
         try:
             self._tree.add(prefix).data["name"] = name
         except (ValueError, TypeError):
-            raise ValueError(f"{name}: expected a prefix as 192.0.2.0/24, got {prefix!r:.60}") from None
+            raise ValueError(f"{name}: expected a prefix such as 192.0.2.0/24, got {prefix!r:.60}") from None
 
     def network_of(self, address: str) -> str:
-        """The name of the network of an address."""
+        """Return the name of the network that an address belongs to, learning its prefix if it is new."""
         try:
-            known = self._tree.search_best(address)
-            if known is not None:
-                return known.data["name"]
+            match = self._tree.search_best(address)
+            if match is not None:
+                return match.data["name"]
             if self.learned >= 2 * self._max_networks:
                 return OTHER_NETWORKS
             node = self._tree.add(address, self._prefix_bits(address))
--- a/brookhinge/overload/retry_lineage.py
+++ b/brookhinge/overload/retry_lineage.py
@@ -1,11 +1,11 @@
-"""Which request is a client's retry of which. No I/O, no clock.
-
-A retry carries a new id. It is recognized by what can be seen: the same object, part and class, from the same
-connection or the same address, after an earlier attempt that was rejected, failed or withdrawn, or that is
-still open. A guess can be wrong, so what it leads to is harmless: a request beside one that is open gets the
-response of that one, which is the one it asked for; a request after one that was not served counts less only
-once the latency objective of the first has passed; and behind an address with many connections (a proxy, a
-school) only the connection tells clients apart.
+"""Recognizes which requests are retries of earlier requests. No I/O, no clock.
+
+A retry carries a new id, so it is recognized by what the router can see: the same object, part and class
+from the same connection or address, after an earlier request that was rejected, failed, was withdrawn or is
+still open. The guess may be wrong, so its consequences are harmless: a request that duplicates an open one
+gets the response of that one, which is for the same object; a request that follows an unserved one counts
+less only once the latency objective of the first has passed; and behind an address with many connections (a
+proxy, a school) clients are distinguished by connection only.
 """
 
 from collections import OrderedDict
@@ -14,48 +14,54 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-MAX_CONNECTIONS_OF_CLIENT = 4  # from one address; beyond them the address tells nobody from another
+MAX_CONNECTIONS_PER_CLIENT = 4  # from one address; with more, the address is taken to be shared by clients
 DEFAULT_MEMORY_S = 15.0
 DEFAULT_MAX_ATTEMPTS = 8192
 
 
 class RequestKind(StrEnum):
-    """What a request is to those before it. The values stand in logs."""
+    """Relation of a request to earlier ones of the same client. The values appear in logs."""
 
     NEW = "new"
     RETRY = "again"
-    BESIDE_OPEN = "beside"  # a retry of one that is still open
+    DUPLICATE = "beside"  # retry of a request that is still open
 
 
 class IdentityKind(StrEnum):
-    """By what a client is known."""
+    """What identifies a client."""
 
     ADDRESS = "address"
     CONNECTION = "connection"
 
 
 class ClientIdentity(NamedTuple):
-    """What a client is known by: its address, or its connection where others share the address."""
+    """Identity of a client: its address, or its connection where other clients share the address."""
 
     kind: IdentityKind
     value: Hashable
 
     @property
     def outlives_connection(self) -> bool:
-        """Whether the client is recognized on another connection."""
+        """Whether the client is also recognized on another connection."""
         return self.kind is IdentityKind.ADDRESS
 
 
 class Recognition(NamedTuple):
-    """What a request is."""
+    """Classification of a request.
+
+    Attributes:
+        kind: Relation of the request to earlier ones.
+        since_first_s: Seconds since the client's first request for the same object, part and class.
+        open_request: Id of the open request that this one duplicates; None if there is none.
+    """
 
     kind: RequestKind
-    since_first_s: float  # since the first attempt of the same client came
-    open_request: int | None  # the one that it stands beside
+    since_first_s: float
+    open_request: int | None
 
     @property
     def is_retry(self) -> bool:
-        """Whether it follows one that was not served."""
+        """Whether the request follows one that was not served."""
         return self.kind is RequestKind.RETRY
 
 
@@ -64,74 +70,87 @@
 
 @dataclass(slots=True, eq=False)
 class _Attempt:
+    """Last request of a client for an object, part and class.
+
+    Attributes:
+        first_at: Arrival of the first request in the chain of retries.
+        ended_at: Time at which the request ended; its arrival while it is open.
+        request: Id of the request.
+        is_open: Whether the request has no final response yet.
+    """
+
     first_at: float
-    ended_at: float  # when it came, while it is open
+    ended_at: float
     request: int
     is_open: bool = True
 
 
 class RetryLineage:
-    """Remembers attempts of clients.
+    """Remembers the clients' recent requests in order to recognize retries.
+
+    Memory is bounded: the oldest entries are evicted for new ones. Expiry is checked on lookup, so no
+    periodic sweep is needed.
 
-    Memory is bounded: the oldest attempts make place for new ones, and a stale one is judged when it is met,
-    so nothing has to be swept.
+    Attributes:
+        attempts: Last request by client identity and name, oldest first.
+        keys_by_request: Key in `attempts` by request id, for open requests.
     """
 
     def __init__(self, memory_s: float = DEFAULT_MEMORY_S, max_attempts: int = DEFAULT_MAX_ATTEMPTS) -> None:
-        """Make an empty memory.
+        """Create an empty memory.
 
         Args:
-            memory_s: How long after its end an attempt is remembered.
-            max_attempts: Attempts remembered, at most.
+            memory_s: Seconds after its end for which a request is remembered.
+            max_attempts: Requests remembered, at most.
         """
         self._memory_s = memory_s
         self._max_attempts = max_attempts
-        self._connections: dict[Hashable, int] = {}  # open, by address
+        self._connections: dict[Hashable, int] = {}  # number of open connections by address
         self.attempts: OrderedDict[Hashable, _Attempt] = OrderedDict()
-        self.key_of_request: dict[int, Hashable] = {}
+        self.keys_by_request: dict[int, Hashable] = {}
 
     def connected(self, address: Hashable) -> None:
         """Count a connection from an address."""
         self._connections[address] = self._connections.get(address, 0) + 1
 
     def disconnected(self, address: Hashable) -> None:
-        """Note the end of a connection from an address."""
-        left = self._connections.get(address, 0) - 1
-        if left > 0:
-            self._connections[address] = left
+        """Record the end of a connection from an address."""
+        remaining = self._connections.get(address, 0) - 1
+        if remaining > 0:
+            self._connections[address] = remaining
         else:
             self._connections.pop(address, None)
 
     def identify(self, address: Hashable, connection: int) -> ClientIdentity:
-        """What the client behind a connection is known by."""
-        if self._connections.get(address, 0) > MAX_CONNECTIONS_OF_CLIENT:
+        """Return the identity of the client behind a connection."""
+        if self._connections.get(address, 0) > MAX_CONNECTIONS_PER_CLIENT:
             return ClientIdentity(IdentityKind.CONNECTION, connection)
         return ClientIdentity(IdentityKind.ADDRESS, address)
 
     def recognize(
         self, now: float, request: int, address: Hashable, connection: int, name: tuple
     ) -> Recognition:
-        """Tell what a request is, and remember it unless it stands beside an open one.
+        """Classify a request, and remember it unless it duplicates an open one.
 
         Args:
-            now: The time.
-            request: Its number.
-            address: Of its client.
-            connection: Of its client.
-            name: Class, object and part.
+            now: Current time.
+            request: Request id.
+            address: Client address.
+            connection: Id of the client connection.
+            name: Class, object and part of the request.
         """
         key = (self.identify(address, connection), name)
-        known = self.attempts.get(key)
-        if known is None:
+        previous = self.attempts.get(key)
+        if previous is None:
             self._remember(key, _Attempt(now, now, request))
             if len(self.attempts) > self._max_attempts:
-                self._forget_oldest()
+                self._evict_oldest()
             return _NEW_REQUEST
-        if known.is_open:
-            return Recognition(RequestKind.BESIDE_OPEN, max(0.0, now - known.first_at), known.request)
-        # a longer or a negative time: too long ago, or the clock has stepped
-        is_remembered = 0 <= now - known.ended_at <= self._memory_s
-        first_at = known.first_at if is_remembered else now
+        if previous.is_open:
+            return Recognition(RequestKind.DUPLICATE, max(0.0, now - previous.first_at), previous.request)
+        # longer: expired; negative: the clock has stepped back
+        is_remembered = 0 <= now - previous.ended_at <= self._memory_s
+        first_at = previous.first_at if is_remembered else now
         self._remember(key, _Attempt(first_at, now, request))
         self.attempts.move_to_end(key)
         kind = RequestKind.RETRY if is_remembered else RequestKind.NEW
@@ -139,20 +158,20 @@
 
     def _remember(self, key: Hashable, attempt: _Attempt) -> None:
         self.attempts[key] = attempt
-        self.key_of_request[attempt.request] = key
+        self.keys_by_request[attempt.request] = key
 
-    def _forget_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         _, oldest = self.attempts.popitem(last=False)
-        self.key_of_request.pop(oldest.request, None)
+        self.keys_by_request.pop(oldest.request, None)
 
     def end(self, now: float, request: int, *, was_served: bool) -> None:
-        """Note the end of a request; one that was not served may be retried."""
-        key = self.key_of_request.pop(request, None)
-        known = self.attempts.get(key)
-        if known is None or known.request != request:
+        """Record the end of a request; one that was not served may be retried."""
+        key = self.keys_by_request.pop(request, None)
+        previous = self.attempts.get(key)
+        if previous is None or previous.request != request:
             return
         if was_served:
             del self.attempts[key]
         else:
-            known.is_open = False
-            known.ended_at = now
+            previous.is_open = False
+            previous.ended_at = now
--- a/tests/overload/test_daemon.py
+++ b/tests/overload/test_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon's own tests with `storm` on, and a cut of all boxes among real processes."""
+"""The tests of tests/test_service.py with `storm` enabled, and an outage of all cache servers."""
 
 import asyncio
 import json
@@ -8,115 +8,121 @@
 import pytest
 from test_service import *
 
-from brookhinge.emulator.local_deployment import LocalDeployment as Processes
+from brookhinge.emulator.local_deployment import LocalDeployment as ProcessDeployment
 
 del test_a_slow_transfer_does_not_hold_up_the_rest
 
 
 @pytest.fixture(autouse=True)
-def storm():
+def storm_enabled():
     helpers.EXTRA_CONFIGURATION["storm"] = True
     yield
     del helpers.EXTRA_CONFIGURATION["storm"]
 
 
-def test_a_slow_transfer_holds_up_its_own_repeats_alone(tmp_path):
-    """Who asks again for what is out waits for it, never beside it; other objects go by other connections."""
+def test_slow_transfer_delays_only_its_duplicates(tmp_path):
+    """A duplicate of an open request waits for it without an attempt; other objects use other connections."""
 
     async def scene(t):
         t.client.ask(1)
-        heard = [await t.client.receive()]
+        responses = [await t.client.receive()]
         for machine in t.machines.values():
             machine.behavior = lambda line: "half" if line[1].endswith("2") else "data"
         t.client.ask(2, allow="400")
         t.client.ask(3, allow="400")
         for n in (4, 5):
             t.client.ask(n, lookup=f"{n:02d}" * 8)
-        heard += [await t.client.receive() for _ in range(4)]
-        return heard, sum(line.split()[2].endswith("3") for line in t.attempt_lines() if "PULL" in line)
+        responses += [await t.client.receive() for _ in range(4)]
+        return responses, sum(line.split()[2].endswith("3") for line in t.attempt_lines() if "PULL" in line)
 
-    heard, beside = played(scene, tmp_path)
-    assert sorted(heard[1:3]) == [(4, "satisfied 19"), (5, "satisfied 19")] and beside == 0
-    assert sorted(n for n, _ in heard[3:]) == [2, 3]
+    responses, duplicate_attempts = played(scene, tmp_path)
+    assert sorted(responses[1:3]) == [(4, "satisfied 19"), (5, "satisfied 19")] and duplicate_attempts == 0
+    assert sorted(n for n, _ in responses[3:]) == [2, 3]
 
 
-def test_a_cut_of_all_boxes_among_processes(tmp_path):
-    """Whatever clients do: each query has one answer, nothing is doubled, and service comes back."""
+def test_outage_of_all_cache_servers_loses_no_response(tmp_path):
+    """Each request gets one response, the router logs no fault, and service recovers."""
 
     async def scene():
-        chance = random.Random(4)
-        objects = [f"{chance.getrandbits(64):016x}" for _ in range(40)]
-        async with Processes(
-            tmp_path / "town", boxes=2, disk=False, storm=True, longest_hint_s=1.0, warm_s=1.0
-        ) as town:
+        rng = random.Random(4)
+        objects = [f"{rng.getrandbits(64):016x}" for _ in range(40)]
+        async with ProcessDeployment(
+            tmp_path / "deployment", boxes=2, disk=False, storm=True, longest_hint_s=1.0, warm_s=1.0
+        ) as deployment:
             counts = dict.fromkeys(("satisfied", "nacked", "errored", "lost"), 0)
-            waits, ending = [], False
-
-            async def client(heeds):
-                caller = await town.caller()
-                while not ending:
-                    word, told = await caller.ask(chance.choice(objects))
-                    counts[word] += 1
-                    if word == "nacked":
-                        waits.append(told)
-                    await asyncio.sleep(told / 1000 if word == "nacked" and heeds else 0.02)
-                    if word != "satisfied" and not heeds:  # comes back over a new connection
+            delays_ms, is_ending = [], False
+
+            async def run_client(waits_as_told):
+                caller = await deployment.caller()
+                while not is_ending:
+                    outcome, delay_ms = await caller.ask(rng.choice(objects))
+                    counts[outcome] += 1
+                    if outcome == "nacked":
+                        delays_ms.append(delay_ms)
+                    await asyncio.sleep(delay_ms / 1000 if outcome == "nacked" and waits_as_told else 0.02)
+                    if outcome != "satisfied" and not waits_as_told:  # retries on a new connection
                         caller.close()
-                        caller = await town.caller()
+                        caller = await deployment.caller()
                 caller.close()
 
-            clients = [asyncio.ensure_future(client(n % 2 == 0)) for n in range(8)]
+            clients = [asyncio.ensure_future(run_client(n % 2 == 0)) for n in range(8)]
             await asyncio.sleep(1.0)
-            for name in town.names:
-                await town.kill(name)
+            for name in deployment.names:
+                await deployment.kill(name)
             await asyncio.sleep(1.0)
-            cut = dict(counts)
-            for name in town.names:
-                await town.restart(name)
+            counts_before_restart = dict(counts)
+            for name in deployment.names:
+                await deployment.restart(name)
             await asyncio.sleep(2.5)
-            back = counts["satisfied"] - cut["satisfied"]
-            ending = True
+            satisfied_after = counts["satisfied"] - counts_before_restart["satisfied"]
+            is_ending = True
             await asyncio.wait(clients, timeout=5)
             faults = [
                 line
-                for line in (tmp_path / "town" / "router.log").read_text().splitlines()
+                for line in (tmp_path / "deployment" / "router.log").read_text().splitlines()
                 if "fault" in json.loads(line)["event"] or "Error" in line
             ]
-            return counts, cut, back, waits, faults
+            return counts, counts_before_restart, satisfied_after, delays_ms, faults
 
-    counts, cut, back, waits, faults = asyncio.run(scene())
+    counts, counts_before_restart, satisfied_after, delays_ms, faults = asyncio.run(scene())
     assert counts["lost"] == 0 and faults == []
-    assert cut["satisfied"] > 20 and cut["nacked"] + cut["errored"] > 10 and back > 50
-    assert waits and all(0 <= wait <= 1000 for wait in waits)
+    assert (
+        counts_before_restart["satisfied"] > 20
+        and counts_before_restart["nacked"] + counts_before_restart["errored"] > 10
+        and satisfied_after > 50
+    )
+    assert delays_ms and all(0 <= delay_ms <= 1000 for delay_ms in delays_ms)
 
 
-def test_a_crowd_at_the_door_is_seen_and_costs_open_connections_nothing(tmp_path):
-    """Two hundred connections from one address: the descriptors' share holds, who is open goes on."""
+def test_connection_surge_is_detected_and_open_connections_keep_working(tmp_path):
+    """Of 200 connections from one address only a share is kept; an earlier connection is still served."""
 
     async def scene(t):
         t.client.ask(1)
-        heard = [await t.client.receive()]
-        t.service.ingress.detector.observed_since = -300.0  # as after five calm minutes
-        crowd = await asyncio.gather(*(asyncio.open_connection(*t.address) for _ in range(200)))
+        responses = [await t.client.receive()]
+        t.service.ingress.detector.observed_since = -300.0  # as if five minutes had been observed
+        surge = await asyncio.gather(*(asyncio.open_connection(*t.address) for _ in range(200)))
         await asyncio.sleep(0.2)
         t.client.ask(2, lookup="cd" * 8)
-        heard.append(await t.client.receive())
-        kept = len(t.service.client_connections.clients)
+        responses.append(await t.client.receive())
+        open_connections = len(t.service.client_connections.clients)
         ingress = t.service.ingress
-        for _, writer in crowd:
+        for _, writer in surge:
             writer.close()
         await until(lambda: ingress.admission.open == len(t.service.client_connections.clients) == 1)
         return (
-            heard,
-            kept,
+            responses,
+            open_connections,
             ingress.admission.rejected,
             [line.split()[1] for line in t.lines if line.startswith("storm")],
         )
 
-    heard, kept, away, states = played(scene, tmp_path, limits={"memory_mb": 192, "sockets": 160})
+    responses, open_connections, rejected, states = played(
+        scene, tmp_path, limits={"memory_mb": 192, "sockets": 160}
+    )
     assert (
-        heard == [(1, "satisfied 19"), (2, "satisfied 19")]
-        and kept <= 83
-        and away > 100
+        responses == [(1, "satisfied 19"), (2, "satisfied 19")]
+        and open_connections <= 83
+        and rejected > 100
         and states[0] == "client"
     )
