--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,20 +5,26 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent))
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
-KNOWN = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-MOST = 3
+KNOWN_RED_FILE = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
+MAX_KNOWN_RED = 3
 
 
 def known_red():
-    """{test: the line} of the tests that fail for a known fault: `path::name: cause, issue` each."""
-    lines = [line for line in KNOWN.read_text().splitlines() if line.strip()] if KNOWN.exists() else []
-    if len(lines) > MOST:
-        raise pytest.UsageError(f"{KNOWN.name}: {len(lines)} tests, {MOST} at most")
+    """Returns {test: line} of the tests that fail for a known fault; a line is `path::name: cause, issue`."""
+    lines = (
+        [line for line in KNOWN_RED_FILE.read_text().splitlines() if line.strip()]
+        if KNOWN_RED_FILE.exists()
+        else []
+    )
+    if len(lines) > MAX_KNOWN_RED:
+        raise pytest.UsageError(
+            f"{KNOWN_RED_FILE.name}: found {len(lines)} tests, expected at most {MAX_KNOWN_RED}"
+        )
     return {line.partition(": ")[0]: line for line in lines}
 
 
 def pytest_collection_modifyitems(config, items):
-    """What is listed has to fail: it fails the run when it passes, as any other does when it fails."""
+    """Marks the listed tests as strict xfail: one that passes fails the run."""
     known = known_red()
     for item in items:
         if item.nodeid in known:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,5 +1,4 @@
-"""A small site, a writer that prints each decision as one line, short ways to call a router, and stand-ins of what
-the router on sockets talks to."""
+"""Shared test helpers: harnesses that drive a router without sockets, and fakes of the peers of a router on sockets."""
 
 import asyncio
 import json
@@ -47,8 +46,8 @@
 ORIGIN, PARENTS, CACHES = 1, (11, 12), (21, 22, 23, 24)
 
 
-def request_class(name="page", idempotency=Idempotency.REPEATABLE, **other):
-    base = dict(
+def request_class(name="page", idempotency=Idempotency.REPEATABLE, **overrides):
+    defaults = dict(
         name=name,
         idempotency=idempotency,
         deduplication_scope=DeduplicationScope.ZONE,
@@ -63,31 +62,33 @@
         stale_share=0.5,
         uncacheable=False,
     )
-    return RequestClass(**{**base, **other})
+    return RequestClass(**{**defaults, **overrides})
 
 
 class PrintingSink:
-    """The sink: keeps what was decided as printed lines."""
+    """A decision sink that records each decision as a line of text."""
 
     def __init__(self):
         self.lines, self.kept = [], set()
 
-    def forward(self, query, attempt):
-        cache, _, source, rank, age_s, _, held_only, renew = attempt
-        marks = "".join(" " + n for n, on in (("held", held_only), ("renew", renew)) if on)
-        age = f" age<{age_s:.3f}" if age_s else ""
-        self.lines.append(f"q{query} push {cache} from {source} rank {rank}{age}{marks}")
+    def forward(self, request_id, attempt):
+        cache, _, source, rank, max_age_s, _, cached_only, revalidates = attempt
+        marks = "".join(
+            " " + mark for mark, is_set in (("held", cached_only), ("renew", revalidates)) if is_set
+        )
+        age = f" age<{max_age_s:.3f}" if max_age_s else ""
+        self.lines.append(f"q{request_id} push {cache} from {source} rank {rank}{age}{marks}")
 
-    def reject(self, query, retry_after_s, reason=None):
-        self.lines.append(f"q{query} nack")
+    def reject(self, request_id, retry_after_s, reason=None):
+        self.lines.append(f"q{request_id} nack")
 
-    def fail(self, query, reason=None):
-        self.lines.append(f"q{query} error")
+    def fail(self, request_id, reason=None):
+        self.lines.append(f"q{request_id} error")
 
-    def respond_from_copy(self, query, name):
-        self.lines.append(f"q{query} own")
+    def respond_from_copy(self, request_id, name):
+        self.lines.append(f"q{request_id} own")
 
-    def keep_copy(self, query, name):
+    def keep_copy(self, request_id, name):
         self.kept.add(name)
 
     def drop_copy(self, name):
@@ -98,7 +99,7 @@
 
 
 class RouterHarness:
-    """A router of one location with four caches, two parents and an origin, and a clock."""
+    """Drives the decisions of a router in a location with four caches, two parents and an origin, under a test clock."""
 
     def __init__(
         self,
@@ -111,7 +112,7 @@
         routers=1,
         note_detail="hit",
         seed=7,
-        **other,
+        **router_options,
     ):
         self.trace, self.now, self.last_request_id = PrintingSink(), 0.0, 0
         self.router = Router(
@@ -126,7 +127,7 @@
             parent_slow_start=SlowStart(0.1, 10.0, 2.0, 1.0),
             purge_settled_s=6.0,
             server_kinds=("parent", "origin"),
-            **other,
+            **router_options,
         )
         self.router.retry_budget.tokens = 10.0
         rows = [self.row(ORIGIN, kind="origin", zone=0)] + [
@@ -138,7 +139,7 @@
         return Endpoint(server, health, weight, born, 0, kind, zone)
 
     def call(self, message, at=None):
-        """One round with one message; the lines it printed."""
+        """Processes one message in a round of its own; returns the lines that it added."""
         self.now = self.now + 0.01 if at is None else at
         before = len(self.trace.lines)
         self.router.process(self.now, [message], self.trace)
@@ -151,17 +152,17 @@
         )
         return self.call(request, at=at)
 
-    def end(self, query, result, took_s=0.1, note=0, is_final=None, at=None, copy=None):
-        """Ends the push that is out for a query."""
-        q = self.router.requests[query]
-        server = self.router.endpoints.ids[q.server]
+    def end(self, request_id, result, took_s=0.1, note=0, is_final=None, at=None, copy=None):
+        """Ends the open attempt of a request."""
+        request = self.router.requests[request_id]
+        server = self.router.endpoints.ids[request.server]
         is_final = result == "satisfied" if is_final is None else is_final
         copy = copy and StoredCopy(*copy)
-        return self.call(AttemptEnded(query, server, result, took_s, is_final, note, 0.0, copy), at=at)
+        return self.call(AttemptEnded(request_id, server, result, took_s, is_final, note, 0.0, copy), at=at)
 
-    def serve(self, key, note=2, **ask):
-        """A query that is satisfied at once, after a miss if it was looked for first; what it printed."""
-        lines = self.ask(key, **ask)
+    def serve(self, key, note=2, **request_fields):
+        """Satisfies a request at once, after a miss if it was a lookup; returns the lines that it added."""
+        lines = self.ask(key, **request_fields)
         if (
             note > 1
             and lines
@@ -173,7 +174,7 @@
         return lines
 
 
-# the router on sockets: stand-ins of what it talks to, written from their wires
+# fakes of the peers of a router on sockets, written from their wire formats
 
 SERVERS = {"s-01": "origin", "s-11": "parent", "s-12": "parent", "s-21": "box", "s-22": "box", "s-23": "box"}
 
@@ -195,8 +196,8 @@
     }
 
 
-def host(server, port=9, **other):
-    """A server as the command channel lists it."""
+def host(server, port=9, **fields):
+    """Returns a server's entry in the endpoint list of the command channel."""
     kind = SERVERS[server]
     return {
         "host": server,
@@ -207,7 +208,7 @@
         "health": "up",
         "share": 4,
         "born_ms": 0,
-        **other,
+        **fields,
     }
 
 
@@ -215,10 +216,10 @@
     return {"cursor": cursor, "nodes": {"seq": cursor, "whole": whole, "hosts": hosts}}
 
 
-EXTRA_CONFIGURATION = {}  # keys of every configuration: tests/overload plays the services' tests with `storm` on
+EXTRA_CONFIGURATION = {}  # keys added to every configuration: tests/overload runs test_service.py with `storm` on
 
 
-def configuration(ports=None, channel=9, **other):
+def configuration(ports=None, channel=9, **values):
     hosts = [host(server, (ports or {}).get(server, 9)) for server in SERVERS]
     return {
         "name": "n1",
@@ -229,18 +230,18 @@
         "known": {"cursor": 3, "cmds": [endpoint_list_command(3, hosts)]},
         "settings": settings(),
         **EXTRA_CONFIGURATION,
-        **other,
+        **values,
     }
 
 
 def load_site(values, folder):
-    """The site of a configuration, as the program would read it."""
+    """Loads the site from a configuration file, as the program does."""
     path = folder / "config.json"
     path.write_text(values if isinstance(values, str) else json.dumps(values))
     return read_site({"BALANCER_CONFIG": str(path)})
 
 
-# The words of printed effects.
+# The word that stands for each effect in the lines of `StateHarness`.
 EFFECT_WORDS = {
     SendAttempt: "pull",
     CancelAttempt: "kill",
@@ -257,29 +258,29 @@
 
 
 class StateHarness:
-    """A router's state with its decisions, called by events; effects come back as printed lines."""
+    """Drives a router's state and decisions by events; effects are returned as lines of text."""
 
-    def __init__(self, folder, **other):
-        site = load_site(configuration(**other), folder)
+    def __init__(self, folder, **configuration_values):
+        site = load_site(configuration(**configuration_values), folder)
         self.router = Router(site.seed, machine=site.bounds, **site.decisions._asdict())
         self.state = RouterState(
             self.router, [t.name.encode() for t in site.decisions.request_classes], site.zones
         )
-        self.now, self.asked = 0.0, 0
+        self.now, self.request_count = 0.0, 0
         self.process(*read_commands(site.known, 0.0)[1])
 
-    def process(self, *posted, at=None):
+    def process(self, *posted_events, at=None):
         self.now = self.now + 0.01 if at is None else at
-        return [self.format_effect(effect) for effect in self.state.reduce(self.now, posted)]
+        return [self.format_effect(effect) for effect in self.state.reduce(self.now, posted_events)]
 
     def ask(self, key=b"aa", kind=b"page", name=None, client=1, number=None, at=None, allow=1.0, tag=None):
-        self.asked += 1
-        came = self.now + 0.01 if at is None else at
+        self.request_count += 1
+        received_at = self.now + 0.01 if at is None else at
         return self.process(
             events.RequestReceived(
                 client,
-                number or self.asked,
-                name or b"r%d" % self.asked,
+                number or self.request_count,
+                name or b"r%d" % self.request_count,
                 kind,
                 key,
                 b"0",
@@ -289,24 +290,26 @@
                 allow,
                 tag,
                 b"",
-                came,
+                received_at,
             ),
             at=at,
         )
 
-    def end(self, query, push, result, body=b"", unchanged=False, at=None, **copy):
+    def end(self, request_id, attempt, result, body=b"", unchanged=False, at=None, **copy):
         return self.process(
-            events.AttemptEnded(query, push, result, 2, 0.0, None, body, unchanged, self.now, *copy.values()),
+            events.AttemptEnded(
+                request_id, attempt, result, 2, 0.0, None, body, unchanged, self.now, *copy.values()
+            ),
             at=at,
         )
 
     def format_effect(self, effect):
         word = EFFECT_WORDS[type(effect)]
         if isinstance(effect, SendAttempt):
-            left = effect.deadline - self.now
+            remaining_s = effect.deadline - self.now
             return (
                 f"{word} q{effect.request_id}.{effect.attempt} {effect.client_request_id.decode()} {effect.server.server} "
-                f"from {effect.fill_from} rank {effect.retention} for {left:.3f}"
+                f"from {effect.fill_from} rank {effect.retention} for {remaining_s:.3f}"
             )
         if isinstance(effect, CancelAttempt):
             return f"{word} q{effect.request_id}.{effect.attempt}"
@@ -316,8 +319,8 @@
 
 
 class FakeCacheServer:
-    """A cache server: answers PULLs as `behavior` says: a word of the wire, raw bytes, 'silent', 'reset', 'half' or
-    'garbage'."""
+    """A cache server that answers each PULL according to `behavior`: a result word of the wire, raw bytes, 'silent',
+    'reset', 'half' or 'garbage', or a function that returns one of these."""
 
     def __init__(self, behavior="data", delay=0.0, body=b"bytes of the object"):
         (
@@ -344,7 +347,7 @@
         return self
 
     async def stop(self):
-        """The process dies: connections are reset, new ones refused."""
+        """Simulates a crash: connections are reset, new ones refused."""
         self.server.close()
         for writer in self.writers:
             writer.transport.abort()
@@ -387,7 +390,7 @@
 
 
 class FakeCommandChannel:
-    """The command channel: each poll is answered by the next of `answers` (raw bytes), then kept waiting."""
+    """A command channel that answers each poll with the next of `answers` (raw bytes) and waits when there is none."""
 
     def __init__(self, *answers):
         self.answers, self.polls = list(answers), []
@@ -417,7 +420,7 @@
 
 
 class ThriftClient:
-    """A client: sends calls, prints what comes back under their sequence numbers."""
+    """A client that sends Thrift calls and returns the responses as text with their sequence numbers."""
 
     def __init__(self, reader, writer):
         self.reader, self.writer, self.number = reader, writer, 0
@@ -426,15 +429,15 @@
     async def connect(cls, address):
         return cls(*await asyncio.open_connection(*address))
 
-    def call(self, method, *args, kind=thrift.CALL):
+    def call(self, method, *args, message_type=thrift.CALL):
         self.number += 1
-        self.writer.write(thrift.encode_message(method, kind, self.number, *args, b"\0"))
+        self.writer.write(thrift.encode_message(method, message_type, self.number, *args, b"\0"))
         return self.number
 
-    def ask(self, name, **fields):
+    def ask(self, request_id, **fields):
         values = {
             "service": "page",
-            "ref": f"{name:016x}",
+            "ref": f"{request_id:016x}",
             "allow": "2900",
             "lookup": "ab" * 8,
             "piece": "0",
@@ -442,39 +445,42 @@
             "room": "100.0",
             **fields,
         }
-        told = {k.encode(): v.encode() for k, v in values.items() if v is not None}
-        return self.call(b"serve", thrift.FIELD_HEADER.pack(thrift.MAP, 1), thrift.encode_string_map(told))
+        encoded = {k.encode(): v.encode() for k, v in values.items() if v is not None}
+        return self.call(b"serve", thrift.FIELD_HEADER.pack(thrift.MAP, 1), thrift.encode_string_map(encoded))
 
     def forget(self, number):
         self.call(
-            b"forget", thrift.FIELD_HEADER.pack(thrift.I32, 1), thrift.INT32.pack(number), kind=thrift.ONEWAY
+            b"forget",
+            thrift.FIELD_HEADER.pack(thrift.I32, 1),
+            thrift.INT32.pack(number),
+            message_type=thrift.ONEWAY,
         )
 
     async def receive(self):
-        """One answer as (sequence number, text), or None at the end of the connection."""
+        """Returns the next response as (sequence number, text), or None at the end of the connection."""
         try:
             (size,) = thrift.INT32.unpack(await self.reader.readexactly(4))
             reader = thrift.Reader(await self.reader.readexactly(size))
         except (ConnectionError, asyncio.IncompleteReadError):
             return None
-        _, kind, number = thrift.read_message_header(reader)
-        ((_, place),) = [next(reader.read_fields())]
-        if kind == thrift.EXCEPTION:
+        _, message_type, number = thrift.read_message_header(reader)
+        ((_, field_id),) = [next(reader.read_fields())]
+        if message_type == thrift.EXCEPTION:
             return number, "exception " + reader.read_string().decode()
-        if place:
-            return number, {1: "nack", 2: "error"}[place]
+        if field_id:
+            return number, {1: "nack", 2: "error"}[field_id]
         args = thrift.read_arguments(reader, {1: thrift.STRING, 2: thrift.MAP})
-        same = " unchanged" if args[2].get(b"unchanged") == b"1" else ""
-        return number, f"satisfied {len(args[1])}{same}" if args[
+        suffix = " unchanged" if args[2].get(b"unchanged") == b"1" else ""
+        return number, f"satisfied {len(args[1])}{suffix}" if args[
             1
-        ] or same else f"well {bool(reader.frame[-3])}"
+        ] or suffix else f"well {bool(reader.frame[-3])}"
 
 
 class LocalDeployment:
-    """A service among its stand-ins, for `async with`."""
+    """A router service with fakes of all its peers, for use with `async with`."""
 
-    def __init__(self, folder, machines=None, commands=None, **other):
-        self.folder, self.other, self.lines = folder, other, []
+    def __init__(self, folder, machines=None, commands=None, **configuration_values):
+        self.folder, self.configuration_values, self.lines = folder, configuration_values, []
         self.machines = {server: (machines or {}).get(server) or FakeCacheServer() for server in SERVERS}
         self.commands = commands or FakeCommandChannel()
 
@@ -486,7 +492,7 @@
             await machine.start()
         await self.commands.start()
         ports = {server: machine.port for server, machine in self.machines.items()}
-        self.values = configuration(ports, self.commands.port, **self.other)
+        self.values = configuration(ports, self.commands.port, **self.configuration_values)
         self.service = Service(load_site(self.values, self.folder), self.log)
         self.task = asyncio.ensure_future(self.service.run())
         while self.service.lifecycle.phase is Phase.STARTING:
@@ -501,7 +507,7 @@
         await asyncio.wait_for(self.task, 5)
 
     def attempt_lines(self):
-        """Every PULL and KILL that came to a cache."""
+        """Returns 'SERVER PULL|KILL REQUEST-ID' for every PULL and KILL that a server received."""
         return sorted(
             f"{server} {line}"
             for server, machine in self.machines.items()
