--- a/tests/crossings/test_rare.py
+++ b/tests/crossings/test_rare.py
@@ -399,7 +399,7 @@
         t.client.ask(1)
         t.client.ask(2)
         answers = await t.client.receive(), await t.client.receive()
-        numbers = {answer[0] - t.client.number for answer in answers}
+        numbers = {answer[0] - t.client.sequence_number for answer in answers}
         return numbers, {answer[1] for answer in answers}, sorted(patience_told(t))
 
     numbers, answers, (second, first) = played(scene, tmp_path, machines=caches())
--- a/tests/crossings/test_sockets.py
+++ b/tests/crossings/test_sockets.py
@@ -319,7 +319,7 @@
 ):
     async def scene(t, server):
         row = host(server, t.machines[server].port, health=health)
-        t.commands.answers.append(FakeCommandChannel.reply(4, endpoint_list_command(4, [row], whole=False)))
+        t.commands.responses.append(FakeCommandChannel.reply(4, endpoint_list_command(4, [row], whole=False)))
         await until(lambda: t.service.state.commands.cursor == 4)
         await asyncio.sleep(0.1)
         Held.gate.set()
@@ -334,7 +334,7 @@
     async def scene(t, server):
         t.service.state.decisions.fill_planner.routers_here = 1
         rows = [host(s, t.machines[s].port, health="draining") for s in ("s-11", "s-12")]
-        t.commands.answers.append(FakeCommandChannel.reply(4, endpoint_list_command(4, rows, whole=False)))
+        t.commands.responses.append(FakeCommandChannel.reply(4, endpoint_list_command(4, rows, whole=False)))
         await until(lambda: t.service.state.commands.cursor == 4)
         await asyncio.sleep(0.1)
         Held.gate.set()
@@ -352,7 +352,7 @@
     async def scene(t, server):
         drop = {"cursor": 4, "drop": {"id": "ab" * 8, "when": int(time.time() * 1000)}}
         t.service.state.decisions.purges.settled_s = 6.0
-        t.commands.answers.append(FakeCommandChannel.reply(4, drop))
+        t.commands.responses.append(FakeCommandChannel.reply(4, drop))
         await until(lambda: t.service.state.commands.cursor == 4)
         await asyncio.sleep(0.1)
         Held.gate.set()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -390,10 +390,10 @@
 
 
 class FakeCommandChannel:
-    """A command channel that answers each poll with the next of `answers` (raw bytes) and waits when there is none."""
+    """A command channel that answers each poll with the next of `responses` (raw bytes) and waits when there is none."""
 
-    def __init__(self, *answers):
-        self.answers, self.polls = list(answers), []
+    def __init__(self, *responses):
+        self.responses, self.polls = list(responses), []
 
     async def start(self):
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -404,11 +404,11 @@
         try:
             while line := (await reader.readuntil(b"\r\n\r\n")).decode():
                 self.polls.append(line.split()[1])
-                while not self.answers:
+                while not self.responses:
                     await asyncio.sleep(0.01)
-                answer = self.answers.pop(0)
-                writer.write(answer)
-                if not answer:
+                response = self.responses.pop(0)
+                writer.write(response)
+                if not response:
                     return writer.transport.abort()
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
@@ -423,16 +423,16 @@
     """A client that sends Thrift calls and returns the responses as text with their sequence numbers."""
 
     def __init__(self, reader, writer):
-        self.reader, self.writer, self.number = reader, writer, 0
+        self.reader, self.writer, self.sequence_number = reader, writer, 0
 
     @classmethod
     async def connect(cls, address):
         return cls(*await asyncio.open_connection(*address))
 
     def call(self, method, *args, message_type=thrift.CALL):
-        self.number += 1
-        self.writer.write(thrift.encode_message(method, message_type, self.number, *args, b"\0"))
-        return self.number
+        self.sequence_number += 1
+        self.writer.write(thrift.encode_message(method, message_type, self.sequence_number, *args, b"\0"))
+        return self.sequence_number
 
     def ask(self, request_id, **fields):
         values = {
--- a/tests/standstill/test_other_inputs.py
+++ b/tests/standstill/test_other_inputs.py
@@ -27,7 +27,7 @@
     """How many attempts a router makes that was stopped as its servers were told to drain, with a request open."""
     raw = await asks(program)
     await stopped(program, point)
-    program.commands.answers += [*answers_before, drains(program)]
+    program.commands.responses += [*answers_before, drains(program)]
     await asyncio.sleep(BEYOND_GRACE_S)
     await program.go_on()
     await asyncio.sleep(0.4)
@@ -52,7 +52,7 @@
         raw = await asks(program)
         await stopped(program, point)
         drop = {"cursor": 4, "drop": {"id": "ab" * 8, "when": int(time.time() * 1000)}}
-        program.commands.answers.append(FakeCommandChannel.reply(4, drop))
+        program.commands.responses.append(FakeCommandChannel.reply(4, drop))
         await asyncio.sleep(BEYOND_GRACE_S)
         await program.go_on()
         await until(lambda: len(program.fields_for(ASKED)) > 1)
@@ -72,7 +72,7 @@
         await program.warm()
         await until(lambda: program.commands.polls)
         await program.stop_now()
-        program.commands.answers.append(drains(program))
+        program.commands.responses.append(drains(program))
         await asyncio.sleep(1.8)
         await program.go_on()
         await asyncio.sleep(0.3)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -334,12 +334,12 @@
             router.retry_budget.tokens = 5.0
             (other if n % 5 == 0 else t.client).ask(n, lookup=f"{n % 40:016x}", allow="600")
             if n % 7 == 0:
-                t.client.forget(t.client.number)
+                t.client.forget(t.client.sequence_number)
             if n % 25 == 24:
                 other.writer.transport.abort()
                 other = await ThriftClient.connect(t.address)
             if n == 60:
-                t.commands.answers.append(
+                t.commands.responses.append(
                     FakeCommandChannel.reply(
                         4, endpoint_list_command(4, [host("s-21", health="removed")], whole=False)
                     )
@@ -417,7 +417,7 @@
         port = t.machines["s-21"].port
         rest = [host(s, t.machines[s].port) for s in ("s-01", "s-11", "s-12")]
         made = t.machines["s-21"].connections_accepted
-        t.commands.answers.append(
+        t.commands.responses.append(
             FakeCommandChannel.reply(4, endpoint_list_command(4, [*rest, host("s-22", port)]))
         )
         await until(lambda: t.service.state.commands.cursor == 4)
