--- a/tests/crossings/test_rare.py
+++ b/tests/crossings/test_rare.py
@@ -1,4 +1,4 @@
-"""Crossings that need two or three rare events at once, found by the hunt of `docs/incidents/rare-faults.md`."""
+"""Faults that need two or three rare events at once; docs/incidents/rare-faults.md describes how they were found."""
 
 import asyncio
 import errno
@@ -18,7 +18,7 @@
 from brookhinge.net import client_connection, client_connections, listener, thrift, upstream_pool
 from brookhinge.net.request_validation import MAX_BODY_BYTES
 from brookhinge.overload.retry_lineage import RetryLineage
-from tests.crossings.test_sockets import Raw, warm
+from tests.crossings.test_sockets import RawClient, warm_up_connections
 from tests.helpers import FakeCacheServer, RouterHarness, StateHarness, configuration, request_class, settings
 from tests.test_service import caches, played, until
 
@@ -26,10 +26,10 @@
 
 
 @pytest.mark.parametrize("step_s", [HOUR_S, -HOUR_S, 5.0, -5.0])
-def test_a_step_of_the_wall_clock_ends_no_query(tmp_path, monkeypatch, step_s):
-    """While one query is out the router's wall clock is set; those asked then and later are answered all the same."""
-    real, offset_s = time.time, [0.0]
-    monkeypatch.setattr(time, "time", lambda: real() + offset_s[0])
+def test_wall_clock_step_ends_no_request(tmp_path, monkeypatch, step_s):
+    """The wall clock is set while a request is open; that request and later ones are still satisfied."""
+    original, offset_s = time.time, [0.0]
+    monkeypatch.setattr(time, "time", lambda: original() + offset_s[0])
 
     async def scene(t):
         t.client.ask(1)
@@ -53,7 +53,7 @@
 
     def accept(self):
         if self.fails:
-            raise OSError(self.error, "planted")
+            raise OSError(self.error, "injected")
         return self.listener.accept()
 
     def __getattr__(self, name):
@@ -61,7 +61,7 @@
 
 
 class FailingSockets:
-    """The module `socket`, whose `socket` fails a few times."""
+    """The module `socket` with a `socket` function that fails `times` times."""
 
     def __init__(self, error, times):
         self.error, self.times = error, times
@@ -69,7 +69,7 @@
     def socket(self, *args, **keywords):
         if self.times:
             self.times -= 1
-            raise OSError(self.error, "planted")
+            raise OSError(self.error, "injected")
         return socket.socket(*args, **keywords)
 
     def __getattr__(self, name):
@@ -77,9 +77,9 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOMEM, errno.ENOBUFS, errno.EMFILE, errno.ENFILE])
-def test_a_start_waits_for_a_socket_to_listen_on(tmp_path, monkeypatch, error):
-    """Seen in a soak: a router was started while socket(2) failed with ENOMEM, and ended with 2. The same shortage passes in
-    service."""
+def test_start_retries_until_a_listening_socket_is_available(tmp_path, monkeypatch, error):
+    """In a soak test a router that was started while socket(2) failed with ENOMEM exited with status 2, although such a
+    shortage is temporary."""
     monkeypatch.setattr(listener, "socket", FailingSockets(error, 3))
 
     async def scene(t):
@@ -89,17 +89,17 @@
     assert played(scene, tmp_path) == (1, "satisfied 19")
 
 
-def test_who_came_while_accept_failed_is_answered_as_the_router_ends(tmp_path):
-    """SIGTERM comes while no descriptor is to be had: the query lies in the backlog when accepting ends."""
+def test_connection_in_the_backlog_is_answered_when_accept_failed_until_shutdown(tmp_path):
+    """Shutdown begins while accept fails for lack of resources; the request is in the accept backlog at that time."""
 
     async def scene(t, error):
         failing = t.service.client_connections.listener.socket = FailingListener(
             t.service.client_connections.listener.socket, error
         )
         t.service.stop()
-        caller = await Raw(t.address).asks(1).send().client()
+        client = await RawClient(t.address).add_requests(1).send().to_thrift_client()
         asyncio.get_running_loop().call_later(0.9, setattr, failing, "fails", False)
-        answer = await caller.receive()
+        answer = await client.receive()
         await t.task
         return answer and answer[0]
 
@@ -107,31 +107,31 @@
         assert played(lambda t, error=error: scene(t, error), tmp_path) == 1, errno.errorcode[error]
 
 
-def test_who_came_while_clients_held_all_descriptors_is_answered_as_the_router_ends(tmp_path):
-    """Every place is taken by clients with a query open; one more is in the backlog as the router is told to end."""
+def test_connection_in_the_backlog_is_answered_when_clients_use_all_descriptors_until_shutdown(tmp_path):
+    """Clients with open requests use all connections; one more is in the accept backlog when shutdown begins."""
 
     async def scene(t):
         t.service.client_connections.max_connections = 1
         t.client.ask(1)
         await until(t.attempt_lines)
-        caller = await Raw(t.address).asks(1).send().client()
+        client = await RawClient(t.address).add_requests(1).send().to_thrift_client()
         t.service.stop()
-        answers = await t.client.receive(), await caller.receive()
+        answers = await t.client.receive(), await client.receive()
         await t.task
         return [answer and answer[0] for answer in answers]
 
     assert played(scene, tmp_path, machines=caches(delay=1.0)) == [1, 1]
 
 
-def test_who_writes_slowly_has_the_answer_to_what_came_whole(tmp_path):
-    """A client sends one query and half of the next, and stalls for longer than a frame may take."""
+def test_complete_request_is_answered_when_the_next_one_stalls_halfway(tmp_path):
+    """A client sends one request and half of the next, then stalls for longer than the call timeout."""
 
     async def scene(t):
-        raw = Raw(t.address).asks(1, 2)
-        whole = len(raw.bytes) // 2
-        raw.bytes = raw.bytes[: whole + 30]
-        caller = await raw.send().client()
-        return await caller.receive(), await caller.receive()
+        raw_client = RawClient(t.address).add_requests(1, 2)
+        frame_bytes = len(raw_client.unsent) // 2
+        raw_client.unsent = raw_client.unsent[: frame_bytes + 30]
+        client = await raw_client.send().to_thrift_client()
+        return await client.receive(), await client.receive()
 
     assert played(scene, tmp_path, machines=caches(delay=client_connections.CALL_TIMEOUT_S + 0.4)) == (
         (1, "satisfied 19"),
@@ -139,41 +139,41 @@
     )
 
 
-async def reads_nothing(t):
-    """A client whose first query is out at a server that is silent, and that reads none of many large answers."""
+async def start_client_that_reads_nothing(t):
+    """Returns a client whose first request is open at a silent server and that reads none of many large responses."""
     key = "cd" * 8
     for machine in t.machines.values():
         machine.behavior = lambda line: "silent" if key in line[2] else "data"
         machine.body = b"x" * 200_000
-    raw = Raw(t.address)
-    raw.asks(1, lookup=key).send()
+    raw_client = RawClient(t.address)
+    raw_client.add_requests(1, lookup=key).send()
     await until(t.attempt_lines)
     client = list(t.service.client_connections.clients.values())[-1]
     for number in range(2, 32):
-        raw.asks(number, lookup=f"{number:016x}").send()
+        raw_client.add_requests(number, lookup=f"{number:016x}").send()
         await asyncio.sleep(0.01)
     await until(lambda: client.unsent_bytes > thrift.MAX_FRAME_BYTES)
-    return raw, client
+    return raw_client, client
 
 
-async def pulls_of_the_first_once_its_server_fails(t, raw):
+async def pulls_of_first_request_after_server_failure(t, raw_client):
     for machine in t.machines.values():
         for writer in machine.writers:
             writer.transport.abort()
     await asyncio.sleep(0.3)
-    raw.close(reset=True)
+    raw_client.close(reset=True)
     return [line for line in t.attempt_lines() if f"PULL {1:016x}" in line]
 
 
-def test_a_cancel_does_not_wait_behind_answers_that_are_not_read(tmp_path):
-    """A client reads nothing, cancels a query, then the server of that query ends its connection."""
+def test_cancel_is_handled_while_responses_are_unread(tmp_path):
+    """A client that reads nothing cancels a request; then the server of that request resets its connection."""
 
     async def scene(t):
-        raw, client = await reads_nothing(t)
-        raw.call.forget(1)
-        raw.send()
+        raw_client, client = await start_client_that_reads_nothing(t)
+        raw_client.encoder.forget(1)
+        raw_client.send()
         await asyncio.sleep(0.3)
-        return await pulls_of_the_first_once_its_server_fails(t, raw)
+        return await pulls_of_first_request_after_server_failure(t, raw_client)
 
     assert len(played(scene, tmp_path)) == 1
 
@@ -195,8 +195,8 @@
         self.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
 
-def test_nothing_is_written_behind_what_a_server_does_not_read(tmp_path, monkeypatch):
-    """What lies in our own buffer would be read after a drain, a purge or most of its time."""
+def test_no_attempt_is_written_behind_data_that_a_server_does_not_read(tmp_path, monkeypatch):
+    """An attempt in the router's own send buffer would be read only after a drain, a purge or most of its time."""
 
     class SmallSockets:
         def __getattr__(self, name):
@@ -209,25 +209,26 @@
             "service": "page", "allow": "2900", "lookup": "ab" * 8, "piece": "0", "lot": "3", "room": "100.0",
         }  # fmt: skip
         for number in range(1, 11):
-            told = {k.encode(): v.encode() for k, v in {**fields, "ref": f"{number:016x}"}.items()}
+            encoded = {k.encode(): v.encode() for k, v in {**fields, "ref": f"{number:016x}"}.items()}
             t.client.call(
                 b"serve",
                 thrift.FIELD_HEADER.pack(thrift.MAP, 1),
-                thrift.encode_string_map(told),
+                thrift.encode_string_map(encoded),
                 thrift.FIELD_HEADER.pack(thrift.STRING, 2),
                 thrift.INT32.pack(len(body)) + body,
             )
             await asyncio.sleep(0.02)
         stalled = [
-            line
-            for line in t.service.upstream_connections.pool.connections
-            if line.is_connected and line.stream.writing()
+            connection
+            for connection in t.service.upstream_connections.pool.connections
+            if connection.is_connected and connection.stream.writing()
         ]
-        return len(stalled) > 0, max(len(line.in_flight) for line in stalled)
+        return len(stalled) > 0, max(len(connection.in_flight) for connection in stalled)
 
     machines = {server: DeafCacheServer() for server in ("s-21", "s-22", "s-23")}
-    patient = settings(ConnectTimeoutNs=2e9)  # a server that is silent is given up only after half of it
-    assert played(scene, tmp_path, machines=machines, settings=patient) == (True, 1)
+    # a silent server is abandoned only after half of the connect timeout
+    long_timeout = settings(ConnectTimeoutNs=2e9)
+    assert played(scene, tmp_path, machines=machines, settings=long_timeout) == (True, 1)
 
 
 class FailingSocket:
@@ -235,7 +236,7 @@
         self.error = error
 
     def recv(self, *_):
-        raise OSError(self.error, "planted")
+        raise OSError(self.error, "injected")
 
 
 class FailingStream:
@@ -243,8 +244,8 @@
         self.socket = FailingSocket(error)
 
 
-def test_a_connection_is_silent_only_if_the_system_says_so():
-    """A look for unread bytes that fails for want of memory says nothing: a call behind it would be lost."""
+def test_failed_check_for_unread_bytes_does_not_count_as_silence():
+    """A check for unread bytes that fails for lack of memory is inconclusive: an unread call would be lost."""
     errors = errno.EAGAIN, errno.ECONNRESET, errno.ENOMEM, errno.ENOBUFS
     memory = client_connection.MemoryUse(0)
     silent = [
@@ -254,21 +255,21 @@
     assert silent == [True, True, False, False]
 
 
-def test_want_of_memory_for_a_moment_ends_no_connection(tmp_path):
+def test_temporary_lack_of_memory_closes_no_connection(tmp_path):
     async def scene(t, patch, method, error):
-        real, failing = getattr(socket.socket, method), set()
+        original, failing_fds = getattr(socket.socket, method), set()
 
-        def fake(self, *args):
-            if self.fileno() in failing:
-                failing.discard(self.fileno())
-                raise OSError(error, "planted")
-            return real(self, *args)
+        def fail_once(self, *args):
+            if self.fileno() in failing_fds:
+                failing_fds.discard(self.fileno())
+                raise OSError(error, "injected")
+            return original(self, *args)
 
-        await warm(t)
-        patch.setattr(socket.socket, method, fake, raising=False)
+        await warm_up_connections(t)
+        patch.setattr(socket.socket, method, fail_once, raising=False)
         streams = [client.stream for client in t.service.client_connections.clients.values()]
-        streams += [line.stream for line in t.service.upstream_connections.pool.connections]
-        failing.update(stream.socket.fileno() for stream in streams)
+        streams += [connection.stream for connection in t.service.upstream_connections.pool.connections]
+        failing_fds.update(stream.socket.fileno() for stream in streams)
         t.client.ask(1)
         return await t.client.receive()
 
@@ -278,164 +279,165 @@
         assert answer is not None and answer[1] == "satisfied 19", case
 
 
-def test_a_retry_does_not_wait_for_a_copy_from_before_a_purge(tmp_path):
-    """With storms on a retry waits for its first try's answer; what that was asked with knew nothing of the purge."""
+def test_retry_does_not_wait_for_an_attempt_from_before_a_purge(tmp_path):
+    """With `storm` on a retry waits for the response to the first request, whose attempt was sent before the purge."""
     for group, key in ((0, "aa"), (4, "")):
-        desk = StateHarness(tmp_path)
-        tracks = [track.name.encode() for track in desk.router.request_classes]
-        desk.state = RouterState(
-            desk.router, tracks, list(desk.state.endpoints.zones), lineage=RetryLineage()
+        harness = StateHarness(tmp_path)
+        class_names = [request_class.name.encode() for request_class in harness.router.request_classes]
+        harness.state = RouterState(
+            harness.router, class_names, list(harness.state.endpoints.zones), lineage=RetryLineage()
         )
-        desk.process(*read_commands(configuration()["known"], 0.0)[1])
-        assert any("pull" in line for line in desk.ask(allow=3.0))
-        desk.process(ObjectsPurged(4, group, desk.now, key))
-        assert any("pull" in line for line in desk.ask(at=desk.now + 1.0)), (group, key)
+        harness.process(*read_commands(configuration()["known"], 0.0)[1])
+        assert any("pull" in line for line in harness.ask(allow=3.0))
+        harness.process(ObjectsPurged(4, group, harness.now, key))
+        assert any("pull" in line for line in harness.ask(at=harness.now + 1.0)), (group, key)
 
 
-def patience_told(t):
-    """Milliseconds that servers were told they have, of each PULL."""
-    return [int(line.split("patience=")[1].split(",")[0]) for line in t.told]
+def attempt_timeouts_ms(t):
+    """Returns the time given to the server with each PULL."""
+    return [int(line.split("patience=")[1].split(",")[0]) for line in t.attempt_fields]
 
 
-def note_patience(t):
-    t.told = []
+def record_attempt_fields(t):
+    t.attempt_fields = []
     for machine in t.machines.values():
-        machine.behavior = lambda line: t.told.append(line[2]) or "data"
+        machine.behavior = lambda line: t.attempt_fields.append(line[2]) or "data"
 
 
-def test_the_deadline_counts_from_before_the_loop_stood_still(tmp_path):
-    """A query lies in the system while the process is stopped: its client has less time left than when it is read."""
+def test_deadline_counts_from_before_a_stall(tmp_path):
+    """A request is unread while the loop is stalled: its client has less time left when it is read than when sent."""
 
     async def scene(t):
-        note_patience(t)
+        record_attempt_fields(t)
         await asyncio.sleep(0.1)
-        raw = Raw(t.address).asks(1)
+        raw_client = RawClient(t.address).add_requests(1)
         await until(lambda: len(t.service.client_connections.clients) == 2)
-        raw.send()
-        time.sleep(0.6)  # the loop stands still
-        await until(lambda: t.told)
+        raw_client.send()
+        time.sleep(0.6)  # stalls the loop
+        await until(lambda: t.attempt_fields)
         await asyncio.sleep(0.3)
         await t.client.connect(t.address)
-        t.client.ask(
-            2
-        )  # long after nothing is taken off: six tenths of its time, so that another attempt fits
+        # long after the stall nothing is subtracted: six tenths of the time, so that another attempt fits
+        t.client.ask(2)
         await t.client.receive()
-        return patience_told(t)
+        return attempt_timeouts_ms(t)
 
     first, second = played(scene, tmp_path)
     assert first <= 2900 - 600 + 150 and second > 1600
 
 
-def test_the_deadline_counts_from_before_accept_failed(tmp_path):
-    """A query lies on a connection that cannot be accepted for a while."""
+def test_deadline_counts_from_before_a_failure_of_accept(tmp_path):
+    """A request was sent on a connection that cannot be accepted for a while."""
 
     async def scene(t):
-        note_patience(t)
+        record_attempt_fields(t)
         listener = FailingListener(t.service.client_connections.listener.socket, errno.ENFILE)
         t.service.client_connections.listener.socket = listener
         asyncio.get_running_loop().call_later(0.6, setattr, listener, "fails", False)
-        caller = await Raw(t.address).asks(1).send().client()
-        answer = await caller.receive()
+        client = await RawClient(t.address).add_requests(1).send().to_thrift_client()
+        answer = await client.receive()
         t.client.ask(2)
         await t.client.receive()
-        return answer, patience_told(t)
+        return answer, attempt_timeouts_ms(t)
 
     answer, (first, second) = played(scene, tmp_path)
     assert answer == (1, "satisfied 19") and first <= 2900 - 600 + 150 and second > 1600
 
 
-@pytest.mark.parametrize("fact", ["purge", "drain"])
-def test_what_is_told_in_the_pass_of_a_query_binds_for_it(tmp_path, fact):
-    """The query was read first; a copy from before the purge, or the server that drains, must not be asked for. Nor may it
-    cost the query its answer."""
-    desk, asked = StateHarness(tmp_path), []
-    real = desk.state.sink.forward
-    desk.state.sink.forward = lambda query, attempt: (
-        asked.append((attempt.server, attempt.max_age_s)),
-        real(query, attempt),
+@pytest.mark.parametrize("change", ["purge", "drain"])
+def test_purge_or_drain_read_in_the_same_pass_applies_to_the_request(tmp_path, change):
+    """The request is read first; its attempt must not accept a copy from before the purge or go to the draining server,
+    and the request must still be served."""
+    harness, forwarded = StateHarness(tmp_path), []
+    original = harness.state.sink.forward
+    harness.state.sink.forward = lambda request_id, attempt: (
+        forwarded.append((attempt.server, attempt.max_age_s)),
+        original(request_id, attempt),
     )
-    desk.ask()
-    server = asked.pop()[0]
-    desk.end(0, 1, "full")
-    asked.clear()
+    harness.ask()
+    server = forwarded.pop()[0]
+    harness.end(0, 1, "full")
+    forwarded.clear()
     row = ListedEndpoint(server, ("127.0.0.1", 9), "edge-1", "box", 0, "draining", 4.0, None)
-    event = {"purge": ObjectsPurged(4, 0, desk.now, "aa"), "drain": EndpointsListed(4, False, [row])}[fact]
-    query = (1, 9, b"r9", b"page", b"aa", b"0", 0, 4, 100.0, 1.0, None, b"", desk.now)
-    desk.process(RequestReceived(*query), event)
-    ((to, oldest_s),) = asked
-    assert dict(desk.state.invariants.violations) == {}
-    assert (to != server) if fact == "drain" else 0.0 < oldest_s < 0.1
-
-
-def test_a_query_that_runs_at_the_origin_is_not_looked_for_where_a_copy_is():
-    """Another class reads the same object, which is in demand: a cache more, filled from a holder and from nowhere else, is
-    no place for an effect. It would end as 'not held'."""
-    bench = RouterHarness(
+    event = {"purge": ObjectsPurged(4, 0, harness.now, "aa"), "drain": EndpointsListed(4, False, [row])}[
+        change
+    ]
+    request = (1, 9, b"r9", b"page", b"aa", b"0", 0, 4, 100.0, 1.0, None, b"", harness.now)
+    harness.process(RequestReceived(*request), event)
+    ((target, max_age_s),) = forwarded
+    assert dict(harness.state.invariants.violations) == {}
+    assert (target != server) if change == "drain" else 0.0 < max_age_s < 0.1
+
+
+def test_uncacheable_request_is_not_sent_as_a_lookup_to_a_cache_with_a_copy():
+    """Another class reads the same object, which is in demand and therefore gets another cache that fills only from a
+    holder. A request with side effects must not go there: it would end as 'not held'."""
+    harness = RouterHarness(
         request_classes=[request_class(), request_class("order", Idempotency.ONCE, uncacheable=True)]
     )
     for key in "abcdefgh":
-        bench.serve(key, note=1)
-    for _ in range(2):  # the third would be sent to a cache more
-        bench.serve("k", note=1)
-        bench.now += 0.5
-    (line,) = bench.ask("k", request_class=1)
+        harness.serve(key, note=1)
+    for _ in range(2):  # the third would be sent to an additional cache
+        harness.serve("k", note=1)
+        harness.now += 0.5
+    (line,) = harness.ask("k", request_class=1)
     assert line.split()[4] in ("11", "12") and "held" not in line
 
 
-def test_what_was_decided_before_the_process_was_stopped_is_decided_anew(tmp_path):
-    """It is stopped between two pushes of one round; the second would tell a time that is over, or go to a client gone."""
+def test_decision_made_before_a_stall_is_repeated_after_it(tmp_path):
+    """The stall is between two attempts of one round; the second would state an outdated time or serve a client that left."""
 
     async def scene(t):
-        await warm(t)
-        note_patience(t)
-        real = t.service.upstream_connections.place
+        await warm_up_connections(t)
+        record_attempt_fields(t)
+        original = t.service.upstream_connections.place
 
-        def stopped_once(*values):
-            t.service.upstream_connections.place = real
-            real(*values)
+        def place_and_stall_once(*values):
+            t.service.upstream_connections.place = original
+            original(*values)
             time.sleep(0.5)
 
-        t.service.upstream_connections.place = stopped_once
+        t.service.upstream_connections.place = place_and_stall_once
         t.client.ask(1)
         t.client.ask(2)
         answers = await t.client.receive(), await t.client.receive()
         numbers = {answer[0] - t.client.sequence_number for answer in answers}
-        return numbers, {answer[1] for answer in answers}, sorted(patience_told(t))
+        return numbers, {answer[1] for answer in answers}, sorted(attempt_timeouts_ms(t))
 
     numbers, answers, (second, first) = played(scene, tmp_path, machines=caches())
     assert numbers == {-1, 0} and answers == {"satisfied 19"}
     assert second <= 2900 - 500 + 150 < first
 
 
-def test_the_end_of_a_client_is_seen_though_nothing_is_read_of_it(tmp_path):
-    """It reads nothing and has more waiting than is read of a client; it shuts its side, then a server fails."""
+def test_client_shutdown_is_detected_while_its_input_is_not_read(tmp_path):
+    """A client reads nothing and has more queued than the router reads; it shuts down its side, then a server fails."""
 
     async def scene(t):
-        raw, client = await reads_nothing(t)
+        raw_client, client = await start_client_that_reads_nothing(t)
         body = thrift.INT32.pack(200_000) + b"x" * 200_000
         for _ in range(2):
-            raw.call.call(
+            raw_client.encoder.call(
                 b"serve",
                 thrift.FIELD_HEADER.pack(thrift.MAP, 1),
                 thrift.encode_string_map({}),
                 thrift.FIELD_HEADER.pack(thrift.STRING, 2),
                 body,
             )
-        raw.send()
+        raw_client.send()
         await until(lambda: client.queued_bytes > thrift.MAX_FRAME_BYTES)
-        raw.socket.shutdown(socket.SHUT_WR)
+        raw_client.socket.shutdown(socket.SHUT_WR)
         await asyncio.sleep(0.2)
-        return await pulls_of_the_first_once_its_server_fails(t, raw)
+        return await pulls_of_first_request_after_server_failure(t, raw_client)
 
     assert len(played(scene, tmp_path)) == 1
 
 
-def test_a_listener_that_fails_as_the_router_ends_does_not_keep_it_from_ending(tmp_path):
+def test_failing_listener_does_not_prevent_shutdown(tmp_path):
     async def scene(t):
-        def failing():
-            raise OSError(errno.EBADF, "planted")
+        def fail():
+            raise OSError(errno.EBADF, "injected")
 
-        t.service.client_connections.stop = failing
+        t.service.client_connections.stop = fail
         t.service.stop()
         t.service.shutdown.deadline = t.service.now() + 1.0
         await asyncio.wait_for(t.task, 5.0)
@@ -444,20 +446,20 @@
     assert played(scene, tmp_path) == "ended"
 
 
-def test_a_connection_that_was_reset_keeps_no_buffer(tmp_path):
-    """The error that ends a stream holds the frames that it came through, and the stream holds its error: what stands in
-    those frames stays until the collector comes by."""
+def test_reset_connections_free_their_buffers_without_the_collector(tmp_path):
+    """The error that ends a stream references the stack frames that it passed, and the stream references its error, so the
+    buffers in those frames would stay until the garbage collector runs."""
 
     async def scene(t):
         count = 100
         for number in range(2 * count):
             if number == count:
-                before = tracemalloc.get_traced_memory()[0]
-            raw = Raw(t.address).asks(number + 1).send()
+                baseline_bytes = tracemalloc.get_traced_memory()[0]
+            raw_client = RawClient(t.address).add_requests(number + 1).send()
             await asyncio.sleep(0.005)
-            raw.close(reset=True)
+            raw_client.close(reset=True)
         await until(lambda: len(t.service.client_connections.clients) == 1)
-        return (tracemalloc.get_traced_memory()[0] - before) / count
+        return (tracemalloc.get_traced_memory()[0] - baseline_bytes) / count
 
     gc.collect()
     gc.disable()
--- a/tests/crossings/test_sockets.py
+++ b/tests/crossings/test_sockets.py
@@ -1,5 +1,5 @@
-"""Two events that cross on real sockets, each order forced: a peer that holds, half-closes, resets or sends
-at a named point. The pairs stand in docs/design/crossings.md."""
+"""Races between two events on real sockets, with each order forced: a peer that holds, half-closes, resets
+or sends at a given point. docs/design/crossings.md lists the pairs."""
 
 import asyncio
 import gc
@@ -34,23 +34,23 @@
 DATA = b"ID data n=hit 3\r\nyes\r\n"
 
 
-class Raw:
-    """A client whose every byte and close happens at once, in the system, whatever the loop does."""
+class RawClient:
+    """A client whose sends and closes take effect in the kernel at once, independent of the event loop."""
 
     def __init__(self, address):
-        self.socket, self.bytes = socket.create_connection(address), b""
-        self.call = ThriftClient(None, self)
+        self.socket, self.unsent = socket.create_connection(address), b""
+        self.encoder = ThriftClient(None, self)
 
     def write(self, data):
-        self.bytes += data
+        self.unsent += data
 
-    def asks(self, *names, **fields):
-        for name in names:
-            self.call.ask(name, **fields)
+    def add_requests(self, *request_ids, **fields):
+        for request_id in request_ids:
+            self.encoder.ask(request_id, **fields)
         return self
 
     def send(self):
-        data, self.bytes = self.bytes, b""
+        data, self.unsent = self.unsent, b""
         self.socket.sendall(data)
         return self
 
@@ -59,55 +59,57 @@
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.socket.close()
 
-    async def client(self):
+    async def to_thrift_client(self):
         self.socket.setblocking(False)
         return ThriftClient(*await asyncio.open_connection(sock=self.socket))
 
 
-def pulls(t):
+def pull_lines(t):
     return [line for line in t.attempt_lines() if "PULL" in line]
 
 
-async def warm(t):
-    """Connections to every cache are up and idle: what is pushed is written in the same pass."""
+async def warm_up_connections(t):
+    """Opens idle connections to every cache server, so that attempts are written at once."""
     for n in range(1000, 1030):
         t.client.ask(n, lookup=f"{n:016x}")
         await t.client.receive()
-    await until(lambda: all(line.is_connected for line in t.service.upstream_connections.pool.connections))
+    await until(
+        lambda: all(connection.is_connected for connection in t.service.upstream_connections.pool.connections)
+    )
     for machine in t.machines.values():
         machine.received_lines.clear()
 
 
-# a client's end and what it asked before
+# a client's disconnect and its earlier requests
 
 
 @pytest.mark.parametrize("reset", [False, True], ids=["closed", "reset"])
-@pytest.mark.parametrize("much", [b"", b"x" * 60_000], ids=["little", "much"])
-def test_queries_with_their_clients_end_behind_them_are_not_sent_on(tmp_path, reset, much):
+@pytest.mark.parametrize("partial_frame", [b"", b"x" * 60_000], ids=["little", "much"])
+def test_requests_followed_by_their_clients_disconnect_are_not_forwarded(tmp_path, reset, partial_frame):
     async def scene(t):
-        await warm(t)
-        raw = Raw(t.address)
-        raw.asks(1, 2, 3)
-        raw.write(struct.pack(">i", len(much) + 9) + much)  # a frame that breaks off, before the end
-        raw.send().close(reset)
+        await warm_up_connections(t)
+        raw_client = RawClient(t.address)
+        raw_client.add_requests(1, 2, 3)
+        raw_client.write(struct.pack(">i", len(partial_frame) + 9) + partial_frame)  # an incomplete frame
+        raw_client.send().close(reset)
         t.client.ask(9)
-        heard = await t.client.receive()
+        response = await t.client.receive()
         await asyncio.sleep(0.1)
-        return heard[1], len(pulls(t)), t.service.state.requests.open
+        return response[1], len(pull_lines(t)), t.service.state.requests.open
 
     assert played(scene, tmp_path) == ("satisfied 19", 1, {})
 
 
-def test_a_query_that_waits_behind_a_call_refused_goes_with_its_client(tmp_path, monkeypatch):
+def test_request_queued_behind_an_invalid_call_is_dropped_with_its_client(tmp_path, monkeypatch):
     monkeypatch.setattr(client_calls, "INVALID_CALL_PAUSE_S", 0.2)
 
     async def scene(t):
-        raw = Raw(t.address).asks(1, room="-1").asks(2).send()
+        raw_client = RawClient(t.address).add_requests(1, room="-1").add_requests(2).send()
         await until(lambda: any(c.is_paused for c in t.service.client_connections.clients.values()))
-        raw.close()
+        raw_client.close()
         await asyncio.sleep(0.4)
         return (
-            pulls(t),
+            pull_lines(t),
             len(t.service.client_connections.clients),
             t.service.client_connections.memory.buffered_bytes,
         )
@@ -115,126 +117,136 @@
     assert played(scene, tmp_path) == ([], 1, 0)
 
 
-def test_no_further_push_once_the_client_went_while_the_loop_stood_still(tmp_path):
-    """The push's time and the client's end both come about during the stall: the end is read first."""
+def test_no_further_attempt_when_the_client_disconnects_during_a_stall(tmp_path):
+    """The attempt's timeout and the client's disconnect fall into the stall; the disconnect is read first."""
 
     async def scene(t):
-        await warm(t)
+        await warm_up_connections(t)
         t.service.state.decisions.retry_budget.tokens = 10.0
         for machine in t.machines.values():
             machine.behavior = "silent"
-        raw = Raw(t.address).asks(2, allow="1600", lookup=f"{1000:016x}").send()
-        await until(lambda: len(pulls(t)) == 1)
-        due = t.service.state.next_at()
-        assert due - t.service.now() < 1.0  # time is left then for a further push
-        raw.close()
-        time.sleep(due - t.service.now() + 0.05)
+        raw_client = RawClient(t.address).add_requests(2, allow="1600", lookup=f"{1000:016x}").send()
+        await until(lambda: len(pull_lines(t)) == 1)
+        timer_at = t.service.state.next_at()
+        assert timer_at - t.service.now() < 1.0  # leaves time for a further attempt
+        raw_client.close()
+        time.sleep(timer_at - t.service.now() + 0.05)
         await asyncio.sleep(0.1)
-        return len(pulls(t)), t.service.state.requests.open
+        return len(pull_lines(t)), t.service.state.requests.open
 
     assert played(scene, tmp_path) == (1, {})
 
 
-def test_no_further_push_on_an_answer_that_lay_there_with_the_clients_end(tmp_path):
+def test_no_further_attempt_when_a_failure_and_the_clients_disconnect_are_read_together(tmp_path):
     async def scene(t):
-        await warm(t)
+        await warm_up_connections(t)
         t.service.state.decisions.retry_budget.tokens = 10.0
-        first = []
+        received = []
         for machine in t.machines.values():
-            machine.behavior = lambda line: first.append(line) or "silent"
-        raw = Raw(t.address).asks(1).send()
-        await until(lambda: first)
-        name, machine = first[0][1].encode(), next(m for m in t.machines.values() if m.received_lines)
-        line = next(n for n in t.service.upstream_connections.pool.connections if name in n.in_flight)
+            machine.behavior = lambda line: received.append(line) or "silent"
+        raw_client = RawClient(t.address).add_requests(1).send()
+        await until(lambda: received)
+        request_id, machine = (
+            received[0][1].encode(),
+            next(m for m in t.machines.values() if m.received_lines),
+        )
+        connection = next(
+            c for c in t.service.upstream_connections.pool.connections if request_id in c.in_flight
+        )
         writer = next(
-            w for w in machine.writers if w.get_extra_info("peername") == line.stream.socket.getsockname()
+            w
+            for w in machine.writers
+            if w.get_extra_info("peername") == connection.stream.socket.getsockname()
         )
-        os.write(writer.get_extra_info("socket").fileno(), b"%b failed - 0\r\n\r\n" % name)
-        raw.close()
+        os.write(writer.get_extra_info("socket").fileno(), b"%b failed - 0\r\n\r\n" % request_id)
+        raw_client.close()
         await asyncio.sleep(0.2)
-        return len(pulls(t)), t.service.state.requests.open
+        return len(pull_lines(t)), t.service.state.requests.open
 
     assert played(scene, tmp_path) == (1, {})
 
 
-# closes of ours and calls that come just then
+# connections closed by the router and calls that arrive at that moment
 
 
-def test_a_connection_is_not_closed_between_the_read_of_a_call_and_its_round(tmp_path):
+def test_connection_is_not_closed_between_reading_a_call_and_its_round(tmp_path):
     async def scene(t):
         post = t.service.client_connections.calls.post
 
-        def and_close(event):
+        def post_and_close_idle(event):
             post(event)
             if isinstance(event, RequestReceived):
                 t.service.client_connections.make_capacity()
 
-        t.service.client_connections.calls.post = and_close
+        t.service.client_connections.calls.post = post_and_close_idle
         t.client.ask(1)
         return await t.client.receive()
 
     assert played(scene, tmp_path) == (1, "satisfied 19")
 
 
-def test_a_call_that_lies_unread_keeps_its_idle_connection(tmp_path, monkeypatch):
-    """It came after the last look for it and before the close."""
+def test_unread_call_keeps_its_idle_connection_open(tmp_path, monkeypatch):
+    """It arrives after the last check for input and before the close."""
 
     async def scene(t):
-        raw, silent = Raw(t.address), client_connection.ClientConnection.is_silent
+        raw_client, is_silent = RawClient(t.address), client_connection.ClientConnection.is_silent
         await until(lambda: len(t.service.client_connections.clients) == 2)
         monkeypatch.setattr(
             client_connection.ClientConnection,
             "is_silent",
-            lambda c: raw.asks(1).send() and silent(c) if c.number == 2 else silent(c),
+            lambda c: raw_client.add_requests(1).send() and is_silent(c) if c.number == 2 else is_silent(c),
         )
         t.service.client_connections.release(t.service.client_connections.clients[2], CloseReason.IDLE)
-        return await (await raw.client()).receive()
+        return await (await raw_client.to_thrift_client()).receive()
 
     assert played(scene, tmp_path) == (1, "satisfied 19")
 
 
-def test_a_call_that_crosses_a_close_of_ours_resets_nothing(tmp_path, monkeypatch):
+def test_call_that_crosses_an_idle_close_causes_no_reset(tmp_path, monkeypatch):
     monkeypatch.setattr(client_connections, "IDLE_TIMEOUT_S", 0.1)
 
     async def scene(t):
-        raw = Raw(t.address).asks(1).send()
-        caller = await raw.client()
-        heard = [await caller.receive(), await caller.receive()]  # the answer, then the end
-        caller.ask(2)
+        raw_client = RawClient(t.address).add_requests(1).send()
+        client = await raw_client.to_thrift_client()
+        responses = [
+            await client.receive(),
+            await client.receive(),
+        ]  # the response, then the end of the connection
+        client.ask(2)
         await asyncio.sleep(0.05)
         return (
-            heard,
-            caller.reader.exception(),
-            len(pulls(t)),
+            responses,
+            client.reader.exception(),
+            len(pull_lines(t)),
             len(t.service.client_connections.lingering) > 0,
         )
 
     assert played(scene, tmp_path) == ([(1, "satisfied 19"), None], None, 1, True)
 
 
-def test_who_breaks_the_protocol_still_hears_what_was_answered_over_unread_bytes(tmp_path, monkeypatch):
+def test_responses_before_a_protocol_error_arrive_despite_unread_bytes(tmp_path, monkeypatch):
     monkeypatch.setattr(client_calls, "INVALID_CALL_PAUSE_S", 0.0)
 
     async def scene(t):
-        raw = Raw(t.address).asks(*range(1, 9), room="-1")
-        raw.write(b"\0" * 300_000)
-        caller = await raw.send().client()
-        heard = [await caller.receive() for _ in range(9)]
-        return [h and h[1] for h in heard], caller.reader.exception()
+        raw_client = RawClient(t.address).add_requests(*range(1, 9), room="-1")
+        raw_client.write(b"\0" * 300_000)
+        client = await raw_client.send().to_thrift_client()
+        responses = [await client.receive() for _ in range(9)]
+        return [h and h[1] for h in responses], client.reader.exception()
 
-    heard, fault = played(scene, tmp_path)
-    assert heard == ["exception room: missing or unusable"] * 8 + [None] and fault is None
+    responses, error = played(scene, tmp_path)
+    assert responses == ["exception room: missing or unusable"] * 8 + [None] and error is None
 
 
-def test_queries_taken_before_bytes_that_cannot_be_read_are_answered(tmp_path):
-    """In one piece with them; then the connection is closed, and what comes behind them is no call."""
+def test_requests_before_malformed_bytes_are_answered(tmp_path):
+    """All arrive in one piece; then the connection is closed, and later bytes are ignored."""
 
     async def scene(t):
-        raw = Raw(t.address).asks(1, 2)
-        raw.write(b"\xff" * 70_000)
-        raw.asks(3)
-        caller = await raw.send().client()
-        return {await caller.receive(), await caller.receive()}, await caller.receive(), len(pulls(t))
+        raw_client = RawClient(t.address).add_requests(1, 2)
+        raw_client.write(b"\xff" * 70_000)
+        raw_client.add_requests(3)
+        client = await raw_client.send().to_thrift_client()
+        return {await client.receive(), await client.receive()}, await client.receive(), len(pull_lines(t))
 
     assert played(scene, tmp_path, machines=caches(delay=0.1)) == (
         {(1, "satisfied 19"), (2, "satisfied 19")},
@@ -243,30 +255,28 @@
     )
 
 
-def test_a_query_on_a_resting_connection_as_the_router_ends_is_answered_and_not_sent_on(
-    tmp_path, monkeypatch
-):
-    """It is written after the last query was settled and before the connection's end."""
+def test_request_on_an_idle_connection_during_shutdown_is_rejected_and_not_forwarded(tmp_path, monkeypatch):
+    """It arrives after the last request has ended and before the connection is closed."""
 
     async def scene(t):
-        raw, silent, sent = Raw(t.address), client_connection.ClientConnection.is_silent, []
+        raw_client, is_silent, sent = RawClient(t.address), client_connection.ClientConnection.is_silent, []
         await until(lambda: len(t.service.client_connections.clients) == 2)
 
-        def crossing(client):
+        def send_before_check(client):
             if client.number == 2 and not sent:
-                sent.append(raw.asks(1).send())
-            return silent(client)
+                sent.append(raw_client.add_requests(1).send())
+            return is_silent(client)
 
-        monkeypatch.setattr(client_connection.ClientConnection, "is_silent", crossing)
+        monkeypatch.setattr(client_connection.ClientConnection, "is_silent", send_before_check)
         t.service.stop()
         await t.task
-        caller = await raw.client()
-        return await caller.receive(), await caller.receive(), caller.reader.exception(), pulls(t)
+        client = await raw_client.to_thrift_client()
+        return await client.receive(), await client.receive(), client.reader.exception(), pull_lines(t)
 
     assert played(scene, tmp_path) == ((1, "nack"), None, None, [])
 
 
-def test_what_is_read_after_the_end_began_is_refused(tmp_path):
+def test_request_read_after_shutdown_began_is_rejected(tmp_path):
     desk = StateHarness(tmp_path)
     assert desk.ask()[0][:4] == "pull"
     assert [line.split()[0] for line in desk.process(ShutdownBegan())] == ["kill", "error"]
@@ -274,47 +284,51 @@
     assert not desk.state.requests.open and not desk.router.requests
 
 
-def test_told_to_end_before_it_is_ready_it_ends(tmp_path):
-    async def play():
+def test_stop_before_the_service_is_ready_ends_it(tmp_path):
+    async def run():
         service = Service(load_site(configuration(), tmp_path), lambda event, **values: None)
         service.stop()
         await asyncio.wait_for(service.run(), 5)
         return service.lifecycle.phase
 
-    assert asyncio.run(play()) == "ended"
+    assert asyncio.run(run()) == "ended"
 
 
-# connections that come up late
+# connections to servers that are established late
 
 
-class Held(upstream_pool.Stream):
-    """Connects when `gate` is set."""
+class DelayedStream(upstream_pool.Stream):
+    """A stream that connects once `gate` is set."""
 
     gate = None
 
     async def connect(self, *address):
-        await Held.gate.wait()
+        await DelayedStream.gate.wait()
         return await super().connect(*address)
 
 
-def held(scene, folder, monkeypatch, **town):
-    """Plays it with connections to servers held: scene(t, push) is called with the first push waiting."""
+def played_with_delayed_connections(scene, folder, monkeypatch, **deployment):
+    """Delays connections to servers; runs scene(t, server) once an attempt waits for one to `server`."""
 
-    async def play(t):
-        Held.gate = asyncio.Event()
+    async def run_scene(t):
+        DelayedStream.gate = asyncio.Event()
         t.client.ask(1, lookup="ab" * 8)
-        await until(lambda: any(line.waiting for line in t.service.upstream_connections.pool.connections))
+        await until(
+            lambda: any(connection.waiting for connection in t.service.upstream_connections.pool.connections)
+        )
         server = next(
-            line.server.server for line in t.service.upstream_connections.pool.connections if line.waiting
+            connection.server.server
+            for connection in t.service.upstream_connections.pool.connections
+            if connection.waiting
         )
         return await scene(t, server)
 
-    monkeypatch.setattr(upstream_pool, "Stream", Held)
-    return played(play, folder, settings=settings(ConnectTimeoutNs=2e9), **town)
+    monkeypatch.setattr(upstream_pool, "Stream", DelayedStream)
+    return played(run_scene, folder, settings=settings(ConnectTimeoutNs=2e9), **deployment)
 
 
 @pytest.mark.parametrize("health", ["draining", "removed"])
-def test_a_push_that_waits_for_its_connection_is_not_written_to_a_server_told_to_drain(
+def test_attempt_waiting_for_its_connection_is_not_written_to_a_draining_server(
     tmp_path, monkeypatch, health
 ):
     async def scene(t, server):
@@ -322,13 +336,13 @@
         t.commands.responses.append(FakeCommandChannel.reply(4, endpoint_list_command(4, [row], whole=False)))
         await until(lambda: t.service.state.commands.cursor == 4)
         await asyncio.sleep(0.1)
-        Held.gate.set()
-        return await t.client.receive(), [line for line in pulls(t) if line.startswith(server)]
+        DelayedStream.gate.set()
+        return await t.client.receive(), [line for line in pull_lines(t) if line.startswith(server)]
 
-    assert held(scene, tmp_path, monkeypatch) == ((1, "satisfied 19"), [])
+    assert played_with_delayed_connections(scene, tmp_path, monkeypatch) == ((1, "satisfied 19"), [])
 
 
-def test_a_push_that_waits_names_no_source_told_to_drain_meanwhile(tmp_path, monkeypatch):
+def test_attempt_waiting_for_its_connection_names_no_draining_parent(tmp_path, monkeypatch):
     lines = []
 
     async def scene(t, server):
@@ -337,79 +351,82 @@
         t.commands.responses.append(FakeCommandChannel.reply(4, endpoint_list_command(4, rows, whole=False)))
         await until(lambda: t.service.state.commands.cursor == 4)
         await asyncio.sleep(0.1)
-        Held.gate.set()
+        DelayedStream.gate.set()
         return await t.client.receive(), [
             ("parent=s-11" in line[2], "parent=s-12" in line[2]) for line in lines
         ]
 
     machines = caches(behavior=lambda line: lines.append(line) or "data")
-    assert held(scene, tmp_path, monkeypatch, machines=machines) == ((1, "satisfied 19"), [(False, False)])
+    assert played_with_delayed_connections(scene, tmp_path, monkeypatch, machines=machines) == (
+        (1, "satisfied 19"),
+        [(False, False)],
+    )
 
 
-def test_a_push_that_waits_asks_for_no_copy_from_before_a_purge_told_meanwhile(tmp_path, monkeypatch):
+def test_attempt_waiting_for_its_connection_accepts_no_copy_older_than_a_purge(tmp_path, monkeypatch):
     lines = []
 
     async def scene(t, server):
-        drop = {"cursor": 4, "drop": {"id": "ab" * 8, "when": int(time.time() * 1000)}}
+        purge = {"cursor": 4, "drop": {"id": "ab" * 8, "when": int(time.time() * 1000)}}
         t.service.state.decisions.purges.settled_s = 6.0
-        t.commands.responses.append(FakeCommandChannel.reply(4, drop))
+        t.commands.responses.append(FakeCommandChannel.reply(4, purge))
         await until(lambda: t.service.state.commands.cursor == 4)
         await asyncio.sleep(0.1)
-        Held.gate.set()
+        DelayedStream.gate.set()
         await t.client.receive()
         return [0 < int(line[2].partition("accept=")[2].split(",")[0] or 0) < 1000 for line in lines]
 
     machines = caches(behavior=lambda line: lines.append(line) or "data")
-    assert held(scene, tmp_path, monkeypatch, machines=machines) == [True]
+    assert played_with_delayed_connections(scene, tmp_path, monkeypatch, machines=machines) == [True]
 
 
-def test_a_push_that_waits_is_not_written_once_its_client_went(tmp_path, monkeypatch):
+def test_attempt_waiting_for_its_connection_is_dropped_with_its_client(tmp_path, monkeypatch):
     async def scene(t, server):
         t.client.writer.transport.abort()
         await until(lambda: not t.service.state.requests.open)
-        Held.gate.set()
+        DelayedStream.gate.set()
         await asyncio.sleep(0.1)
-        return pulls(t), t.service.upstream_connections.placements
+        return pull_lines(t), t.service.upstream_connections.placements
 
-    assert held(scene, tmp_path, monkeypatch) == ([], {})
+    assert played_with_delayed_connections(scene, tmp_path, monkeypatch) == ([], {})
 
 
-def test_a_push_that_waited_a_moment_is_written_as_it_was(tmp_path, monkeypatch):
-    """A usual connect costs no second decision."""
+def test_attempt_that_waited_briefly_for_its_connection_is_written_unchanged(tmp_path, monkeypatch):
+    """A connect of normal duration requires no second decision."""
 
     async def scene(t, server):
-        Held.gate.set()
-        return await t.client.receive(), t.service.state.totals.counts["pushes"], len(pulls(t))
+        DelayedStream.gate.set()
+        return await t.client.receive(), t.service.state.totals.counts["pushes"], len(pull_lines(t))
 
-    assert held(scene, tmp_path, monkeypatch) == ((1, "satisfied 19"), 1, 1)
+    assert played_with_delayed_connections(scene, tmp_path, monkeypatch) == ((1, "satisfied 19"), 1, 1)
 
 
-# servers' answers
+# responses of servers
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [DATA + DATA, DATA + b"nobody data - 3\r\nyes\r\n", DATA + b"ID da", DATA + b"other data - 90\r\nhalf"],
     ids=["second", "unknown", "half", "no end"],
 )
-def test_a_connection_that_brought_what_nobody_waits_for_is_not_used_again(tmp_path, spoilt):
+def test_connection_with_an_unexpected_response_is_not_reused(tmp_path, malformed):
     async def scene(t):
         used, write = [], t.service.upstream_connections.write
 
-        def noted(line, wire):
+        def recording_write(connection, wire):
             if wire.startswith(b"PULL"):
-                used.append(line)
-            write(line, wire)
+                used.append(connection)
+            write(connection, wire)
 
-        t.service.upstream_connections.write = noted
+        t.service.upstream_connections.write = recording_write
         for machine in t.machines.values():
-            machine.behavior = lambda line: spoilt if len(used) == 1 else "data"
-        heard = []
+            machine.behavior = lambda line: malformed if len(used) == 1 else "data"
+        responses = []
         for n in range(1, 6):
             t.client.ask(n)
-            heard.append(await t.client.receive())
+            responses.append(await t.client.receive())
         await until(lambda: used[0].is_closed)
-        return heard, used[0] in used[1:]
+        return responses, used[0] in used[1:]
 
     assert played(scene, tmp_path) == (
         [(1, "satisfied 3")] + [(n, "satisfied 19") for n in range(2, 6)],
@@ -417,35 +434,35 @@
     )
 
 
-def test_an_answer_that_dribbles_on_after_its_push_was_given_up_ends_its_connection(tmp_path):
-    """Each byte is heard, so it is not silent; nobody waits for it."""
+def test_slow_response_of_an_abandoned_attempt_ends_its_connection(tmp_path):
+    """Each byte shows that the connection is alive, but no request waits for the response."""
 
     async def scene(t):
         for machine in t.machines.values():
             machine.behavior = b"ID data - 200000\r\nfirst"
         t.client.ask(1, allow="100")
-        heard = await t.client.receive()
-        line = next(n for n in t.service.upstream_connections.pool.connections if n.answers.head)
+        response = await t.client.receive()
+        connection = next(c for c in t.service.upstream_connections.pool.connections if c.answers.head)
         writer = next(w for m in t.machines.values() for w in m.writers if m.received_lines)
         for _ in range(200):
-            if line.is_closed:
+            if connection.is_closed:
                 break
             writer.write(b"x")
             await asyncio.sleep(0.01)
-        return heard, line.is_closed, t.service.upstream_connections.placements
+        return response, connection.is_closed, t.service.upstream_connections.placements
 
     assert played(scene, tmp_path) == ((1, "nack"), True, {})
 
 
-# descriptors, and the program's start
+# file descriptors and startup
 
 
-def test_for_room_the_longest_idle_go_and_none_of_which_half_a_call_has_come(tmp_path):
+def test_longest_idle_connections_are_closed_for_capacity_but_none_with_a_partial_call(tmp_path):
     async def scene(t):
         t.service.client_connections.max_connections = 6
-        half = Raw(t.address)
-        wire = half.asks(1).bytes
-        half.socket.sendall(wire[:30])
+        half = RawClient(t.address)
+        frame = half.add_requests(1).unsent
+        half.socket.sendall(frame[:30])
         idle = [await ThriftClient.connect(t.address) for _ in range(3)]
         await until(
             lambda: (
@@ -453,17 +470,18 @@
                 and any(c.partial_since for c in t.service.client_connections.clients.values())
             )
         )
-        t.service.client_connections.clients[1].used_at += 100.0  # the town's own, used last of all
+        # the connection of t.client becomes the most recently used one
+        t.service.client_connections.clients[1].used_at += 100.0
         late = [await ThriftClient.connect(t.address) for _ in range(2)]
-        gone = await idle[0].receive()
+        closed = await idle[0].receive()
         late[-1].ask(2)
-        half.socket.sendall(wire[30:])
-        return gone, await late[-1].receive(), await (await half.client()).receive()
+        half.socket.sendall(frame[30:])
+        return closed, await late[-1].receive(), await (await half.to_thrift_client()).receive()
 
     assert played(scene, tmp_path) == (None, (1, "satisfied 19"), (1, "satisfied 19"))
 
 
-def test_small_writes_are_never_held_back(tmp_path):
+def test_nagle_algorithm_is_disabled_on_all_connections(tmp_path):
     async def scene(t):
         t.client.ask(1)
         await t.client.receive()
@@ -480,13 +498,13 @@
     assert played(scene, tmp_path) == ({True}, True)
 
 
-def test_idle_clients_at_the_systems_bound_starve_neither_discovery_nor_servers(tmp_path):
-    """The command channel is down while they come; the settings allow more descriptors than the system."""
+def test_idle_clients_at_the_descriptor_limit_leave_descriptors_for_channel_and_servers(tmp_path):
+    """The command channel is down while they connect; the settings allow more descriptors than the system."""
 
     async def scene(t):
-        spare = socket.create_server(("127.0.0.1", 0))
-        port = spare.getsockname()[1]
-        spare.close()
+        reserved = socket.create_server(("127.0.0.1", 0))
+        port = reserved.getsockname()[1]
+        reserved.close()
         box = t.machines["s-22"]
         values = {**t.values, "channel": f"127.0.0.1:{port}"}
         values["known"] = {
@@ -506,29 +524,29 @@
         while b'"listening"' not in (line := await router.stdout.readline()):
             assert line
         address = "127.0.0.1", int(json.loads(line)["address"].split(":")[1])
-        idle = [Raw(address) for _ in range(150)]
+        idle = [RawClient(address) for _ in range(150)]
         await asyncio.sleep(0.3)
         commands = FakeCommandChannel(
             FakeCommandChannel.reply(4, endpoint_list_command(4, [host("s-22", box.port)], whole=False))
         )
         commands.server = await asyncio.start_server(commands.serve, "127.0.0.1", port)
         for n in range(200):
-            caller = await ThriftClient.connect(address)
-            caller.ask(n)
-            heard = await caller.receive()
-            if heard and heard[1] == "satisfied 19":
+            client = await ThriftClient.connect(address)
+            client.ask(n)
+            response = await client.receive()
+            if response and response[1] == "satisfied 19":
                 break
             await asyncio.sleep(0.05)
         router.terminate()
         code = await router.wait()
-        for raw in idle:
-            raw.close()
-        return heard, code
+        for raw_client in idle:
+            raw_client.close()
+        return response, code
 
     assert played(scene, tmp_path) == ((1, "satisfied 19"), 0)
 
 
-def test_the_share_of_descriptors_is_of_what_the_system_gives(tmp_path, monkeypatch):
+def test_descriptor_limit_is_bounded_by_the_system_limit(tmp_path, monkeypatch):
     site = load_site(configuration(), tmp_path)
     monkeypatch.setattr(program.resource, "getrlimit", lambda what: (256, 256))
     assert program.limit_descriptors(site).bounds.sockets == 256
@@ -537,11 +555,11 @@
         program.limit_descriptors(site)
 
 
-def test_sighup_while_it_starts_ends_nothing_and_the_new_file_holds(tmp_path):
-    """The file is a pipe: the router stands in the middle of reading it when the signal comes."""
+def test_sighup_during_startup_reloads_the_configuration(tmp_path):
+    """The configuration file is a pipe, so that the router is still reading it when the signal arrives."""
 
     async def scene(t):
-        pipe, new = tmp_path / "n1.json", await FakeCommandChannel().start()
+        pipe, new_channel = tmp_path / "n1.json", await FakeCommandChannel().start()
         os.mkfifo(pipe)
         router = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -552,63 +570,64 @@
             env={**os.environ, "BALANCER_CONFIG": str(pipe)},
         )
         loop, text = asyncio.get_running_loop(), json.dumps(t.values)
-        end = await loop.run_in_executor(None, os.open, pipe, os.O_WRONLY)  # it reads
+        # returns once the router reads
+        pipe_fd = await loop.run_in_executor(None, os.open, pipe, os.O_WRONLY)
         router.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.1)
-        os.write(end, text.encode())
+        os.write(pipe_fd, text.encode())
         later = tmp_path / "later.json"
-        later.write_text(text.replace(f"127.0.0.1:{t.commands.port}", f"127.0.0.1:{new.port}"))
+        later.write_text(text.replace(f"127.0.0.1:{t.commands.port}", f"127.0.0.1:{new_channel.port}"))
         os.replace(later, pipe)
-        os.close(end)
-        await until(lambda: new.polls)
+        os.close(pipe_fd)
+        await until(lambda: new_channel.polls)
         router.terminate()
         return await router.wait()
 
     assert played(scene, tmp_path) == 0
 
 
-def test_a_frame_in_pieces_is_one_call(tmp_path):
-    """The reader looks at once for what stands behind a piece: a call in pieces is taken once, whole."""
+def test_frame_received_in_pieces_is_one_call(tmp_path):
+    """The reader checks for more input right after each piece; the call is handled once, when complete."""
 
     async def scene(t):
-        raw = Raw(t.address)
-        wire = raw.asks(1).bytes
-        for at in range(0, len(wire), 7):
-            raw.socket.sendall(wire[at : at + 7])
+        raw_client = RawClient(t.address)
+        frame = raw_client.add_requests(1).unsent
+        for offset in range(0, len(frame), 7):
+            raw_client.socket.sendall(frame[offset : offset + 7])
             await asyncio.sleep(0)
-        return await (await raw.client()).receive(), len(pulls(t))
+        return await (await raw_client.to_thrift_client()).receive(), len(pull_lines(t))
 
     assert played(scene, tmp_path) == ((1, "satisfied 19"), 1)
 
 
-def test_a_client_that_is_gone_leaves_nothing_behind(tmp_path):
-    """Its connection's error held the frame that held it: a cycle a client, for the collector to find."""
+def test_closed_client_connections_are_freed_without_the_collector(tmp_path):
+    """A connection's error referenced a frame that referenced the error: one reference cycle per client."""
 
     async def scene(t):
         gc.collect()
         gc.disable()
         try:
             for n in range(20):
-                caller = await ThriftClient.connect(t.address)
-                caller.ask(n)
-                await caller.receive()
-                caller.writer.close()
+                client = await ThriftClient.connect(t.address)
+                client.ask(n)
+                await client.receive()
+                client.writer.close()
             await until(lambda: len(t.service.client_connections.clients) == 1)
             await asyncio.sleep(0.05)
-            return sum(isinstance(o, client_connection.ClientConnection) for o in gc.get_objects())
+            return sum(isinstance(obj, client_connection.ClientConnection) for obj in gc.get_objects())
         finally:
             gc.enable()
 
     assert played(scene, tmp_path) == 1
 
 
-def test_the_command_line_leaves_the_word_to_hang_up_as_it_found_it():
-    """Under nohup it is ignored: `brookhinge box` must outlive its terminal."""
+def test_command_line_keeps_the_inherited_sighup_disposition():
+    """Under nohup SIGHUP is ignored, and `brookhinge box` must outlive its terminal."""
     script = (
         "import signal, sys\nsignal.signal(signal.SIGHUP, signal.SIG_IGN)\n"
         "sys.argv = ['brookhinge', '--help']\n"
         "from brookhinge.__main__ import main\ntry:\n    main()\nexcept SystemExit:\n    pass\n"
         "print(signal.getsignal(signal.SIGHUP) == signal.SIG_IGN)"
     )
-    done = subprocess.run([sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True)
-    assert done.stdout.splitlines()[-1] == "True", done.stderr
+    completed = subprocess.run([sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True)
+    assert completed.stdout.splitlines()[-1] == "True", completed.stderr
--- a/tests/standstill/stoppable.py
+++ b/tests/standstill/stoppable.py
@@ -1,7 +1,7 @@
 """A router that stops itself (SIGSTOP) at named points of its code: `python -m tests.standstill.stoppable`.
 
-`STOP_FILE` names a file with the points at which it is to stop next, one after another; `STOP_PORT` is the port of the servers whose answers
-count. It goes on when somebody sends SIGCONT."""
+The environment variable `STOP_FILE` names a file that lists the points at which to stop next, in order; `STOP_PORT` lists the
+ports of the cache servers whose responses reach the points. SIGCONT resumes the process."""
 
 import os
 import selectors
@@ -12,8 +12,8 @@
 POINTS = {}
 
 
-def point(name):
-    """Registers an installer of a stop point: called with the function to call when the point is reached."""
+def stop_point(name):
+    """Registers an installer of a stop point; it gets the function to call when the point is reached."""
 
     def register(install):
         POINTS[name] = install
@@ -23,104 +23,104 @@
 
 
 def stop_at(name):
-    """Stops this process if the point is the next one in the file."""
+    """Stops this process if the point is the next one in the stop file."""
     path = os.environ["STOP_FILE"]
     try:
         with open(path) as file:
-            wanted = file.read().split()
+            pending_points = file.read().split()
     except FileNotFoundError:
         return
-    if wanted[:1] != [name]:
+    if pending_points[:1] != [name]:
         return
     with open(path + ".new", "w") as file:
-        file.write(" ".join(wanted[1:]))
+        file.write(" ".join(pending_points[1:]))
     os.replace(path + ".new", path)
     os.kill(os.getpid(), signal.SIGSTOP)
 
 
-def after(owner, attribute, matters, reached):
-    """Calls reached() each time when owner.attribute has returned something that matters."""
-    real = getattr(owner, attribute)
+def call_after(owner, method, is_relevant, on_reached):
+    """Patches owner.method to call on_reached() after each return for which is_relevant(result, args) holds."""
+    original = getattr(owner, method)
 
-    def watched(*args, **keywords):
-        result = real(*args, **keywords)
-        if matters(result, args):
-            reached()
+    def patched(*args, **keywords):
+        result = original(*args, **keywords)
+        if is_relevant(result, args):
+            on_reached()
         return result
 
-    setattr(owner, attribute, watched)
+    setattr(owner, method, patched)
 
 
-def is_server(key):
-    """Whether a descriptor is a connection to a cache server."""
+def is_server_connection(key):
+    """Returns whether a selector key belongs to a connection to a cache server."""
     try:
-        with socket.socket(fileno=os.dup(key.fd)) as made:
-            peer = made.getpeername()
+        with socket.socket(fileno=os.dup(key.fd)) as duplicate:
+            peer = duplicate.getpeername()
     except OSError:
         return False
     ports = {int(port) for port in os.environ["STOP_PORT"].split(",")}
     return isinstance(peer, tuple) and peer[1] in ports
 
 
-@point("selected")
-def selected(reached):
-    """The system has said what can be read, a server's answer among it."""
-    after(
+@stop_point("selected")
+def selected(on_reached):
+    """The selector has reported readable connections, among them one with a cache server's response."""
+    call_after(
         selectors.DefaultSelector,
         "select",
-        lambda ready, _: any(is_server(key) for key, _ in ready),
-        reached,
+        lambda ready, _: any(is_server_connection(key) for key, _ in ready),
+        on_reached,
     )
 
 
-@point("read")
-def read(reached):
-    """The bytes of a server's answer have been read from its connection."""
+@stop_point("read")
+def read(on_reached):
+    """A cache server's response has been read from its connection."""
     from brookhinge.net.stream import Stream
 
     def is_miss(count, args):
         return bool(count) and b" absent " in bytes(args[1][:count])
 
-    after(Stream, "read_from_fd", is_miss, reached)
+    call_after(Stream, "read_from_fd", is_miss, on_reached)
 
 
-@point("posted")
-def posted(reached):
-    """A server's answer waits for the next round."""
+@stop_point("posted")
+def posted(on_reached):
+    """The event of a cache server's response has been queued for the next round."""
     from brookhinge.engine.events import AttemptEnded
     from brookhinge.engine.scheduler import EventScheduler
 
-    after(EventScheduler, "post", lambda _, args: isinstance(args[1], AttemptEnded), reached)
+    call_after(EventScheduler, "post", lambda _, args: isinstance(args[1], AttemptEnded), on_reached)
 
 
-@point("waiting")
-def waiting(reached):
-    """A round that is late waits until what lies in the system has been read."""
+@stop_point("waiting")
+def waiting(on_reached):
+    """A late round has been deferred until pending input has been read from the sockets."""
     from brookhinge.engine.scheduler import EventScheduler
 
-    after(EventScheduler, "run_round_after", lambda _, args: args[1] == 1, reached)
+    call_after(EventScheduler, "run_round_after", lambda _, args: args[1] == 1, on_reached)
 
 
-@point("decided")
-def decided(reached):
-    """A round has decided on an attempt that is not written yet."""
+@stop_point("decided")
+def decided(on_reached):
+    """A round has decided on an attempt that has not been written yet."""
     from brookhinge.engine.effects import SendAttempt
     from brookhinge.engine.router_state import RouterState
 
-    after(
+    call_after(
         RouterState,
         "reduce",
         lambda effects, _: any(isinstance(effect, SendAttempt) for effect in effects),
-        reached,
+        on_reached,
     )
 
 
-@point("writing")
-def writing(reached):
-    """The bytes of an attempt are there, its connection is being chosen."""
+@stop_point("writing")
+def writing(on_reached):
+    """The connection for an encoded attempt has been chosen."""
     from brookhinge.net.upstream_connections import UpstreamConnections
 
-    after(UpstreamConnections, "choose", lambda connection, _: connection is not None, reached)
+    call_after(UpstreamConnections, "choose", lambda connection, _: connection is not None, on_reached)
 
 
 def main():
--- a/tests/standstill/test_client_gone.py
+++ b/tests/standstill/test_client_gone.py
@@ -1,81 +1,84 @@
-"""A router sent requests on after their clients had left.
+"""Guards against attempts for clients that disconnected while the router process was stalled.
 
-Seen: five attempts of one router in the same moment, 0.5 to 1.8 s after the servers' answers that asked for them, for clients that had
-left meanwhile. How it came about: the process stood still (here: it is stopped) after the system had handed it a server's answer, or
-while a late round waited; as it went on, that answer was taken for new, and its round ran before the clients' ends were read. Cause:
-passes of the loop were counted to guess when everything had been read, and nothing looked at the client again where the attempt was
-written. What proved it: the stop forced at each point between the two, with real processes; only where the answer had already been
-posted before the stop did the old check of its age hold the round back."""
+A router made five attempts at once, 0.5 to 1.8 s after the servers' responses that caused them, for clients
+that had left. The process had stalled after it received a response, or while a late round was deferred;
+afterwards the response was taken for new and its round ran before the clients' disconnects were read. The
+cause was that loop passes were counted to guess when all input had been read, and that the client was not
+checked again when the attempt was written. These tests stop a real process at each point between the two;
+the former check of the response's age helped only where the response had been queued before the stop.
+"""
 
 import asyncio
 import itertools
 
-from tests.crossings.test_sockets import Raw
-from tests.standstill.program import played
+from tests.crossings.test_sockets import RawClient
+from tests.standstill.program import run_cases
 from tests.test_service import until
 
-POINTS = ("selected", "read", "posted", "decided", "writing")  # of tests/standstill/stoppable.py
-ENDS = ("cancels", "closes", "resets")
-ASKED = 1
-STOPPED_S, AFTER_S = 0.3, 0.4  # how long a router is stopped, and is watched then
+POINTS = ("selected", "read", "posted", "decided", "writing")  # stop points of tests/standstill/stoppable.py
+CLIENT_EXITS = ("cancels", "closes", "resets")
+REQUEST_ID = 1
+STOPPED_S, OBSERVED_S = 0.3, 0.4  # how long a router is stopped, and is observed after that
 
 
-async def asks(program):
-    """A client whose request is out at a server."""
-    await program.warm()
-    raw = Raw(program.address).asks(ASKED).send()
-    await until(lambda: program.attempts_for(ASKED))
-    return raw
+async def open_request(router):
+    """Returns a client whose request has an open attempt at a cache server."""
+    await router.warm_up()
+    client = RawClient(router.address).add_requests(REQUEST_ID).send()
+    await until(lambda: router.attempts_for(REQUEST_ID))
+    return client
 
 
-async def stopped(program, *points):
-    """The server answers; the router is stopped at the last of the points when this comes back."""
-    program.stop_next_at(*points)
-    program.answer.set()
-    for left in reversed(range(len(points))):
-        await program.until_stopped(left)
-        if left:
+async def stop_after_miss(router, *points):
+    """Lets the cache server report a miss; returns when the router is stopped at the last of the points."""
+    router.stop_next_at(*points)
+    router.miss_released.set()
+    for remaining in reversed(range(len(points))):
+        await router.until_stopped(remaining)
+        if remaining:
             await asyncio.sleep(STOPPED_S)
-            await program.go_on()
+            await router.resume()
 
 
-def leave(raw, how):
+def leave(client, how):
     if how == "cancels":
-        raw.call.forget(ASKED)
-        raw.send()
+        client.encoder.forget(REQUEST_ID)
+        client.send()
     else:
-        raw.close(reset=how == "resets")
+        client.close(reset=how == "resets")
 
 
-async def sent_on(program, how, *points):
-    """How many attempts are made after the client has left while the router was stopped."""
-    raw = await asks(program)
-    await stopped(program, *points)
-    leave(raw, how)
+async def attempts_after_exit(router, how, *points):
+    """Returns the number of attempts made after the client left while the router was stopped."""
+    client = await open_request(router)
+    await stop_after_miss(router, *points)
+    leave(client, how)
     await asyncio.sleep(STOPPED_S)
-    await program.go_on()
-    await asyncio.sleep(AFTER_S)
-    return len(program.attempts_for(ASKED)) - 1
+    await router.resume()
+    await asyncio.sleep(OBSERVED_S)
+    return len(router.attempts_for(REQUEST_ID)) - 1
 
 
-def test_a_router_that_was_stopped_sends_nothing_on_for_a_client_that_left_meanwhile(tmp_path):
-    cases = list(itertools.product(ENDS, POINTS))
-    assert played(sent_on, tmp_path, *cases) == dict.fromkeys(cases, 0)
+def test_no_attempt_follows_for_a_client_that_left_while_the_router_was_stopped(tmp_path):
+    cases = list(itertools.product(CLIENT_EXITS, POINTS))
+    assert run_cases(attempts_after_exit, tmp_path, *cases) == dict.fromkeys(cases, 0)
 
 
-def test_a_router_that_was_stopped_twice_sends_nothing_on(tmp_path):
-    """The client leaves during the second stop; since the first the round waits for what is to be read."""
-    cases = [(how, "posted", "waiting") for how in ENDS]
-    assert played(sent_on, tmp_path, *cases) == dict.fromkeys(cases, 0)
+def test_no_attempt_follows_for_a_client_that_left_in_a_second_stop(tmp_path):
+    """The client leaves during the second stop; since the first one the round is deferred until all input is read."""
+    cases = [(how, "posted", "waiting") for how in CLIENT_EXITS]
+    assert run_cases(attempts_after_exit, tmp_path, *cases) == dict.fromkeys(cases, 0)
 
 
-def test_a_client_that_stays_while_its_router_is_stopped_has_its_answer(tmp_path):
-    async def answer(program, point):
-        raw = await asks(program)
-        await stopped(program, point)
+def test_client_that_stays_while_the_router_is_stopped_gets_its_response(tmp_path):
+    async def response_after_stop(router, point):
+        client = await open_request(router)
+        await stop_after_miss(router, point)
         await asyncio.sleep(STOPPED_S)
-        await program.go_on()
-        return await (await raw.client()).receive()
+        await router.resume()
+        return await (await client.to_thrift_client()).receive()
 
     cases = [(point,) for point in POINTS]
-    assert played(answer, tmp_path, *cases) == dict.fromkeys(cases, (ASKED, "satisfied 19"))
+    assert run_cases(response_after_stop, tmp_path, *cases) == dict.fromkeys(
+        cases, (REQUEST_ID, "satisfied 19")
+    )
--- a/tests/standstill/test_every_point.py
+++ b/tests/standstill/test_every_point.py
@@ -1,7 +1,10 @@
-"""A process can stand still between any two of its steps, so each of them is tried: from the server's answer that asks for a further
-attempt to the system call that would send it, the client leaves and the clock goes on at one step, and no attempt may follow.
+"""No attempt may follow a stall and a client's exit at any step between a miss and the next attempt.
 
-Only what lies between the last look at the client and the system call itself cannot be helped; that way is kept short."""
+A process can stall between any two of its steps, so these tests try them all: from the response that calls
+for another attempt to the system call that would send it, the client leaves and the clock jumps at one
+step. The steps between the last check of the client and the system call cannot be covered; their number is
+kept small.
+"""
 
 import asyncio
 import itertools
@@ -11,140 +14,148 @@
 import pytest
 
 from brookhinge.net import client_connections
-from tests.crossings.test_sockets import Raw, warm
+from tests.crossings.test_sockets import RawClient, warm_up_connections
 from tests.helpers import LocalDeployment
 from tests.test_service import caches, until
 
-STOOD_STILL_S = (0.14, 0.3)  # one that no watch of the loop notices, and one that it does
-MOST_STEPS_TO_SEND = 100  # calls and returns, of functions of Python and C, after the last look
-EVERY = 3  # of the steps is tried: all of them in a minute, by EVERY = 1
+STALLS_S = (0.14, 0.3)  # one that the loop watch does not notice, and one that it does
+MAX_STEPS_TO_SEND = 100  # calls and returns of Python and C functions after the last check of the client
+STEP_STRIDE = 3  # every third step is tried; 1 tries all of them and takes about a minute
 
 
-class Steps:
-    """Counts calls and returns from `begin` on, and acts at one of them."""
+class StepCounter:
+    """Counts calls and returns after `begin` and runs an action at one of them."""
 
-    def __init__(self, at, act):
-        self.at, self.act, self.count = at, act, 0
-        self.looked_at = self.sent_at = (
-            None  # steps: the last look at the client, and the attempt's system call
-        )
+    def __init__(self, action_step, action):
+        self.action_step, self.action, self.count = action_step, action, 0
+        # steps of the last check of the client and of the system call that sends the attempt
+        self.checked_at = self.sent_at = None
 
     def begin(self):
-        sys.setprofile(self.step)
+        sys.setprofile(self.count_step)
 
     def end(self):
         sys.setprofile(None)
 
-    def step(self, frame, event, arg):
+    def count_step(self, frame, event, arg):
         self.count += 1
         code = frame.f_code
         if event in ("c_return", "c_exception") and code.co_name == "unread" and arg.__name__ == "recv":
-            self.looked_at = self.count
-        elif event == "c_call" and arg.__name__ == "send" and self.looked_at is not None:
+            self.checked_at = self.count
+        elif event == "c_call" and arg.__name__ == "send" and self.checked_at is not None:
             self.sent_at = self.count
             self.end()
             return
-        if self.count == self.at:
+        if self.count == self.action_step:
             sys.setprofile(None)
-            self.act()
-            sys.setprofile(self.step)
+            self.action()
+            sys.setprofile(self.count_step)
 
 
-class Clock:
-    """The machine's steady clock, which goes on by leaps as well."""
+class JumpingClock:
+    """The monotonic clock with jumps forward."""
 
     def __init__(self, monkeypatch):
-        real, self.ahead_s = time.monotonic, 0.0
-        monkeypatch.setattr(time, "monotonic", lambda: real() + self.ahead_s)
+        original, self.offset_s = time.monotonic, 0.0
+        monkeypatch.setattr(time, "monotonic", lambda: original() + self.offset_s)
 
-    def leap(self, seconds):
-        self.ahead_s += seconds
+    def jump(self, seconds):
+        self.offset_s += seconds
 
 
-class Scene:
-    """One query after another, each with its client gone at another step."""
+class ExitScenario:
+    """Runs one request after another; the client of each leaves at another step."""
 
-    def __init__(self, town, clock, how):
-        self.town, self.clock, self.how, self.asked, self.begun = town, clock, how, 0, set()
-        for machine in town.machines.values():
-            machine.behavior = self.answer
+    def __init__(self, deployment, clock, how):
+        self.deployment, self.clock, self.how, self.last_request, self.started = (
+            deployment,
+            clock,
+            how,
+            0,
+            set(),
+        )
+        for machine in deployment.machines.values():
+            machine.behavior = self.respond
         self.steps = None
 
-    def answer(self, line):
-        """A server's answer: nothing the first time; the steps are counted from there."""
-        if line[1] in self.begun:
+    def respond(self, line):
+        """A cache server's response: a miss for the first attempt, from which the steps are counted."""
+        if line[1] in self.started:
             return "data"
-        self.begun.add(line[1])
+        self.started.add(line[1])
         self.steps.begin()
         return "absent"
 
-    async def play(self, at, seconds):
-        """(the steps, how many attempts came after the client's end)."""
-        town, clients = self.town, self.town.service.client_connections.clients
-        town.service.state.decisions.retry_budget.tokens = 10.0
-        others, raw = set(clients), Raw(town.address)
-        await until(lambda: set(clients) - others)
-        self.asked += 1
-        name = f"{self.asked:016x}"
+    async def run(self, exit_step, stall_s):
+        """Runs one request; returns the step counter and the number of attempts after the first."""
+        deployment, clients = self.deployment, self.deployment.service.client_connections.clients
+        deployment.service.state.decisions.retry_budget.tokens = 10.0
+        other_clients, raw_client = set(clients), RawClient(deployment.address)
+        await until(lambda: set(clients) - other_clients)
+        self.last_request += 1
+        request_id = f"{self.last_request:016x}"
 
         def leave():
-            self.leave(raw)
-            self.clock.leap(seconds)
+            self.leave(raw_client)
+            self.clock.jump(stall_s)
 
-        self.steps = Steps(at, leave)
-        raw.asks(self.asked).send()
+        self.steps = StepCounter(exit_step, leave)
+        raw_client.add_requests(self.last_request).send()
         try:
-            await until(lambda: name in self.begun and not town.service.state.requests.open)
+            await until(lambda: request_id in self.started and not deployment.service.state.requests.open)
         finally:
             self.steps.end()
-        raw.close()
-        await until(lambda: not set(clients) - others)
-        attempts = sum(line.split()[2] == name for line in town.attempt_lines() if " PULL " in line)
+        raw_client.close()
+        await until(lambda: not set(clients) - other_clients)
+        attempts = sum(
+            line.split()[2] == request_id for line in deployment.attempt_lines() if " PULL " in line
+        )
         return self.steps, attempts - 1
 
-    def leave(self, raw):
+    def leave(self, raw_client):
         if self.how == "cancels":
-            raw.call.forget(1)
-            raw.send()
+            raw_client.encoder.forget(1)
+            raw_client.send()
         else:
-            raw.close(reset=self.how == "resets")
+            raw_client.close(reset=self.how == "resets")
 
 
-def sent_on(folder, monkeypatch, how, every):
-    """The steps at which the router stood still and sent an attempt on all the same; how many there were to try."""
-    clock = Clock(monkeypatch)
-    monkeypatch.setattr(client_connections, "EMPTY_CHECK_TTL_S", -1.0)  # each attempt is looked at
+def steps_with_attempt(folder, monkeypatch, how, stride):
+    """Returns the steps for which an attempt followed the stall and the client's exit, and the number of steps."""
+    clock = JumpingClock(monkeypatch)
+    # the client is checked before each attempt
+    monkeypatch.setattr(client_connections, "EMPTY_CHECK_TTL_S", -1.0)
 
     async def scene(t):
-        await warm(t)
-        own_scene, found, spans = Scene(t, clock, how), [], itertools.cycle(STOOD_STILL_S)
-        steps, attempts = await own_scene.play(0, 0.0)  # nobody leaves
+        await warm_up_connections(t)
+        scenario, found, stalls_s = ExitScenario(t, clock, how), [], itertools.cycle(STALLS_S)
+        steps, attempts = await scenario.run(0, 0.0)  # step 0 is never reached: the client stays
         assert attempts == 1
-        assert steps.sent_at - steps.looked_at <= MOST_STEPS_TO_SEND
-        for at in range(1, steps.looked_at, every):
-            own, attempts = await own_scene.play(at, next(spans))
-            is_after_look = own.looked_at is not None and at >= own.looked_at
-            if attempts and not is_after_look:
-                found.append(at)
-        return found, steps.looked_at
+        assert steps.sent_at - steps.checked_at <= MAX_STEPS_TO_SEND
+        for exit_step in range(1, steps.checked_at, stride):
+            counter, attempts = await scenario.run(exit_step, next(stalls_s))
+            is_after_check = counter.checked_at is not None and exit_step >= counter.checked_at
+            if attempts and not is_after_check:
+                found.append(exit_step)
+        return found, steps.checked_at
 
-    async def play():  # without a limit: the clock leaps by minutes
-        async with LocalDeployment(folder, machines=caches()) as town:
-            return await scene(town)
+    async def run():  # without a timeout, as the clock jumps by minutes in total
+        async with LocalDeployment(folder, machines=caches()) as deployment:
+            return await scene(deployment)
 
-    return asyncio.run(play())
+    return asyncio.run(run())
 
 
 @pytest.mark.parametrize("how", ["cancels", "closes", "resets"])
-def test_no_attempt_follows_wherever_the_router_stood_still(tmp_path, monkeypatch, how):
-    found, tried = sent_on(tmp_path, monkeypatch, how, EVERY)
-    assert found == [] and tried > 300
+def test_no_attempt_follows_a_stall_and_client_exit_at_any_step(tmp_path, monkeypatch, how):
+    found, step_count = steps_with_attempt(tmp_path, monkeypatch, how, STEP_STRIDE)
+    assert found == [] and step_count > 300
 
 
-def test_it_finds_a_router_that_looks_and_does_not_heed_it(tmp_path, monkeypatch):
-    real = client_connections.ClientConnections.hold_reason
+def test_ignored_hold_reason_is_detected(tmp_path, monkeypatch):
+    original = client_connections.ClientConnections.hold_reason
     monkeypatch.setattr(
-        client_connections.ClientConnections, "hold_reason", lambda *args: real(*args) and None
+        client_connections.ClientConnections, "hold_reason", lambda *args: original(*args) and None
     )
-    found, _ = sent_on(tmp_path, monkeypatch, "closes", 10 * EVERY)
+    found, _ = steps_with_attempt(tmp_path, monkeypatch, "closes", 10 * STEP_STRIDE)
     assert found
--- a/tests/standstill/test_held_back.py
+++ b/tests/standstill/test_held_back.py
@@ -1,4 +1,4 @@
-"""Each reason for which an attempt is not written at the moment at which it could be."""
+"""Each reason for which the write guard holds back an attempt."""
 
 import asyncio
 import time
@@ -8,24 +8,24 @@
 from brookhinge.engine.endpoints import ListedEndpoint
 from brookhinge.engine.events import EndpointsListed, ObjectsPurged
 from brookhinge.net.upstream_connection import PendingAttempt
-from tests.crossings.test_sockets import Raw
+from tests.crossings.test_sockets import RawClient
 from tests.helpers import host
 from tests.test_service import caches, played, until
 
 
-async def one_out(t):
-    """A query that is out at a silent server, its client's socket, and its attempt as it was decided."""
-    raw = Raw(t.address).asks(1).send()
+async def start_attempt(t):
+    """Opens a request at a silent cache server; returns its client and its attempt as decided."""
+    client = RawClient(t.address).add_requests(1).send()
     await until(lambda: t.service.state.requests.open)
-    (query, q), now = next(iter(t.service.state.requests.open.items())), t.service.now()
-    await asyncio.sleep(0.05)  # its connection was read empty longer ago than a moment
+    (request_id, request), now = next(iter(t.service.state.requests.open.items())), t.service.now()
+    await asyncio.sleep(0.05)  # the last check that its connection has no unread input is no longer fresh
     t.service.watch.tick()
-    server = t.service.state.endpoints.instances[q.server]
+    server = t.service.state.endpoints.instances[request.server]
     attempt = SendAttempt(
-        request_id=query,
-        attempt=q.attempts,
+        request_id=request_id,
+        attempt=request.attempts,
         server=server,
-        client_request_id=q.call.client_request_id,
+        client_request_id=request.call.client_request_id,
         class_name=b"page",
         object_key=b"ab" * 8,
         part=b"0",
@@ -39,64 +39,67 @@
         known_version=None,
         body=b"",
     )
-    return raw, attempt
+    return client, attempt
 
 
-def reason_after(tmp_path, change):
-    """The reason once change(t, raw, decided) has come back with the attempt to ask for, and the one before."""
+def hold_reason_after(tmp_path, change):
+    """Returns the hold reason after change(t, client, decided), which may return another attempt to check.
+
+    Requires that there is no reason before the change.
+    """
 
     async def scene(t):
-        raw, decided = await one_out(t)
+        client, decided = await start_attempt(t)
         await until(t.service.scheduler.is_caught_up)
-        before = t.service.write_guard.hold_reason(decided)
+        reason_before = t.service.write_guard.hold_reason(decided)
         t.service.client_connections.clients[2].emptied_at = t.service.command_channel.checked_empty_at = (
             float("-inf")
         )
-        return before, t.service.write_guard.hold_reason(change(t, raw, decided) or decided)
+        return reason_before, t.service.write_guard.hold_reason(change(t, client, decided) or decided)
 
-    before, after = played(scene, tmp_path, machines=caches(behavior="silent"))
-    assert before is None
-    return after
+    reason_before, reason = played(scene, tmp_path, machines=caches(behavior="silent"))
+    assert reason_before is None
+    return reason
 
 
-def test_its_client_has_sent_more(tmp_path):
-    assert reason_after(tmp_path, lambda t, raw, _: raw.call.forget(1) or raw.send() and None) is (
-        HeldBack.CLIENT_UNREAD
-    )
+def test_unread_input_of_the_client_holds_the_attempt(tmp_path):
+    assert hold_reason_after(
+        tmp_path, lambda t, client, _: client.encoder.forget(1) or client.send() and None
+    ) is (HeldBack.CLIENT_UNREAD)
 
 
-def test_its_client_has_closed(tmp_path):
-    assert reason_after(tmp_path, lambda t, raw, _: raw.close()) is HeldBack.CLIENT_UNREAD
+def test_unread_close_of_the_client_holds_the_attempt(tmp_path):
+    assert hold_reason_after(tmp_path, lambda t, client, _: client.close()) is HeldBack.CLIENT_UNREAD
 
 
-def test_its_client_is_known_to_have_cancelled(tmp_path):
-    def cancel(t, raw, decided):
+def test_cancelled_request_holds_the_attempt(tmp_path):
+    def cancel(t, client, decided):
         t.service.client_connections.calls.cancel(t.service.client_connections.clients[2], 1)
 
-    assert reason_after(tmp_path, cancel) is HeldBack.CLIENT_GONE
+    assert hold_reason_after(tmp_path, cancel) is HeldBack.CLIENT_GONE
 
 
-def test_an_event_of_the_command_channel_waits_for_its_round(tmp_path):
-    def post(t, raw, decided):
+def test_queued_event_of_the_command_channel_holds_the_attempt(tmp_path):
+    def post(t, client, decided):
         t.service.post(ObjectsPurged(9, 0, 0.0, "aa"))
 
-    assert reason_after(tmp_path, post) is HeldBack.LIST_UNREAD
+    assert hold_reason_after(tmp_path, post) is HeldBack.LIST_UNREAD
 
 
-def test_the_command_channel_has_sent_something(tmp_path):
-    def answered(t, raw, decided):
+def test_unread_response_of_the_command_channel_holds_the_attempt(tmp_path):
+    def receive_response(t, client, decided):
         t.service.command_channel.pending_read = asyncio.get_running_loop().create_future()
         t.service.command_channel.pending_read.set_result(b"")
 
-    assert reason_after(tmp_path, answered) is HeldBack.LIST_UNREAD
+    assert hold_reason_after(tmp_path, receive_response) is HeldBack.LIST_UNREAD
 
 
-def test_the_loop_stood_still(tmp_path):
-    assert reason_after(tmp_path, lambda *_: time.sleep(0.3)) is HeldBack.STALLED
+def test_stalled_loop_holds_the_attempt(tmp_path):
+    assert hold_reason_after(tmp_path, lambda *_: time.sleep(0.3)) is HeldBack.STALLED
 
 
-def test_its_server_drains_by_now(tmp_path):
-    def drain(t, raw, decided):
+def test_draining_server_holds_the_attempt(tmp_path):
+    def drain(t, client, decided):
         row = host(decided.server[0], health="draining")
         t.service.state.reduce(
             t.service.now(),
@@ -109,23 +112,27 @@
             ],
         )
 
-    assert reason_after(tmp_path, drain) is HeldBack.CHANGED
+    assert hold_reason_after(tmp_path, drain) is HeldBack.CHANGED
 
 
-def test_its_time_is_over(tmp_path):
+def test_passed_deadline_holds_the_attempt(tmp_path):
     assert (
-        reason_after(tmp_path, lambda t, raw, decided: decided._replace(deadline=t.service.now()))
+        hold_reason_after(tmp_path, lambda t, client, decided: decided._replace(deadline=t.service.now()))
         is HeldBack.NO_TIME
     )
 
 
-def test_it_waited_too_long_for_its_connection(tmp_path):
+def test_attempt_queued_too_long_for_its_connection_is_held(tmp_path):
     async def scene(t):
-        _, decided = await one_out(t)
-        line = next(line for line in t.service.upstream_connections.pool.connections if line.in_flight)
-        other = decided._replace(client_request_id=b"other", attempt=9)
+        _, decided = await start_attempt(t)
+        connection = next(
+            connection
+            for connection in t.service.upstream_connections.pool.connections
+            if connection.in_flight
+        )
+        second_attempt = decided._replace(client_request_id=b"other", attempt=9)
         queued_at = t.service.now() - 1.0
-        t.service.upstream_connections.place(line, PendingAttempt(other, queued_at))
+        t.service.upstream_connections.place(connection, PendingAttempt(second_attempt, queued_at))
         return dict(t.service.upstream_connections.holds)
 
     assert played(scene, tmp_path, machines=caches(behavior="silent")) == {HeldBack.LATE: 1}
