--- a/brookhinge/overload/overload_detector.py
+++ b/brookhinge/overload/overload_detector.py
@@ -18,9 +18,7 @@
 EXIT_FACTOR = 0.5  # hysteresis: an overload state ends at this fraction of its entry thresholds
 BUSY_FACTOR = 1.5  # multiple of the baseline request rate at which BUSY begins
 BUSY_EXIT_FACTOR = 1.2  # multiple below which BUSY ends
-MIN_OBSERVED_SHARE = (
-    0.05  # least part of the long window assumed observed, for baselines soon after the start
-)
+MIN_OBSERVED_SHARE = 0.05  # of the long window; bounds the scaling of baselines soon after the start
 MIN_NETWORK_RATE = 0.01  # connections per second, below which a network may be dropped
 DEFAULT_MAX_NETWORKS = 1024
 
--- a/brookhinge/overload/retry_lineage.py
+++ b/brookhinge/overload/retry_lineage.py
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Attempt:
-    """Last request of a client for an object, part and class.
+    """A client's latest attempt to get an object, part and class.
 
     Attributes:
         first_at: Arrival of the first request in the chain of retries.
@@ -92,7 +92,7 @@
     periodic sweep is needed.
 
     Attributes:
-        attempts: Last request by client identity and name, oldest first.
+        attempts: Latest request by client identity and request name, oldest first.
         keys_by_request: Key in `attempts` by request id, for open requests.
     """
 
@@ -101,7 +101,7 @@
 
         Args:
             memory_s: Seconds after its end for which a request is remembered.
-            max_attempts: Requests remembered, at most.
+            max_attempts: Clients' attempts remembered, at most.
         """
         self._memory_s = memory_s
         self._max_attempts = max_attempts
--- a/brookhinge/overload/retry_schedule.py
+++ b/brookhinge/overload/retry_schedule.py
@@ -140,10 +140,10 @@
         slot = self._find_slot(now, work, share, capacity_at)
         if slot is None:
             return self._unreserved_delay_s()
-        before = self.reserved_work.get(slot, 0.0)
-        self.reserved_work[slot] = before + work
+        work_before = self.reserved_work.get(slot, 0.0)
+        self.reserved_work[slot] = work_before + work
         # spread within the slot, so that clients that retry exactly on time do not arrive all at once
-        position = before / max(before + work, capacity_at(slot * SLOT_S) * SLOT_S)
+        position = work_before / max(work_before + work, capacity_at(slot * SLOT_S) * SLOT_S)
         at = (slot + min(_MAX_SLOT_POSITION, position)) * SLOT_S
         if len(self.reservations) < self.max_reservations:
             self.reservations[client, name] = at
@@ -160,8 +160,10 @@
         free = 0.0
         for slot in range(first, last + 1):
             capacity = capacity_at(slot * SLOT_S)
-            for_retries = max(MIN_RETRY_SHARE * capacity, MAX_UTILIZATION * capacity - self.new_work_rate())
-            usable = for_retries * SLOT_S * share
+            retry_capacity = max(
+                MIN_RETRY_SHARE * capacity, MAX_UTILIZATION * capacity - self.new_work_rate()
+            )
+            usable = retry_capacity * SLOT_S * share
             # capacity too small for one request is carried over to the next slot
             free = min(max(work, usable), free + usable - self.reserved_work.get(slot, 0.0))
             if free >= work:
--- a/tests/crossings/test_rare.py
+++ b/tests/crossings/test_rare.py
@@ -99,9 +99,9 @@
         t.service.stop()
         client = await RawClient(t.address).add_requests(1).send().to_thrift_client()
         asyncio.get_running_loop().call_later(0.9, setattr, failing, "fails", False)
-        answer = await client.receive()
+        response = await client.receive()
         await t.task
-        return answer and answer[0]
+        return response and response[0]
 
     for error in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
         assert played(lambda t, error=error: scene(t, error), tmp_path) == 1, errno.errorcode[error]
@@ -116,9 +116,9 @@
         await until(t.attempt_lines)
         client = await RawClient(t.address).add_requests(1).send().to_thrift_client()
         t.service.stop()
-        answers = await t.client.receive(), await client.receive()
+        responses = await t.client.receive(), await client.receive()
         await t.task
-        return [answer and answer[0] for answer in answers]
+        return [response and response[0] for response in responses]
 
     assert played(scene, tmp_path, machines=caches(delay=1.0)) == [1, 1]
 
@@ -275,15 +275,15 @@
 
     for case in itertools.product(("recv_into", "send"), (errno.ENOMEM, errno.ENOBUFS)):
         with pytest.MonkeyPatch.context() as patch:
-            answer = played(lambda t: scene(t, patch, *case), tmp_path, machines=caches())
-        assert answer is not None and answer[1] == "satisfied 19", case
+            response = played(lambda t: scene(t, patch, *case), tmp_path, machines=caches())
+        assert response is not None and response[1] == "satisfied 19", case
 
 
 def test_retry_does_not_wait_for_an_attempt_from_before_a_purge(tmp_path):
     """With `storm` on a retry waits for the response to the first request, whose attempt was sent before the purge."""
     for group, key in ((0, "aa"), (4, "")):
         harness = StateHarness(tmp_path)
-        class_names = [request_class.name.encode() for request_class in harness.router.request_classes]
+        class_names = [c.name.encode() for c in harness.router.request_classes]
         harness.state = RouterState(
             harness.router, class_names, list(harness.state.endpoints.zones), lineage=RetryLineage()
         )
@@ -335,13 +335,13 @@
         t.service.client_connections.listener.socket = listener
         asyncio.get_running_loop().call_later(0.6, setattr, listener, "fails", False)
         client = await RawClient(t.address).add_requests(1).send().to_thrift_client()
-        answer = await client.receive()
+        response = await client.receive()
         t.client.ask(2)
         await t.client.receive()
-        return answer, attempt_timeouts_ms(t)
+        return response, attempt_timeouts_ms(t)
 
-    answer, (first, second) = played(scene, tmp_path)
-    assert answer == (1, "satisfied 19") and first <= 2900 - 600 + 150 and second > 1600
+    response, (first, second) = played(scene, tmp_path)
+    assert response == (1, "satisfied 19") and first <= 2900 - 600 + 150 and second > 1600
 
 
 @pytest.mark.parametrize("change", ["purge", "drain"])
@@ -400,12 +400,12 @@
         t.service.upstream_connections.place = place_and_stall_once
         t.client.ask(1)
         t.client.ask(2)
-        answers = await t.client.receive(), await t.client.receive()
-        numbers = {answer[0] - t.client.sequence_number for answer in answers}
-        return numbers, {answer[1] for answer in answers}, sorted(attempt_timeouts_ms(t))
+        responses = await t.client.receive(), await t.client.receive()
+        numbers = {response[0] - t.client.sequence_number for response in responses}
+        return numbers, {response[1] for response in responses}, sorted(attempt_timeouts_ms(t))
 
-    numbers, answers, (second, first) = played(scene, tmp_path, machines=caches())
-    assert numbers == {-1, 0} and answers == {"satisfied 19"}
+    numbers, responses, (second, first) = played(scene, tmp_path, machines=caches())
+    assert numbers == {-1, 0} and responses == {"satisfied 19"}
     assert second <= 2900 - 500 + 150 < first
 
 
