--- a/tests/crossings/test_cold_sum.py
+++ b/tests/crossings/test_cold_sum.py
@@ -10,7 +10,7 @@
 from brookhinge.decisions.messages import EndpointsListed
 from brookhinge.decisions.settings import SlowStart
 from brookhinge.decisions.slow_start import SlowStartBudget
-from tests.helpers import Bench
+from tests.helpers import RouterHarness
 
 START = SlowStart(0.2, 10.0, 2.5, 2.0)
 
@@ -121,7 +121,7 @@
     """
 
     def estimated_capacity(gone):
-        bench = Bench(weight=0.0, caches=range(21, 31), routers=8)
+        bench = RouterHarness(weight=0.0, caches=range(21, 31), routers=8)
         for step in range(200):
             bench.router.now = bench.now = bench.now + 0.1
             for server in bench.router.endpoints.local_caches:
@@ -140,14 +140,20 @@
     """During congestion, the last warm parent completes less than it is sent; only the former is its capacity."""
 
     def estimated_capacity(result):
-        bench = Bench(weight=0.0, routers=40, tells="all")
+        bench = RouterHarness(weight=0.0, routers=40, note_detail="all")
         for part in range(60):
             bench.ask("k", part=part)
-            while bench.next in bench.router.requests:
+            while bench.last_request_id in bench.router.requests:
                 is_lookup = (
-                    bench.router.requests[bench.next].source == bench.router.requests[bench.next].server
+                    bench.router.requests[bench.last_request_id].source
+                    == bench.router.requests[bench.last_request_id].server
+                )
+                bench.end(
+                    bench.last_request_id,
+                    "miss" if is_lookup else result,
+                    took_s=0.3,
+                    note=0 if is_lookup else 3,
                 )
-                bench.end(bench.next, "miss" if is_lookup else result, took=0.3, note=0 if is_lookup else 3)
         return bench.router.throughput.warm_capacity(bench.router.endpoints.index[11], bench.now)
 
     assert estimated_capacity("timeout") == 1.0 < estimated_capacity("satisfied")
--- a/tests/crossings/test_sizes.py
+++ b/tests/crossings/test_sizes.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.helpers import CACHES, Bench, request_class
+from tests.helpers import CACHES, RouterHarness, request_class
 
 STEP_S, DURATION_S, MEAN_TRANSFER_S, LINK_CAPACITY = 0.01, 40.0, 0.3, 4.0
 
@@ -15,7 +15,9 @@
 
     def __init__(self, load, seed):
         self.rng, self.load, self.now = random.Random(seed), load, 0.0
-        self.bench = Bench(request_classes=[request_class(timeout_s=4.0)], weight=LINK_CAPACITY, tells="all")
+        self.bench = RouterHarness(
+            request_classes=[request_class(timeout_s=4.0)], weight=LINK_CAPACITY, note_detail="all"
+        )
         self.remaining_s, self.transfer_s, self.sent_at, self.is_satisfied = (
             {server: {} for server in CACHES},
             {},
@@ -53,7 +55,7 @@
                 bench.end(
                     request,
                     "satisfied" if is_complete else "timeout",
-                    took=self.now - self.sent_at[request],
+                    took_s=self.now - self.sent_at[request],
                     note=1,
                     at=self.now,
                 )
@@ -67,11 +69,13 @@
             self.step()
             while next_arrival <= self.now:
                 next_arrival += self.rng.expovariate(rate)
-                size = self.transfer_s[self.bench.next + 1] = min(
+                size = self.transfer_s[self.bench.last_request_id + 1] = min(
                     3.0, MEAN_TRANSFER_S * math.exp(self.rng.gauss(0.0, 1.0) - 0.5)
                 )
                 self.apply_decisions(
-                    self.bench.ask(f"k{self.rng.randrange(60)}", left=4.0, size=1000.0 * size, at=self.now)
+                    self.bench.ask(
+                        f"k{self.rng.randrange(60)}", remaining_s=4.0, size=1000.0 * size, at=self.now
+                    )
                 )
         by_size = sorted(
             (request for request in self.transfer_s if request in self.is_satisfied), key=self.transfer_s.get
--- a/tests/engine/test_invariants.py
+++ b/tests/engine/test_invariants.py
@@ -13,7 +13,7 @@
 from brookhinge.engine.events import EndpointsListed, ObjectsPurged
 from brookhinge.engine.log import Log
 from brookhinge.engine.trace import Trace
-from tests.helpers import Desk, request_class
+from tests.helpers import StateHarness, request_class
 from tests.test_service import caches, run_scenario, until
 
 
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def desk(tmp_path):
-    return Desk(tmp_path)
+    return StateHarness(tmp_path)
 
 
 def ask_with_decision(desk, decide, **ask):
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize("health", ["draining", "gone"])
 def test_attempt_to_or_fill_from_a_draining_or_gone_server_is_prevented(desk, health, as_source):
     row = ListedEndpoint("s-22", ("127.0.0.1", 9), "edge-1", "box", 0, health, 4.0, None)
-    desk.hear(EndpointsListed(4, False, [row]))
+    desk.process(EndpointsListed(4, False, [row]))
     server = "s-21" if as_source else "s-22"
     lines, counted = ask_with_decision(
         desk, lambda request_id: send_attempt(desk, request_id, server, "s-22")
@@ -79,7 +79,7 @@
 
 
 def test_attempt_that_accepts_a_copy_from_before_a_purge_is_prevented(desk):
-    desk.hear(ObjectsPurged(4, 0, desk.now, "aa"))
+    desk.process(ObjectsPurged(4, 0, desk.now, "aa"))
     _, counted = ask_with_decision(desk, lambda request_id: send_attempt(desk, request_id, max_age_s=5.0))
     assert counted == {"purge": 1}
     _, counted = ask_with_decision(desk, lambda request_id: send_attempt(desk, request_id, max_age_s=0.0))
@@ -127,7 +127,7 @@
 def test_work_for_a_warming_server_stays_within_the_bound_of_all_routers(desk):
     desk.router.slow_start["cache"].start = SlowStart(0.1, 60.0, 1.0, 1.0)
     row = ListedEndpoint("s-22", ("127.0.0.1", 9), "edge-1", "box", 0, "ready", 4.0, desk.now)
-    desk.hear(EndpointsListed(4, False, [row]))
+    desk.process(EndpointsListed(4, False, [row]))
     desk.router.route = lambda request: send_attempt(desk, request.request_id, "s-22", "s-22")
     for number in range(30):
         desk.ask(key=b"%x" % number)
@@ -175,25 +175,25 @@
 
 def test_close_with_an_open_request_and_response_without_a_request_are_prevented(tmp_path):
     async def scene(deployment):
-        deployment.caller.ask(1)
-        await until(deployment.pulled)
+        deployment.client.ask(1)
+        await until(deployment.attempt_lines)
         client = deployment.service.client_connections.clients[1]
         deployment.service.client_connections.respond(Respond(1, 7, b"never asked", False))
         deployment.service.client_connections.drop(client, CloseReason.IDLE)
-        return await deployment.caller.hear(), dict(deployment.service.state.invariants.violations)
+        return await deployment.client.receive(), dict(deployment.service.state.invariants.violations)
 
     assert run_scenario(scene, tmp_path, machines=caches(delay=0.3)) == (None, {"one_answer": 1, "close": 1})
 
 
 def test_response_that_crosses_its_cancel_is_no_violation(tmp_path):
     async def scene(deployment):
-        deployment.caller.ask(1)
-        await until(deployment.pulled)
+        deployment.client.ask(1)
+        await until(deployment.attempt_lines)
         client = deployment.service.client_connections.clients[1]
         deployment.service.client_connections.calls.cancel(client, 1)
         deployment.service.client_connections.respond(Respond(1, 1, b"late", False))
-        deployment.caller.ask(2)
-        return await deployment.caller.hear(), dict(deployment.service.state.invariants.violations)
+        deployment.client.ask(2)
+        return await deployment.client.receive(), dict(deployment.service.state.invariants.violations)
 
     assert run_scenario(scene, tmp_path, machines=caches(delay=0.1)) == ((2, "satisfied 19"), {})
 
@@ -209,9 +209,9 @@
         deployment.service.state.context.is_traced = True
         responses = iter(["absent", "data"])
         for machine in deployment.machines.values():
-            machine.act = lambda line: next(responses)
-        deployment.caller.ask(1)
-        return await deployment.caller.hear()
+            machine.behavior = lambda line: next(responses)
+        deployment.client.ask(1)
+        return await deployment.client.receive()
 
     run_scenario(scene, tmp_path)
     steps = [json.loads(line) for line in (tmp_path / "trace").read_text().splitlines()]
@@ -243,12 +243,12 @@
 
     async def scene(deployment):
         deployment.service.log = Log("n1", ListSink(lines))
-        deployment.caller.ask(1)
-        await deployment.caller.hear()
+        deployment.client.ask(1)
+        await deployment.client.receive()
         deployment.service.shutdown.done.set()
         await deployment.task
 
-    run_scenario(scene, tmp_path, machines=caches(act="full"))
+    run_scenario(scene, tmp_path, machines=caches(behavior="full"))
     totals = [json.loads(line) for line in lines if b"totals" in line]
     assert len(totals) == 1 and sum(totals[0]["refusals"].values()) == 1 and totals[0]["violations"] == {}
 
@@ -268,8 +268,8 @@
 
 def test_refusals_are_counted_by_reason(tmp_path):
     async def scene(deployment):
-        deployment.caller.ask(1)
-        return await deployment.caller.hear(), dict(deployment.service.state.totals.refusals)
+        deployment.client.ask(1)
+        return await deployment.client.receive(), dict(deployment.service.state.totals.refusals)
 
-    answer, refusals = run_scenario(scene, tmp_path, machines=caches(act="full"))
+    answer, refusals = run_scenario(scene, tmp_path, machines=caches(behavior="full"))
     assert answer == (1, "nack") and sum(refusals.values()) == 1 and set(refusals) <= set(Refusal)
--- a/tests/overload/test_decisions.py
+++ b/tests/overload/test_decisions.py
@@ -4,22 +4,23 @@
 rejected forever.
 """
 
-from helpers import CACHES, Bench
+from helpers import CACHES, RouterHarness
 
 from brookhinge.decisions.messages import EndpointsListed, RequestArrived
 from brookhinge.overload.retry_schedule import RetrySchedule
 
 
 def create_bench(**other):
-    bench = Bench(routers=2, **other)
+    bench = RouterHarness(routers=2, **other)
     bench.router.retry_schedule = RetrySchedule(2.0)
     return bench
 
 
 def ask(bench, key="a", part=0, retry_age_s=0.0, retry_client=None, at=None):
-    bench.next += 1
+    bench.last_request_id += 1
     return bench.call(
-        RequestArrived(bench.next, 0, key, part, 0, 100.0, False, 3.0, retry_age_s, retry_client), at=at
+        RequestArrived(bench.last_request_id, 0, key, part, 0, 100.0, False, 3.0, retry_age_s, retry_client),
+        at=at,
     )
 
 
@@ -63,8 +64,8 @@
             bench.router.retry_schedule.reservations[n, (0, f"o{n}", 0)] = now
         lines = ask(bench, f"o{n}", retry_age_s=retry_age_s, retry_client=n if is_reserved else None, at=now)
         counts[kind] += any(" push " in line for line in lines)
-        if bench.next in bench.router.requests:
-            bench.end(bench.next, "satisfied", at=now + 0.004)
+        if bench.last_request_id in bench.router.requests:
+            bench.end(bench.last_request_id, "satisfied", at=now + 0.004)
     return counts
 
 
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -8,14 +8,14 @@
 from brookhinge.decisions import rules
 from brookhinge.decisions.messages import EndpointsListed
 from brookhinge.engine.events import AttemptEnded, ObjectsPurged, RequestReceived
-from tests.helpers import PRINTED_AS, Bench, Desk, configuration
+from tests.helpers import EFFECT_WORDS, RouterHarness, StateHarness, configuration
 
 HOUR_S = 3600.0
 
 
 def recording_desk(folder, **options):
     """Return a desk, and a list that receives the maximum copy age of each attempt."""
-    desk, max_ages_s = Desk(folder, **options), []
+    desk, max_ages_s = StateHarness(folder, **options), []
     forward = desk.state.sink.forward
     desk.state.sink.forward = lambda request, attempt: (
         max_ages_s.append(attempt.max_age_s),
@@ -37,7 +37,7 @@
 def test_new_purge_with_wrong_timestamp_is_treated_as_recent(tmp_path, purged_at):
     """The sender's clock was set back or forward; no copy from before the purge may be served."""
     desk, max_ages_s = recording_desk(tmp_path)
-    desk.hear(ObjectsPurged(4, 0, purged_at, "aa"), at=10.0)
+    desk.process(ObjectsPurged(4, 0, purged_at, "aa"), at=10.0)
     desk.ask(at=10.5)
     assert len(max_ages_s) == 1 and 0.0 < max_ages_s[0] <= 0.6
 
@@ -49,7 +49,7 @@
         ObjectsPurged(4 + n, 0, purged_at, key)
         for n, (purged_at, key) in enumerate([(-HOUR_S, "aa"), (-2.0, "bb")])
     ]
-    desk.hear(*events, at=10.0)
+    desk.process(*events, at=10.0)
     desk.ask(key=b"aa", at=10.5)
     desk.ask(key=b"bb", at=10.5)
     assert max_ages_s[0] == 0.0 and 0.4 < max_ages_s[1] <= 0.5
@@ -59,7 +59,7 @@
     "started_at, warming_since", [(-HOUR_S, 10.0), (HOUR_S, 10.0), (9.5, 9.5), (-20.0, 10.0), (None, None)]
 )
 def test_newly_listed_server_is_in_slow_start_despite_a_wrong_start_time(started_at, warming_since):
-    bench = Bench()
+    bench = RouterHarness()
     bench.call(EndpointsListed(False, [bench.row(31, born=started_at)]), at=10.0)
     endpoints = bench.router.endpoints
     assert endpoints.warming_since[endpoints.index[31]] == warming_since
@@ -69,7 +69,7 @@
 
 def test_start_times_in_the_first_list_are_relative_to_the_newest():
     """Holds for any clock error at the router's startup: the newest start cannot be later than now."""
-    bench = Bench(caches=())
+    bench = RouterHarness(caches=())
     endpoints = bench.router.endpoints
     endpoints.first_listed_at = None
     bench.call(
@@ -81,26 +81,28 @@
 @pytest.mark.parametrize("is_caught_up, expected_effect", [(True, "satisfy"), (False, "pull")])
 def test_local_copy_is_not_served_while_a_purge_may_be_unread(tmp_path, is_caught_up, expected_effect):
     """After a stall, until the command channel has answered, the copy may be older than an unread purge."""
-    desk = Desk(
+    desk = StateHarness(
         tmp_path, limits={"memory_mb": 192, "sockets": 1024}, flow_bytes_per_s=1e6, link_bytes_per_s=1e7
     )
     desk.ask(at=10.0)
-    desk.hear(AttemptEnded(0, 1, "miss", 0, 0.0, None, b"", False, 10.1), at=10.1)
-    desk.hear(AttemptEnded(0, 2, "satisfied", 2, 0.0, None, b"bytes", False, 10.2, 10.1, b"t", None), at=10.2)
+    desk.process(AttemptEnded(0, 1, "miss", 0, 0.0, None, b"", False, 10.1), at=10.1)
+    desk.process(
+        AttemptEnded(0, 2, "satisfied", 2, 0.0, None, b"bytes", False, 10.2, 10.1, b"t", None), at=10.2
+    )
     request = (1, 9, b"r9", b"page", b"aa", b"0", 0, 4, 100.0, 0.2, None, b"", 10.3)
     effects = desk.state.reduce(10.3, [RequestReceived(*request)], is_caught_up)
-    assert [PRINTED_AS[type(effect)] for effect in effects] == [expected_effect]
+    assert [EFFECT_WORDS[type(effect)] for effect in effects] == [expected_effect]
 
 
 @pytest.mark.parametrize("dated_at, is_kept", [(10.0, True), (10.0 + HOUR_S, False), (12.0, False)])
 def test_copy_dated_in_the_future_is_not_kept(tmp_path, dated_at, is_kept):
     """Its age is unknown, and it would count as fresh for an hour."""
-    desk = Desk(
+    desk = StateHarness(
         tmp_path, limits={"memory_mb": 192, "sockets": 1024}, flow_bytes_per_s=1e6, link_bytes_per_s=1e7
     )
     desk.ask(at=10.0)
-    desk.hear(AttemptEnded(0, 1, "miss", 0, 0.0, None, b"", False, 10.1), at=10.1)
-    desk.hear(
+    desk.process(AttemptEnded(0, 1, "miss", 0, 0.0, None, b"", False, 10.1), at=10.1)
+    desk.process(
         AttemptEnded(0, 2, "satisfied", 2, 0.0, None, b"bytes", False, 10.2, dated_at, b"t", None), at=10.2
     )
     assert bool(desk.state.sink.copies) is is_kept
@@ -116,7 +118,7 @@
 def test_purge_known_at_startup_applies_if_the_router_clock_was_ahead(tmp_path):
     """The newest known event cannot be later than now; a clock that is ahead cannot show how much earlier."""
     desk, max_ages_s = starting_desk(tmp_path)
-    desk.hear(ObjectsPurged(4, 0, desk.now - 7.5, "aa"))  # 2.5 s ago by its sender's clock
+    desk.process(ObjectsPurged(4, 0, desk.now - 7.5, "aa"))  # 2.5 s ago by its sender's clock
     desk.ask()
     assert 0.0 < max_ages_s[0] <= 2.6
 
@@ -125,6 +127,6 @@
     """A purge with a lower number has a timestamp an hour later. The router's own clock was correct."""
     desk, max_ages_s = starting_desk(tmp_path)
     purges = [(-20.0, "bb"), (-HOUR_S - 2.0, "aa")]
-    desk.hear(*[ObjectsPurged(4 + n, 0, purged_at, key) for n, (purged_at, key) in enumerate(purges)])
+    desk.process(*[ObjectsPurged(4 + n, 0, purged_at, key) for n, (purged_at, key) in enumerate(purges)])
     desk.ask(key=b"aa")
     assert 0.0 < max_ages_s[0] <= 2.6
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -12,7 +12,14 @@
 from pathlib import Path
 
 import pytest
-from helpers import Caller, Commands, LocalDeployment, Machine, host, listed
+from helpers import (
+    FakeCacheServer,
+    FakeCommandChannel,
+    LocalDeployment,
+    ThriftClient,
+    endpoint_list_command,
+    host,
+)
 
 from brookhinge.net import client_connections, graceful_shutdown, thrift
 
@@ -29,7 +36,7 @@
 
 def caches(**behavior):
     """Return three cache servers with the same behavior."""
-    return {server: Machine(**behavior) for server in ("s-21", "s-22", "s-23")}
+    return {server: FakeCacheServer(**behavior) for server in ("s-21", "s-22", "s-23")}
 
 
 async def until(condition):
@@ -43,13 +50,15 @@
 def test_request_with_current_version_is_answered_unchanged_and_health_check_succeeds(tmp_path):
     async def scenario(deployment):
         calls = [
-            deployment.caller.ask(1),
-            deployment.caller.call(b"isWell"),
-            deployment.caller.ask(2, ver="4be0c1927d55a6f3"),
+            deployment.client.ask(1),
+            deployment.client.call(b"isWell"),
+            deployment.client.ask(2, ver="4be0c1927d55a6f3"),
         ]
         for server in ("s-21", "s-22", "s-23"):
-            deployment.machines[server].act = lambda line: "unchanged" if "got=4be0" in line[2] else "data"
-        return sorted([await deployment.caller.hear() for _ in calls])
+            deployment.machines[server].behavior = lambda line: (
+                "unchanged" if "got=4be0" in line[2] else "data"
+            )
+        return sorted([await deployment.client.receive() for _ in calls])
 
     responses = run_scenario(scenario, tmp_path)
     assert responses == [(1, "satisfied 19"), (2, "well True"), (3, "satisfied 0 unchanged")]
@@ -59,9 +68,9 @@
     async def scenario(deployment):
         lines = []
         for machine in deployment.machines.values():
-            machine.act = lambda line: lines.append(" ".join(line)) or "data"
-        deployment.caller.ask(1, piece="007", lookup="00ab" * 4, ver="aa")
-        await deployment.caller.hear()
+            machine.behavior = lambda line: lines.append(" ".join(line)) or "data"
+        deployment.client.ask(1, piece="007", lookup="00ab" * 4, ver="aa")
+        await deployment.client.receive()
         return lines
 
     (line,) = run_scenario(scenario, tmp_path)
@@ -99,28 +108,28 @@
 )
 def test_invalid_field_is_answered_with_an_exception_for_that_call(tmp_path, fields, why):
     async def scenario(deployment):
-        deployment.caller.ask(1, **fields)
-        exception = await deployment.caller.hear()
-        deployment.caller.ask(2)
-        return exception, await deployment.caller.hear()
+        deployment.client.ask(1, **fields)
+        exception = await deployment.client.receive()
+        deployment.client.ask(2)
+        return exception, await deployment.client.receive()
 
     assert run_scenario(scenario, tmp_path) == ((1, "exception " + why), (2, "satisfied 19"))
 
 
 def test_unknown_method_is_answered_and_malformed_frame_closes_its_connection(tmp_path):
     async def scenario(deployment):
-        deployment.caller.call(b"sing")
-        responses = [await deployment.caller.hear()]
+        deployment.client.call(b"sing")
+        responses = [await deployment.client.receive()]
         for malformed in (
             b"\0\0\0\x05hello",
             b"\x7f\0\0\0",
             thrift.INT32.pack(20) + thrift.encode_message(b"serve", 1, 9)[4:20] + b"\r" * 4,
         ):
-            other = await Caller.connect(deployment.address)
+            other = await ThriftClient.connect(deployment.address)
             other.writer.write(malformed)
-            responses.append(await other.hear())
-        deployment.caller.ask(1)
-        return [*responses, await deployment.caller.hear()]
+            responses.append(await other.receive())
+        deployment.client.ask(1)
+        return [*responses, await deployment.client.receive()]
 
     assert run_scenario(scenario, tmp_path) == [
         (1, "exception no method sing"),
@@ -133,26 +142,26 @@
 
 async def cancel_one_and_disconnect_another(deployment):
     """Send a request from each of two clients; cancel the first, and abort the connection of the second."""
-    other = await Caller.connect(deployment.address)
-    number = deployment.caller.ask(1)
+    other = await ThriftClient.connect(deployment.address)
+    number = deployment.client.ask(1)
     other.ask(2, lookup="cd" * 8)
-    await until(lambda: len(deployment.pulled()) == 2)
-    deployment.caller.forget(number)
+    await until(lambda: len(deployment.attempt_lines()) == 2)
+    deployment.client.forget(number)
     other.writer.transport.abort()
 
 
 def test_attempts_are_cancelled_after_cancel_and_after_client_disconnect(tmp_path):
     async def scenario(deployment):
         await cancel_one_and_disconnect_another(deployment)
-        await until(lambda: len(deployment.pulled()) == 4)
-        deployment.caller.call(b"isWell")
+        await until(lambda: len(deployment.attempt_lines()) == 4)
+        deployment.client.call(b"isWell")
         return (
-            await deployment.caller.hear(),
-            sorted(line[5:9] for line in deployment.pulled()),
+            await deployment.client.receive(),
+            sorted(line[5:9] for line in deployment.attempt_lines()),
             deployment.service.state.requests.open,
         )
 
-    assert run_scenario(scenario, tmp_path, machines=caches(act="silent")) == (
+    assert run_scenario(scenario, tmp_path, machines=caches(behavior="silent")) == (
         (3, "well True"),
         ["KILL", "KILL", "PULL", "PULL"],
         {},
@@ -164,19 +173,19 @@
 
     async def scenario(deployment):
         deployment.service.state.decisions.retry_budget.tokens = 10.0
-        deployment.caller.ask(1)
-        await until(deployment.pulled)
-        home = deployment.pulled()[0][:4]
+        deployment.client.ask(1)
+        await until(deployment.attempt_lines)
+        home = deployment.attempt_lines()[0][:4]
         for server in ("s-21", "s-22", "s-23"):
-            deployment.machines[server].act = "silent" if server == home else "data"
+            deployment.machines[server].behavior = "silent" if server == home else "data"
         for n in range(2, 8):
-            deployment.caller.ask(n, lookup=f"{n:016x}")
-        responses = [await deployment.caller.hear() for _ in range(7)]
+            deployment.client.ask(n, lookup=f"{n:016x}")
+        responses = [await deployment.client.receive() for _ in range(7)]
         return {
             text for _, text in responses
         }, f"cache connection {home} nothing received in time" in deployment.lines
 
-    assert run_scenario(scenario, tmp_path, machines=caches(act="silent")) == ({"satisfied 19"}, True)
+    assert run_scenario(scenario, tmp_path, machines=caches(behavior="silent")) == ({"satisfied 19"}, True)
 
 
 def test_single_use_request_is_retried_after_refused_connection_but_not_after_reset(tmp_path):
@@ -188,32 +197,32 @@
             await machine.stop()
         responses = []
         for n in range(1, 13):
-            deployment.caller.ask(n, service="order", lookup=f"{n:016x}")
-            responses.append((await deployment.caller.hear())[1])
-        deployment.machines["s-23"].act = "reset"
-        deployment.caller.ask(20, service="order")
-        return set(responses), await deployment.caller.hear()
+            deployment.client.ask(n, service="order", lookup=f"{n:016x}")
+            responses.append((await deployment.client.receive())[1])
+        deployment.machines["s-23"].behavior = "reset"
+        deployment.client.ask(20, service="order")
+        return set(responses), await deployment.client.receive()
 
     assert run_scenario(scenario, tmp_path) == ({"satisfied 19"}, (13, "error"))
 
 
 def test_unreadable_answer_closes_its_connection(tmp_path):
     async def scenario(deployment):
-        deployment.caller.ask(1, service="order")
-        first = await deployment.caller.hear()
+        deployment.client.ask(1, service="order")
+        first = await deployment.client.receive()
         for server in ("s-21", "s-22", "s-23"):
-            deployment.machines[server].act = "data"
-        deployment.caller.ask(2, service="order")
+            deployment.machines[server].behavior = "data"
+        deployment.client.ask(2, service="order")
         return (
             first,
-            await deployment.caller.hear(),
+            await deployment.client.receive(),
             any(
                 "unreadable: expected an answer line, got b'what is this'" in line
                 for line in deployment.lines
             ),
         )
 
-    assert run_scenario(scenario, tmp_path, machines=caches(act="garbage")) == (
+    assert run_scenario(scenario, tmp_path, machines=caches(behavior="garbage")) == (
         (1, "error"),
         (2, "satisfied 19"),
         True,
@@ -247,12 +256,12 @@
         deployment.service.upstream_connections.log = lambda event, **values: events.append(event)
         first, events = [], []
         for machine in deployment.machines.values():
-            machine.act = lambda line: first.append(line) or malformed if not first else DATA
-        deployment.caller.ask(1)
+            machine.behavior = lambda line: first.append(line) or malformed if not first else DATA
+        deployment.client.ask(1)
         await until(lambda: first)
         for n in range(2, 6):
-            deployment.caller.ask(n, lookup=f"{n:016x}")
-        return sorted([await deployment.caller.hear() for _ in range(5)]), events
+            deployment.client.ask(n, lookup=f"{n:016x}")
+        return sorted([await deployment.client.receive() for _ in range(5)]), events
 
     responses, events = run_scenario(scenario, tmp_path)
     assert responses == [(n, "satisfied 3") for n in range(1, 6)] and events == ["cache connection"]
@@ -263,11 +272,13 @@
     lines = []
 
     async def scenario(deployment):
-        deployment.caller.ask(1, replay="1ff975b0a6ce2c84d2617523a0b82bf6")
-        deployment.caller.ask(2, replay="not a mark")
-        return [await deployment.caller.hear(), await deployment.caller.hear()], lines[0][2].split(",")[-1]
+        deployment.client.ask(1, replay="1ff975b0a6ce2c84d2617523a0b82bf6")
+        deployment.client.ask(2, replay="not a mark")
+        return [await deployment.client.receive(), await deployment.client.receive()], lines[0][2].split(",")[
+            -1
+        ]
 
-    machines = caches(act=lambda line: lines.append(line) or "data")
+    machines = caches(behavior=lambda line: lines.append(line) or "data")
     assert run_scenario(scenario, tmp_path, machines=machines) == (
         [(2, "exception replay: missing or unusable"), (1, "satisfied 19")],
         "op=1ff975b0a6ce2c84d2617523a0b82bf6",
@@ -281,10 +292,10 @@
         router, sizes = deployment.service.state.decisions, []
         on_request = router.on_request
         router.on_request = lambda request: sizes.append(request.size_kb) or on_request(request)
-        deployment.caller.ask(1, room=None)
-        deployment.caller.ask(2, room="0")
-        deployment.caller.ask(3)
-        return sorted([await deployment.caller.hear() for _ in range(3)]), sizes
+        deployment.client.ask(1, room=None)
+        deployment.client.ask(2, room="0")
+        deployment.client.ask(3)
+        return sorted([await deployment.client.receive() for _ in range(3)]), sizes
 
     assert run_scenario(scenario, tmp_path) == (
         [(1, "satisfied 19"), (2, "exception room: out of range"), (3, "satisfied 19")],
@@ -298,7 +309,7 @@
     async def scenario(deployment):
         lines = []
         for machine in deployment.machines.values():
-            machine.act = lambda line: (
+            machine.behavior = lambda line: (
                 lines.append(line)
                 or (
                     b"ID absent - 0\r\n\r\nID absent - 0\r\n\r\n"
@@ -306,11 +317,11 @@
                     else b"no play n=x 2\r\nab\r\n" + DATA + DATA
                 )
             )
-        deployment.caller.ask(1)
-        responses = [await deployment.caller.hear()]
-        deployment.caller.ask(2)
+        deployment.client.ask(1)
+        responses = [await deployment.client.receive()]
+        deployment.client.ask(2)
         return (
-            [*responses, await deployment.caller.hear()],
+            [*responses, await deployment.client.receive()],
             len(lines),
             deployment.service.upstream_connections.placements,
         )
@@ -339,19 +350,21 @@
     async def scenario(deployment):
         router, seen, matches = deployment.service.state.decisions, [], []
         for machine in deployment.machines.values():
-            machine.act = lambda line: seen.append(line) or results[len(seen) % len(results)]
-        other = await Caller.connect(deployment.address)
+            machine.behavior = lambda line: seen.append(line) or results[len(seen) % len(results)]
+        other = await ThriftClient.connect(deployment.address)
         for n in range(120):
             router.retry_budget.tokens = 5.0
-            (other if n % 5 == 0 else deployment.caller).ask(n, lookup=f"{n % 40:016x}", allow="600")
+            (other if n % 5 == 0 else deployment.client).ask(n, lookup=f"{n % 40:016x}", allow="600")
             if n % 7 == 0:
-                deployment.caller.forget(deployment.caller.number)
+                deployment.client.forget(deployment.client.sequence_number)
             if n % 25 == 24:
                 other.writer.transport.abort()
-                other = await Caller.connect(deployment.address)
+                other = await ThriftClient.connect(deployment.address)
             if n == 60:
-                deployment.commands.answers.append(
-                    Commands.reply(4, listed(4, [host("s-21", health="removed")], whole=False))
+                deployment.commands.responses.append(
+                    FakeCommandChannel.reply(
+                        4, endpoint_list_command(4, [host("s-21", health="removed")], whole=False)
+                    )
                 )
             await asyncio.sleep(0.01)
             out = [
@@ -383,12 +396,12 @@
     async def scenario(deployment):
         deployment.service.upstream_connections.pool.max_connections, responses = 3, set()
         for n in range(30):
-            deployment.caller.ask(n, lookup=f"{n:016x}")
-            responses.add((await deployment.caller.hear())[1])
+            deployment.client.ask(n, lookup=f"{n:016x}")
+            responses.add((await deployment.client.receive())[1])
         return (
             responses,
             len(deployment.service.upstream_connections.pool.connections) <= 3,
-            {line[:4] for line in deployment.pulled()},
+            {line[:4] for line in deployment.attempt_lines()},
         )
 
     assert run_scenario(scenario, tmp_path) == ({"satisfied 19"}, True, {"s-21", "s-22", "s-23"})
@@ -398,14 +411,14 @@
     """A half-received answer blocks its connection; later attempts at that server use other connections."""
 
     async def scenario(deployment):
-        deployment.caller.ask(1)
-        responses = [await deployment.caller.hear()]
+        deployment.client.ask(1)
+        responses = [await deployment.client.receive()]
         for machine in deployment.machines.values():
-            machine.act = lambda line: "half" if line[1].endswith("2") else "data"
+            machine.behavior = lambda line: "half" if line[1].endswith("2") else "data"
         for n in range(2, 6):
-            deployment.caller.ask(n)
-            responses += [await deployment.caller.hear()] if n > 2 else []
-        return responses, {line[:4] for line in deployment.pulled()}
+            deployment.client.ask(n)
+            responses += [await deployment.client.receive()] if n > 2 else []
+        return responses, {line[:4] for line in deployment.attempt_lines()}
 
     responses, servers = run_scenario(scenario, tmp_path)
     assert responses == [(n, "satisfied 19") for n in (1, 3, 4, 5)] and len(servers) == 1
@@ -415,29 +428,34 @@
     """The router's own timer ends an attempt: it sends KILL to the server and answers the client in time."""
 
     async def scenario(deployment):
-        deployment.caller.ask(1, allow="200")
-        response = await deployment.caller.hear()
-        await until(lambda: len(deployment.pulled()) == 2)
-        return response, [line[5:9] for line in deployment.pulled()]
-
-    assert run_scenario(scenario, tmp_path, machines=caches(act="silent")) == ((1, "nack"), ["KILL", "PULL"])
+        deployment.client.ask(1, allow="200")
+        response = await deployment.client.receive()
+        await until(lambda: len(deployment.attempt_lines()) == 2)
+        return response, [line[5:9] for line in deployment.attempt_lines()]
+
+    assert run_scenario(scenario, tmp_path, machines=caches(behavior="silent")) == (
+        (1, "nack"),
+        ["KILL", "PULL"],
+    )
 
 
 def test_reused_address_gets_new_connections(tmp_path):
     """s-22 takes over the address of s-21; no attempt at s-22 may use a connection made to s-21."""
 
     async def scenario(deployment):
-        deployment.caller.ask(1)
-        await deployment.caller.hear()
+        deployment.client.ask(1)
+        await deployment.client.receive()
         port = deployment.machines["s-21"].port
         others = [host(server, deployment.machines[server].port) for server in ("s-01", "s-11", "s-12")]
-        connections_before = deployment.machines["s-21"].made
-        deployment.commands.answers.append(Commands.reply(4, listed(4, [*others, host("s-22", port)])))
+        connections_before = deployment.machines["s-21"].connections_accepted
+        deployment.commands.responses.append(
+            FakeCommandChannel.reply(4, endpoint_list_command(4, [*others, host("s-22", port)]))
+        )
         await until(lambda: deployment.service.state.commands.cursor == 4)
-        deployment.caller.ask(2)
+        deployment.client.ask(2)
         return (
-            await deployment.caller.hear(),
-            deployment.machines["s-21"].made - connections_before >= 1,
+            await deployment.client.receive(),
+            deployment.machines["s-21"].connections_accepted - connections_before >= 1,
             "s-21" in deployment.service.state.endpoints.instances,
         )
 
@@ -451,18 +469,18 @@
         b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
         b"nonsense\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnull",
-        Commands.reply(4, {"cursor": 4, "play": {}}),
+        FakeCommandChannel.reply(4, {"cursor": 4, "play": {}}),
         b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{"cu\r\n14\r\nrsor":5,"cmds":[[]]}\r\n0\r\n\r\n',
     ]
 
     async def scenario(deployment):
         await until(lambda: len(deployment.commands.polls) == 7)
-        deployment.caller.ask(1)
-        response = await deployment.caller.hear()
+        deployment.client.ask(1)
+        response = await deployment.client.receive()
         cursors = [int(poll.partition("resume=")[2].partition("&")[0]) for poll in deployment.commands.polls]
         return response, cursors, [line for line in deployment.lines if "command" in line][-2:]
 
-    response, cursors, log_lines = run_scenario(scenario, tmp_path, commands=Commands(*malformed))
+    response, cursors, log_lines = run_scenario(scenario, tmp_path, commands=FakeCommandChannel(*malformed))
     assert (response, cursors) == ((1, "satisfied 19"), [3, 3, 3, 3, 3, 4, 5])
     assert log_lines == [
         "command skipped 4 KeyError 'drop': {'cursor': 4, 'play': {}}",
@@ -474,20 +492,20 @@
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
 
     async def scenario(deployment):
-        others = [await Caller.connect(deployment.address) for _ in range(20)]
+        others = [await ThriftClient.connect(deployment.address) for _ in range(20)]
         await until(lambda: len(deployment.service.client_connections.clients) == 21)
         used = len(os.listdir("/proc/self/fd"))
-        waiting = [asyncio.ensure_future(Caller.connect(deployment.address)) for _ in range(4)]
+        waiting = [asyncio.ensure_future(ThriftClient.connect(deployment.address)) for _ in range(4)]
         resource.setrlimit(resource.RLIMIT_NOFILE, (used + 4, hard))
         try:
             latecomers = [await connect for connect in waiting]
             await until(lambda: any("not accepting" in line for line in deployment.lines))
-            deployment.caller.ask(1)
-            first = await deployment.caller.hear()
+            deployment.client.ask(1)
+            first = await deployment.client.receive()
             for other in others:
                 other.writer.close()
             latecomers[-1].ask(2)
-            return first, await latecomers[-1].hear()
+            return first, await latecomers[-1].receive()
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
@@ -501,7 +519,7 @@
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.connect(deployment.address)
-        slow = Caller(*await asyncio.open_connection(sock=sock, limit=4096))
+        slow = ThriftClient(*await asyncio.open_connection(sock=sock, limit=4096))
         for n in range(100, 132):
             slow.ask(n, lookup=f"{n:016x}", room="1")
         await until(
@@ -510,9 +528,9 @@
                 and not deployment.service.state.requests.open
             )
         )
-        deployment.caller.ask(1)
+        deployment.client.ask(1)
         return (
-            await deployment.caller.hear(),
+            await deployment.client.receive(),
             deployment.service.client_connections.memory.unsent_bytes,
             any("bytes not read" in line for line in deployment.lines),
         )
@@ -523,14 +541,14 @@
 
 def test_shutdown_accepts_requests_while_draining_and_answers_open_ones(tmp_path):
     async def scenario(deployment):
-        deployment.caller.ask(1)
-        await until(deployment.pulled)
+        deployment.client.ask(1)
+        await until(deployment.attempt_lines)
         deployment.service.stop()
-        deployment.caller.call(b"isWell")
-        responses = [await deployment.caller.hear()]
-        other = await Caller.connect(deployment.address)
+        deployment.client.call(b"isWell")
+        responses = [await deployment.client.receive()]
+        other = await ThriftClient.connect(deployment.address)
         other.ask(2, lookup="cd" * 8)
-        responses += [await deployment.caller.hear(), await other.hear(), await other.hear()]
+        responses += [await deployment.client.receive(), await other.receive(), await other.receive()]
         await deployment.task
         return responses, [line for line in deployment.lines if "phase" in line]
 
@@ -555,13 +573,13 @@
             )
             while b'"listening"' not in (line := await program.stdout.readline()):
                 assert line
-            caller = await Caller.connect(("127.0.0.1", int(json.loads(line)["address"].split(":")[1])))
+            caller = await ThriftClient.connect(("127.0.0.1", int(json.loads(line)["address"].split(":")[1])))
             caller.ask(1)
-            assert await caller.hear() == (1, "satisfied 19")
+            assert await caller.receive() == (1, "satisfied 19")
             caller.ask(2, lookup="cd" * 8)
             program.send_signal(end_signal)
             if end_signal == signal.SIGTERM:
-                assert await caller.hear() == (2, "satisfied 19")
+                assert await caller.receive() == (2, "satisfied 19")
             codes.append(await program.wait())
         return codes
 
@@ -572,7 +590,7 @@
     """Without a handler SIGHUP ends the process, and the commands of the new channel arrive seconds late."""
 
     async def scenario(deployment):
-        file, new_channel = tmp_path / "n1.json", await Commands().start()
+        file, new_channel = tmp_path / "n1.json", await FakeCommandChannel().start()
         file.write_text(json.dumps(deployment.values))
         program = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -603,7 +621,7 @@
         program.terminate()
         return rejected["why"], new_channel.polls[0].partition("&")[0], await program.wait()
 
-    assert run_scenario(scenario, tmp_path, commands=Commands()) == (
+    assert run_scenario(scenario, tmp_path, commands=FakeCommandChannel()) == (
         "channel: expected a string, got 1",
         "/cmd/next?resume=3",
         0,
@@ -614,15 +632,18 @@
     monkeypatch.setattr(client_connections, "CALL_TIMEOUT_S", 0.2)
 
     async def scenario(deployment):
-        deployment.caller.ask(1)
-        responses = [await deployment.caller.hear()]
-        silent, partial = await Caller.connect(deployment.address), await Caller.connect(deployment.address)
+        deployment.client.ask(1)
+        responses = [await deployment.client.receive()]
+        silent, partial = (
+            await ThriftClient.connect(deployment.address),
+            await ThriftClient.connect(deployment.address),
+        )
         partial.writer.write(thrift.INT32.pack(200_000) + b"\x80\x01")
-        responses += [await silent.hear(), await partial.hear()]
-        deployment.caller.ask(2)
-        responses.append(await deployment.caller.hear())
+        responses += [await silent.receive(), await partial.receive()]
+        deployment.client.ask(2)
+        responses.append(await deployment.client.receive())
         monkeypatch.setattr(client_connections, "IDLE_TIMEOUT_S", 0.2)
-        return [*responses, await deployment.caller.hear()]
+        return [*responses, await deployment.client.receive()]
 
     assert run_scenario(scenario, tmp_path) == [(1, "satisfied 19"), None, None, (2, "satisfied 19"), None]
 
@@ -633,10 +654,10 @@
     async def scenario(deployment):
         deployment.service.client_connections.max_connections, callers, responses = 20, [], []
         for n in range(60):
-            callers.append(await Caller.connect(deployment.address))
+            callers.append(await ThriftClient.connect(deployment.address))
             if n % 2:
                 callers[-1].ask(n)
-                responses.append((await callers[-1].hear())[1])
+                responses.append((await callers[-1].receive())[1])
         return (
             set(responses),
             len(deployment.service.client_connections.clients) <= 20,
@@ -649,8 +670,8 @@
 def test_frame_with_trailing_bytes_closes_the_connection(tmp_path):
     async def scenario(deployment):
         call = thrift.encode_message(b"isWell", thrift.CALL, 1, b"\0more")
-        deployment.caller.writer.write(call)
-        return await deployment.caller.hear()
+        deployment.client.writer.write(call)
+        return await deployment.client.receive()
 
     assert run_scenario(scenario, tmp_path) is None
 
@@ -658,8 +679,8 @@
 def test_client_that_repeatedly_sends_invalid_requests_is_closed(tmp_path):
     async def scenario(deployment):
         for n in range(20):
-            deployment.caller.ask(n, room="-1")
-        return [await deployment.caller.hear() for _ in range(20)][-1], await Caller.connect(
+            deployment.client.ask(n, room="-1")
+        return [await deployment.client.receive() for _ in range(20)][-1], await ThriftClient.connect(
             deployment.address
         )
 
@@ -670,14 +691,14 @@
     monkeypatch.setattr(graceful_shutdown, "MAX_FINISH_S", 0.3)
 
     async def scenario(deployment):
-        deployment.caller.ask(1)
-        await until(deployment.pulled)
+        deployment.client.ask(1)
+        await until(deployment.attempt_lines)
         deployment.service.stop()
-        responses = [await deployment.caller.hear(), await deployment.caller.hear()]
+        responses = [await deployment.client.receive(), await deployment.client.receive()]
         await deployment.task
         return responses
 
-    assert run_scenario(scenario, tmp_path, machines=caches(act=lambda line: "silent")) == [
+    assert run_scenario(scenario, tmp_path, machines=caches(behavior=lambda line: "silent")) == [
         (1, "error"),
         None,
     ]
@@ -715,5 +736,5 @@
         await until(lambda: not deployment.service.state.requests.open)
         return deployment.service.metrics.reasons()["withdrawals"]
 
-    machines = caches(act="silent")
+    machines = caches(behavior="silent")
     assert run_scenario(scenario, tmp_path, machines=machines) == {"cancelled": 1, "client_gone": 1}
