--- a/brookhinge/membership/anti_entropy.py
+++ b/brookhinge/membership/anti_entropy.py
@@ -1,6 +1,7 @@
 """Anti-entropy (Demers et al., PODC 1987): members whose views differ exchange claims.
 
-They compare digests of their views, and exchange only while no gossip is pending that may close the gap.
+They compare digests of their views, and exchange claims only while no gossip is pending, since pending gossip
+may remove the difference by itself.
 """
 
 from brookhinge.membership import timing
@@ -19,15 +20,15 @@
 from brookhinge.membership.view import BUCKETS, SHIFTS
 from brookhinge.membership.writer import PeerWriter
 
-UNSETTLED_DIGEST = 0  # of a member that is joining: no view is compared with it
+UNSETTLED_DIGEST = 0  # sent by a joining member; it is not compared with any view
 MAX_SYNC_CLAIMS = 48  # in one response
 ANSWER_BYTES_PER_S = 1500.0
 ANSWER_BURST_BYTES = 16_000.0
-DIGEST_BYTES = 2  # of one bucket in a sync request
+DIGEST_BYTES = 2  # per bucket in a sync request
 
 
 class AntiEntropy:
-    """Compares views, asks for what differs, and answers who asks."""
+    """Compares views, requests the claims that differ, and answers the requests of others."""
 
     def __init__(
         self, local: LocalMember, dissemination: Dissemination, progress: JoinProgress, now: float
@@ -39,11 +40,14 @@
         self.next_exchange_at = now + timing.INTRODUCTION_WAIT_S
 
     def digest(self) -> int:
-        """The digest to send: of the view, or that of a member that is joining."""
+        """Return the digest to send: that of the view, or UNSETTLED_DIGEST while joining."""
         return UNSETTLED_DIGEST if self.progress.is_joining() else self.local.view.digest()
 
     def compare(self, now: float, i: int, digest: int, writer: PeerWriter) -> None:
-        """Compare digests with the member at a position; send it a sync request if they differ for long."""
+        """Compare digests with the member at position `i`; send it a sync request if they differ.
+
+        Requests are sent at most once per exchange interval, and not while updates may be sent.
+        """
         if digest == self.local.view.digest():
             self.progress.finish(now)
         elif (
@@ -61,13 +65,13 @@
         return timing.EXCHANGE_INTERVAL_S * (0.75 + 0.5 * self.local.rng.random())
 
     def request_sync(self, i: int, writer: PeerWriter) -> None:
-        """Ask the member at a position for the claims of all buckets that differ."""
+        """Ask the member at position `i` for the claims of all buckets that differ."""
         shift = self.local.rng.randrange(SHIFTS)
         request = SyncRequest(shift, self.local.view.short_digests(shift))
         self.dissemination.send(i, request, writer)
 
     def on_sync_request(self, now: float, i: int, request: SyncRequest, writer: PeerWriter) -> None:
-        """Answer with claims of the buckets that differ, as many as a datagram takes."""
+        """Answer with the claims of the buckets that differ, as many as fit into a datagram."""
         view = self.local.view
         own_digests = view.short_digests(request.shift)
         differing = [
@@ -77,7 +81,9 @@
         ]
         if not self.answer_budget.allows(now):
             return
-        self.local.rng.shuffle(differing)  # bucket after bucket: what is whole here is whole there then
+        self.local.rng.shuffle(
+            differing
+        )  # claims are sent bucket by bucket, so that whole buckets agree afterwards
         order = {bucket: rank for rank, bucket in enumerate(differing)}
         positions = [k for k in range(len(view.names)) if view.bucket(k) in order]
         positions.sort(key=lambda k: order[view.bucket(k)])
@@ -88,7 +94,7 @@
         writer.send(view.addresses[i], SyncResponse(), claims, [])
 
     def missing_updates(self, now: float, digest: int, is_foreign: bool) -> list[Claim]:
-        """Claims of late for a member whose view differs: it may have missed one of them."""
+        """Return recent claims for a member whose view differs, as it may have missed one of them."""
         if is_foreign or digest in (UNSETTLED_DIGEST, self.local.view.digest()):
             return []
         if not self.answer_budget.allows(now):
@@ -99,8 +105,11 @@
         self.answer_budget.spend(PLAIN_CLAIM_BYTES * len(names))
         return self.local.claims_of(names, now)
 
-    def welcome(self, now: float, i: int, writer: PeerWriter) -> None:
-        """Send recent notices to a member that has come or is back; to one of another version the view."""
+    def on_arrival(self, now: float, i: int, writer: PeerWriter) -> None:
+        """Send the recent notices to a member that has joined or is back.
+
+        A member of another protocol version gets the whole view instead.
+        """
         if self.local.is_foreign(i):
             if now >= self.next_exchange_at:
                 self.next_exchange_at = now + timing.EXCHANGE_INTERVAL_S
@@ -112,7 +121,7 @@
             writer.send(self.local.view.addresses[i], Announcement(), [], part)
 
     def _send_whole_view(self, now: float, i: int, writer: PeerWriter) -> None:
-        """Send all claims to a member of another version, which compares no digests."""
+        """Send all claims to a member of another version, with which no digests are compared."""
         view = self.local.view
         for start in range(0, len(view.names), MAX_PLAIN_CLAIMS):
             end = min(start + MAX_PLAIN_CLAIMS, len(view.names))
--- a/brookhinge/membership/broadcast_queue.py
+++ b/brookhinge/membership/broadcast_queue.py
@@ -1,7 +1,7 @@
-"""Broadcast queue: which claims are still to be sent, and how often (Demers et al., PODC 1987). No I/O.
+"""Broadcast queue of the claims still to be sent, with counts (Demers et al., PODC 1987). No I/O.
 
-Each is sent a bounded number of times. For a while longer it counts as recent, for members whose view is
-seen to differ.
+Each claim is sent a bounded number of times. It then counts as recent for a while, so that it can be resent
+to members whose view differs.
 """
 
 import random
@@ -11,19 +11,19 @@
 
 
 class Broadcast:
-    """How often the claim about one member is still to be sent; urgent ones are outside the budget."""
+    """A pending claim about one member and its remaining transmissions; urgent ones ignore the budget."""
 
     __slots__ = ("queued_at", "remaining", "urgent")
 
     def __init__(self, remaining: int, queued_at: float, urgent: bool) -> None:
-        """Queue it `remaining` times."""
+        """Queue the claim for `remaining` transmissions."""
         self.remaining = remaining
         self.queued_at = queued_at
         self.urgent = urgent
 
 
 class BroadcastQueue:
-    """Broadcasts by member name; the claims themselves are the view's."""
+    """Broadcasts by member name; the claims themselves are read from the view when sent."""
 
     def __init__(self) -> None:
         self._by_name: dict[str, Broadcast] = {}
@@ -32,46 +32,49 @@
         return name in self._by_name
 
     def names(self) -> list[str]:
-        """All members with a recent or pending broadcast."""
+        """Return the names of all members with a recent or pending broadcast."""
         return list(self._by_name)
 
     def add(self, name: str, now: float, transmissions: int, urgent: bool = False) -> None:
-        """Queue the news of a member so many times, in place of older news of it."""
+        """Queue the claim about a member for `transmissions` sends, replacing an older broadcast."""
         self._by_name.pop(name, None)
         self._by_name[name] = Broadcast(transmissions, now, urgent)
 
     def has_urgent(self) -> bool:
-        """Whether an urgent one is still to be sent."""
-        return any(one.urgent and one.remaining > 0 for one in self._by_name.values())
+        """Return whether an urgent broadcast is pending."""
+        return any(entry.urgent and entry.remaining > 0 for entry in self._by_name.values())
 
     def received_again(self, name: str) -> None:
-        """Send it once less often, if it is not urgent: others know it too."""
+        """Reduce the remaining sends of a non-urgent claim by one, since other members spread it too."""
         broadcast = self._by_name.get(name)
         if broadcast is not None and not broadcast.urgent:
             broadcast.remaining -= 1
 
     def has_pending(self) -> bool:
-        """Whether any is still to be sent."""
-        return any(one.remaining > 0 for one in self._by_name.values())
+        """Return whether any broadcast is pending."""
+        return any(entry.remaining > 0 for entry in self._by_name.values())
 
     def take(self, count: int, transmissions: int = 1) -> list[str]:
-        """Take so many names, the least often sent first; each counts as sent so many times more."""
-        waiting = [name for name, one in self._by_name.items() if one.remaining > 0]
-        waiting.sort(key=lambda name: -self._by_name[name].remaining)
-        taken = waiting[:count]
+        """Take up to `count` pending names, those with most remaining sends first.
+
+        Each is counted as sent `transmissions` more times.
+        """
+        pending = [name for name, entry in self._by_name.items() if entry.remaining > 0]
+        pending.sort(key=lambda name: -self._by_name[name].remaining)
+        taken = pending[:count]
         for name in taken:
             self._by_name[name].remaining -= transmissions
         return taken
 
     def sample_recent(self, count: int, rng: random.Random) -> list[str]:
-        """Draw so many names of those queued lately."""
+        """Draw up to `count` random names from the recent and pending broadcasts."""
         names = list(self._by_name)
         return rng.sample(names, min(count, len(names)))
 
     def expire(self, now: float, known: Container[str]) -> None:
-        """Drop what is neither pending nor recent, and members that are not known any longer."""
+        """Drop broadcasts that are neither pending nor recent, and those of members not in `known`."""
         self._by_name = {
-            name: one
-            for name, one in self._by_name.items()
-            if name in known and (one.remaining > 0 or now - one.queued_at < RECENT_S)
+            name: entry
+            for name, entry in self._by_name.items()
+            if name in known and (entry.remaining > 0 or now - entry.queued_at < RECENT_S)
         }
--- a/brookhinge/membership/claims.py
+++ b/brookhinge/membership/claims.py
@@ -1,11 +1,14 @@
-"""A claim: what one router states about a process of the fleet, itself or another."""
+"""The claim type: what one router states about a process of the fleet, itself or another."""
 
 import enum
 from typing import NamedTuple
 
 
 class MemberState(enum.IntEnum):
-    """What is believed of a member; within one incarnation the higher wins. The numbers are the wire's."""
+    """The believed state of a member; within one incarnation the higher value wins.
+
+    The numbers are part of the wire format.
+    """
 
     ALIVE = 0
     SUSPECTED = 1
@@ -14,7 +17,7 @@
 
     @property
     def label(self) -> str:
-        """The state as logs, metrics and the command line show it."""
+        """The name of the state in logs, metrics and command output."""
         return _LABELS[self]
 
 
@@ -25,20 +28,20 @@
 
 
 class Claim(NamedTuple):
-    """One statement about one process; it goes over the wire as an array in this order.
+    """One statement about one process; encoded on the wire as an array in this order.
 
     Attributes:
-        name: the member's name, the same after a restart.
-        incarnation_id: drawn at random when the process starts.
-        started_at_ms: start of the process by its own wall clock; tells the older of two processes with one
-            name.
-        incarnation: raised by the process itself alone; the claim with the higher one is the newer.
-        state: see MemberState.
-        host: where its membership socket listens.
-        port: see host.
-        zone: the place it stands in.
-        version: of the protocol that it speaks.
-        age_s: seconds since it left or was lost; 0 for a member that is present.
+        name: The member's name, which is kept across restarts.
+        incarnation_id: Random id of the process, drawn when it starts.
+        started_at_ms: Start time by the process's own wall clock, in Unix milliseconds; identifies the older
+            of two processes with one name.
+        incarnation: Version number of the claim, raised only by the process itself; higher is newer.
+        state: Believed state of the process.
+        host: Host of its membership socket.
+        port: UDP port of its membership socket.
+        zone: Zone of the process.
+        version: Protocol version that it speaks.
+        age_s: Seconds since it left or was lost; 0 while it is present.
     """
 
     name: str
--- a/brookhinge/membership/codec.py
+++ b/brookhinge/membership/codec.py
@@ -1,16 +1,16 @@
-"""Datagrams of the membership socket: messages to bytes and back, keyed, guarded against replays. No I/O.
+"""Encodes and decodes membership datagrams, with a keyed checksum and replay protection. No I/O.
 
     datagram   = checksum (16 bytes: BLAKE2b keyed with the fleet's key, over the rest) + MessagePack array
     array      = [form, site, sequence, claim, version, call, updates, rest]
-    call       = [0], or a ping: [1, nonce, incarnation id, incarnation, state], or its answer: [2, nonce]
-    updates    = claims about others
-    rest       = [digest, notices, word, values], MessagePack in turn: other versions stop before it
-    values     = the message's fields; of `gossip` and `rows` one: claims as MessagePack, compressed by zlib
-
-`form` stays 1 for good: any version reads who sent a datagram, at which version it speaks, what it claims
-of others, and answers its pings; so routers of two versions hold one view and don't take each other for
-dead. Lengths are bounded before anything is read, texts and counts after. What can't be read is counted and
-dropped.
+    call       = [0], a ping [1, nonce, incarnation id, incarnation, state], or an ack [2, nonce]
+    updates    = claims about other members
+    rest       = [digest, notices, method, values], nested MessagePack that other versions do not decode
+    values     = the message's fields; `gossip` and `rows` have one field: zlib-compressed MessagePack claims
+
+`form` is always 1. Every protocol version can read the sender, its version and its claims about others, and
+can answer its pings, so routers of two versions share one view and do not declare each other lost. The
+length of a datagram is checked before decoding, text lengths and counts after it. Unreadable datagrams are
+counted and dropped.
 """
 
 import enum
@@ -35,11 +35,11 @@
 MAX_PORT = 65535
 MAX_COMPRESSED_CLAIMS = 48
 MAX_DECOMPRESSED_BYTES = 32_768
-BUCKET_DIGESTS_BYTES = 128  # of a sync request: see MembershipView.short_digests
+BUCKET_DIGESTS_BYTES = 128  # in a sync request; see MembershipView.short_digests
 MAX_SENDERS = 4096
 REPLAY_WINDOW = 64
 
-# The only table of the words that the wire has for the messages.
+# Method names on the wire, by message type; defined nowhere else.
 WIRE_NAMES: dict[type, str] = {
     messages.Ping: "ping",
     messages.Ack: "ack",
@@ -68,10 +68,10 @@
     messages.WarmStartRequest,
     messages.WarmStartState,
 )
-"""Messages of other protocols on the same socket: their rows stand in the place of the notices."""
+"""Messages of other protocols on the same socket; they carry rows in the notices field."""
 
-COMPRESSED = (Gossip, SyncResponse)  # read by routers of the same version alone
-PROBE_KINDS: dict[type, int] = {Ping: 1, Ack: 2}  # messages that any version reads
+COMPRESSED = (Gossip, SyncResponse)  # decoded only by routers of the same version
+PROBE_KINDS: dict[type, int] = {Ping: 1, Ack: 2}  # messages that every version decodes
 PROBE_TYPES = {kind: message_type for message_type, kind in PROBE_KINDS.items()}
 NO_PROBE = (0,)
 
@@ -84,11 +84,11 @@
 
 
 class UnreadableDatagramError(ValueError):
-    """A datagram of a known sender that breaks the protocol."""
+    """Raised for a datagram that has a valid checksum but violates the protocol."""
 
 
 class DatagramOutcome(enum.StrEnum):
-    """What became of a datagram; the values are labels of a metric."""
+    """The outcome of a datagram; the values are metric labels."""
 
     SENT = "sent"
     ACCEPTED = "taken"
@@ -102,7 +102,7 @@
 
 
 def wire_name(message: msgspec.Struct) -> str:
-    """The word that the wire has for a message."""
+    """Return the method name of a message on the wire."""
     return WIRE_NAMES.get(type(message), "foreign")
 
 
@@ -110,10 +110,12 @@
     """Accepts each sequence number of each process once, in any order within a window."""
 
     def __init__(self) -> None:
-        self._received: dict[int, tuple[int, int]] = {}  # id: highest number, bits of those before it
+        self._received: dict[
+            int, tuple[int, int]
+        ] = {}  # incarnation id: (highest number, bitmap of the numbers below it)
 
     def accept(self, incarnation_id: int, number: int) -> bool:
-        """Note a number; False if it came before, or is too old to tell."""
+        """Record a sequence number; return False if it was received before or is older than the window."""
         highest, bits = self._received.pop(incarnation_id, (0, 0))
         if number > highest:
             shift = number - highest
@@ -134,10 +136,10 @@
 
 
 class Codec:
-    """Writes and reads the datagrams of one router, and counts what became of them."""
+    """Encodes and decodes the datagrams of one router, and counts their outcomes."""
 
     def __init__(self, site: str, key: bytes, version: int | None = None) -> None:
-        """Make a codec of one site and key; `version` None is this program's protocol version."""
+        """Create a codec for a site and key; a `version` of None selects this program's protocol version."""
         self.site = site
         self.key = key
         self.sequence = 0
@@ -147,7 +149,7 @@
 
     @property
     def version(self) -> int:
-        """The protocol version that is written and read."""
+        """The protocol version of the datagrams that are written and fully decoded."""
         return VERSION if self.own_version is None else self.own_version
 
     def write(
@@ -158,7 +160,7 @@
         updates: Sequence[Claim],
         notices: Sequence[Notice],
     ) -> bytes | None:
-        """Encode a datagram; leave out updates, then notices until it fits; None if it never does."""
+        """Encode a datagram, dropping updates, then notices, until it fits; return None if it never fits."""
         if isinstance(message, COMPRESSED):
             return self._write_compressed(claim, digest, message, updates[:MAX_COMPRESSED_CLAIMS], notices)
         values = msgspec.structs.astuple(message)
@@ -182,7 +184,7 @@
         updates: Sequence[Claim],
         notices: Sequence[Notice],
     ) -> bytes | None:
-        """Do the same with as many claims as fit compressed, from the first on."""
+        """Encode a datagram whose updates are compressed, keeping as many of the first ones as fit."""
         while True:
             compressed = zlib.compress(_encoder.encode(updates))
             body = self.encode_body(claim, digest, message, (compressed,), [], notices)
@@ -223,7 +225,7 @@
         )
 
     def sign(self, body: bytes) -> bytes:
-        """Put the checksum before a body; it counts as sent from here on."""
+        """Prepend the checksum to a body and count the datagram as sent."""
         self.sequence += 1
         self.counts[DatagramOutcome.SENT] += 1
         return self._checksum(body) + body
@@ -232,22 +234,22 @@
         return hashlib.blake2b(body, digest_size=CHECKSUM_BYTES, key=self.key).digest()
 
     def read(self, data: bytes) -> Received | None:
-        """Decode a datagram, or return None; of another version only claims and probes are read."""
+        """Decode a datagram, or return None; from another version only claims and probes are decoded."""
         try:
             outcome, received = self._decode(data)
-        except (msgspec.DecodeError, ValueError, zlib.error):  # a text that is no UTF-8 is a ValueError
+        except (msgspec.DecodeError, ValueError, zlib.error):  # invalid UTF-8 raises ValueError
             outcome = DatagramOutcome.UNREADABLE
             received = None
         self.counts[outcome] += 1
         return received
 
     def _decode(self, data: bytes) -> tuple[DatagramOutcome, Received | None]:
-        """Decode a datagram.
+        """Decode a datagram and classify its outcome.
 
         Raises:
-            UnreadableDatagramError: something in it is of another type, length or size than the protocol has.
-            msgspec.DecodeError: it is no MessagePack, or of another shape.
-            zlib.error: its compressed claims are none.
+            UnreadableDatagramError: A field has a type, length or size that the protocol does not allow.
+            msgspec.DecodeError: The body is not MessagePack or does not have the expected structure.
+            zlib.error: The compressed claims cannot be decompressed.
         """
         if not MIN_DATAGRAM_BYTES <= len(data) <= MAX_DATAGRAM_BYTES:
             return DatagramOutcome.WRONG_LENGTH, None
@@ -255,14 +257,14 @@
         if not hmac.compare_digest(self._checksum(body), data[:CHECKSUM_BYTES]):
             return DatagramOutcome.FORGED, None
         form, site, number, claim, version, call, updates, rest = _head_decoder.decode(body)
-        if form != FORM or not is_sound(claim) or not all(map(is_sound, updates)):
+        if form != FORM or not is_valid_claim(claim) or not all(map(is_valid_claim, updates)):
             return DatagramOutcome.UNREADABLE, None
         if site != self.site:
             return DatagramOutcome.OTHER_SITE, None
         if not self.replay_guard.accept(claim.incarnation_id, number):
             return DatagramOutcome.REPLAYED, None
         probe_type = PROBE_TYPES.get(call[0]) if call else None
-        probe = None if probe_type is None else _make_message(probe_type, call[1:])
+        probe = None if probe_type is None else _build_message(probe_type, call[1:])
         if version != self.version:
             foreign = probe or messages.ForeignMessage()
             return DatagramOutcome.FOREIGN_VERSION, Received(claim, 0, tuple(updates), (), foreign)
@@ -271,7 +273,7 @@
 
 
 def _decode_rest(claim: Claim, probe: msgspec.Struct | None, updates: list[Claim], rest: bytes) -> Received:
-    """Decode what only a reader of the same version may: digest, notices and message."""
+    """Decode the part that only routers of the same version read: digest, notices and message."""
     digest, notices, name, values = _rest_decoder.decode(rest)
     message_type = MESSAGE_TYPES.get(name)
     if probe is not None:
@@ -280,24 +282,26 @@
         updates = decompress_claims(values)
         message = message_type()
     elif message_type is None:
-        raise UnreadableDatagramError(f"expected a known message, got {name!r}")
+        raise UnreadableDatagramError(f"expected a known method name, got {name!r}")
     else:
-        message = _make_message(message_type, values)
+        message = _build_message(message_type, values)
     if not all(map(is_notice, notices)):
-        raise UnreadableDatagramError("expected notices of short texts and numbers")
+        raise UnreadableDatagramError(
+            "expected notices that start with a kind and hold only short strings and numbers"
+        )
     return Received(claim, digest, tuple(updates), tuple(notices), message)
 
 
-def _make_message(message_type: type, values: list) -> msgspec.Struct:
-    """Make a message of its fields.
+def _build_message(message_type: type, values: list) -> msgspec.Struct:
+    """Build a message from its field values.
 
     Raises:
-        UnreadableDatagramError: their number, types or lengths are not the message's.
+        UnreadableDatagramError: The values do not match the message type in number, type or length.
     """
     types = tuple(message_type.__annotations__.values())
     if len(values) != len(types) or not all(map(isinstance, values, types)):
         raise UnreadableDatagramError(
-            f"expected {types} for {message_type.__name__}, got {len(values)} values"
+            f"expected values of types {types} for {message_type.__name__}, got {len(values)} values"
         )
     message = message_type(*values)
     if message_type is SyncRequest and len(message.digests) != BUCKET_DIGESTS_BYTES:
@@ -311,21 +315,21 @@
     """Decode the claims of a compressed message.
 
     Raises:
-        UnreadableDatagramError: they are torn, too many or not sound.
-        zlib.error: they are not compressed.
+        UnreadableDatagramError: The claims are truncated, too many, or have fields out of bounds.
+        zlib.error: The data cannot be decompressed.
     """
     if len(values) != 1 or not isinstance(values[0], bytes):
-        raise UnreadableDatagramError("expected one field of bytes with compressed claims")
+        raise UnreadableDatagramError("expected one bytes field with compressed claims")
     stream = zlib.decompressobj()
     data = stream.decompress(values[0], MAX_DECOMPRESSED_BYTES)
     claims = _claims_decoder.decode(data)
-    if not stream.eof or len(claims) > MAX_COMPRESSED_CLAIMS or not all(map(is_sound, claims)):
-        raise UnreadableDatagramError("expected compressed claims that are whole, few and sound")
+    if not stream.eof or len(claims) > MAX_COMPRESSED_CLAIMS or not all(map(is_valid_claim, claims)):
+        raise UnreadableDatagramError("compressed claims are truncated, too many or out of bounds")
     return claims
 
 
-def is_sound(claim: Claim) -> bool:
-    """Whether all fields of a claim are within their bounds."""
+def is_valid_claim(claim: Claim) -> bool:
+    """Return whether all fields of a claim are within their bounds."""
     name, incarnation_id, started_at_ms, incarnation, _, host, port, zone, version, age_s = claim
     return (
         0 < len(name) <= MAX_TEXT_LENGTH
@@ -338,7 +342,7 @@
 
 
 def is_notice(notice: tuple) -> bool:
-    """Whether a notice is a short row of texts and numbers that begins with its kind."""
+    """Return whether a notice starts with its kind and has only a few short strings and numbers."""
     return (
         0 < len(notice) <= MAX_NOTICE_PARTS
         and isinstance(notice[0], str)
--- a/brookhinge/membership/core.py
+++ b/brookhinge/membership/core.py
@@ -1,4 +1,7 @@
-"""The interface of the other protocols on the membership socket: limits, verdicts, warm-start state."""
+"""The interface of the other protocols on the membership socket: limits, verdicts and warm start.
+
+A core is the state machine of one such protocol.
+"""
 
 from collections.abc import Sequence
 from typing import NamedTuple, Protocol
@@ -13,13 +16,13 @@
 
 
 class CoreContext(NamedTuple):
-    """What a core knows of its router and of the fleet.
+    """The router and fleet information available to a core.
 
     Attributes:
-        view: the fleet's.
-        name: this router's.
-        zone: where it stands.
-        version: of the protocol that it speaks.
+        view: This router's view of the fleet.
+        name: The name of this router.
+        zone: The zone of this router.
+        version: The protocol version that this router speaks.
     """
 
     view: MembershipView
@@ -28,7 +31,10 @@
     version: int
 
     def alive_members(self, zone: str | None = None) -> list[int]:
-        """Positions of the members alive that read what this router writes, itself included."""
+        """Return the positions of alive members of the same protocol version, including this router.
+
+        With `zone`, only members of that zone are returned.
+        """
         view = self.view
         return [
             i
@@ -39,32 +45,32 @@
         ]
 
     def choose(self, key: str, members: Sequence[int]) -> int | None:
-        """Choose a member for a key by rendezvous hashing: all routers with one view choose the same."""
+        """Choose a member for a key by rendezvous hashing: routers with equal views choose the same one."""
         names = self.view.names
         return max(members, key=lambda i: xxhash.xxh64_intdigest(f"{key} {names[i]}".encode()), default=None)
 
     def is_self(self, i: int) -> bool:
-        """Whether the member at a position is this router."""
+        """Return whether the member at position `i` is this router."""
         return self.view.names[i] == self.name
 
 
 class CoreWriter(Protocol):
-    """Takes the messages and the events of a core."""
+    """Sends the messages and posts the events of a core."""
 
     def post_to(self, i: int, message: msgspec.Struct, rows: Sequence[Row]) -> None:
-        """Send a message to the member at a position of the view."""
+        """Send a message with rows to the member at position `i` of the view."""
 
     def post_event(self, event: Event) -> None:
         """Post an event to the engine."""
 
 
 class Core(Protocol):
-    """A protocol without I/O and clock.
+    """A protocol state machine without I/O or clock.
 
     Attributes:
-        message_types: the messages that it receives.
-        status_topic: the status topic that it answers, or None.
-        shrinks_at: when something that it told the engine ends by itself.
+        message_types: The message types that it receives.
+        status_topic: The status topic that it answers, or None.
+        shrinks_at: When a value that it posted to the engine next expires, in seconds.
     """
 
     message_types: tuple[type, ...]
@@ -72,13 +78,13 @@
     shrinks_at: float
 
     def round(self, now: float, inbox: Sequence[CoreMessage], writer: CoreWriter) -> None:
-        """Take what was received, then do what is due."""
+        """Handle the received messages, then run whatever is due."""
 
     def next_at(self) -> float:
-        """When a round is due though nothing was received."""
+        """Return when the next round is due if nothing is received."""
 
     def publish(self, now: float, writer: CoreWriter) -> None:
-        """Post what has changed to the engine."""
+        """Post changed values to the engine."""
 
     def status_rows(self, now: float) -> list[Row]:
-        """The rows of its status topic."""
+        """Return the rows of its status topic."""
--- a/brookhinge/membership/dissemination.py
+++ b/brookhinge/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination: what is new rides on every datagram and goes by gossip to random members (SWIM, 4.1)."""
+"""Dissemination: new claims are piggybacked on datagrams and gossiped to random members (SWIM, 4.1)."""
 
 import math
 from collections.abc import Sequence
@@ -19,23 +19,23 @@
 from brookhinge.membership.notice_queue import NoticeQueue
 from brookhinge.membership.writer import PeerWriter
 
-# A datagram stays under 1,400 bytes with so many claims and notices.
+# These numbers of claims and notices keep a datagram under 1,400 bytes.
 MAX_PLAIN_CLAIMS = 8
 MAX_NOTICES = 6
 MAX_GOSSIP_CLAIMS = 32  # compressed
 MAX_PIGGYBACKED_CLAIMS = 4
 
-FANOUT = 3  # members that receive one gossip
-NOTICE_FANOUT = 4  # members to whom a notice goes on at once
+FANOUT = 3  # members that receive each gossip message
+NOTICE_FANOUT = 4  # members to which a new notice is forwarded at once
 UPDATE_TRANSMISSIONS = 3
-URGENT_TRANSMISSIONS = 5  # in a large fleet, of a suspicion and what refutes it
-WITNESS_TRANSMISSIONS = 2  # in a large fleet, of another witness of a suspicion
+URGENT_TRANSMISSIONS = 5  # in a large fleet, for a suspicion and its refutation
+WITNESS_TRANSMISSIONS = 2  # in a large fleet, for another witness of a suspicion
 GOSSIP_BYTES_PER_S = 300.0
 GOSSIP_BURST_BYTES = 5000.0
 
 
 class Dissemination:
-    """Sends datagrams to members, and on each what is new and least often sent."""
+    """Sends datagrams, with the least often sent new claims and notices piggybacked on each."""
 
     def __init__(self, local: LocalMember, now: float) -> None:
         self.local = local
@@ -47,31 +47,34 @@
     # queueing
 
     def broadcast_limit(self) -> int:
-        """How often each member sends a notice: then nearly all have received it."""
+        """Return how often each member sends a notice, which is enough to reach nearly all members."""
         return 3 * math.ceil(math.log10(len(self.local.view.names) + 1)) + 1
 
     def _urgent_transmissions(self, in_large_fleet: int) -> int:
-        """How often each member sends urgent news. In a large fleet each comes from many sides."""
+        """Return how often each member sends an urgent claim.
+
+        A large fleet needs fewer transmissions, because each member receives the claim from many others.
+        """
         if len(self.local.view.names) < timing.LARGE_FLEET_MEMBERS:
             return self.broadcast_limit()
         return in_large_fleet
 
     def queue_urgent(self, name: str, now: float) -> None:
-        """Queue a suspicion, or what refutes or ends it."""
+        """Queue a suspicion, or a claim that refutes or ends one."""
         self.queue.add(name, now, self._urgent_transmissions(URGENT_TRANSMISSIONS), urgent=True)
 
     def queue_witness(self, name: str, now: float) -> None:
-        """Queue a suspicion again of which another witness was heard."""
+        """Queue a suspicion again after another witness confirmed it."""
         self.queue.add(name, now, self._urgent_transmissions(WITNESS_TRANSMISSIONS), urgent=True)
 
     def queue_update(self, name: str, now: float, transmissions: int) -> None:
-        """Queue any other news of a member, and wait a little: more of the kind may come right behind."""
+        """Queue a claim that is not urgent, and delay the gossip so that claims that follow are batched."""
         if not self.queue.has_pending():
             self.next_gossip_at = max(self.next_gossip_at, now + self.gossip_interval())
         self.queue.add(name, now, transmissions)
 
     def receive_notice(self, now: float, notice: Notice, reporter: str, writer: PeerWriter) -> None:
-        """Pass a notice that is new to the host, unless it is its own, and to some members at once."""
+        """Forward a new notice to some members at once, and to the host unless it reported it itself."""
         if not self.notices.add(notice, now, self.broadcast_limit()):
             return
         if reporter != self.local.name:
@@ -82,19 +85,19 @@
     # sending
 
     def may_send_updates(self, now: float) -> bool:
-        """Whether claims are pending and may be sent: urgent ones at any time, others within the budget."""
+        """Return whether claims are pending and may be sent: urgent ones always, others within the budget."""
         return self.queue.has_urgent() or (self.queue.has_pending() and self.budget.allows(now))
 
     def piggyback(
         self, now: float, claims: Sequence[Claim] = (), settled_notices: int = 0
     ) -> tuple[list[Claim], list[Notice]]:
-        """Choose the claims and notices that ride on a datagram.
+        """Choose the claims and notices to piggyback on a datagram.
 
         Args:
-            now: seconds.
-            claims: go in the place of pending ones.
-            settled_notices: so many notices that were sent often enough go too: who missed one then would
-                never receive it.
+            now: Current time in seconds.
+            claims: Claims to send instead of pending ones.
+            settled_notices: Maximum number of notices to add that have no transmissions left; otherwise a
+                member that missed all of them would never receive the notice.
         """
         updates = list(claims)
         if not updates and self.may_send_updates(now):
@@ -113,7 +116,7 @@
         claims: Sequence[Claim] = (),
         settled_notices: int = 0,
     ) -> None:
-        """Send a message to the member at a position, with what rides on it."""
+        """Send a message to the member at position `i`, with piggybacked claims and notices."""
         self.send_to(self.local.view.addresses[i], message, writer, claims, settled_notices)
 
     def send_to(
@@ -124,20 +127,20 @@
         claims: Sequence[Claim] = (),
         settled_notices: int = 0,
     ) -> None:
-        """Send a message to an address, with what rides on it."""
+        """Send a message to an address, with piggybacked claims and notices."""
         updates, notices = self.piggyback(self.local.now, claims, settled_notices)
         writer.send(address, message, updates, notices)
 
     # gossip
 
     def gossip_interval(self) -> float:
-        """Seconds between two gossips while anything is pending."""
+        """Return the seconds between two gossip rounds while anything is pending."""
         if self.queue.has_urgent() or self.notices.has_pending():
             return timing.GOSSIP_INTERVAL_S
         return timing.GOSSIP_INTERVAL_S * self.local.scale()
 
     def due_at(self) -> float:
-        """When the next gossip is due; never while nothing is pending."""
+        """Return when the next gossip is due; infinity if nothing is pending."""
         if self.notices.has_pending() or self.queue.has_urgent():
             return self.next_gossip_at
         if self.queue.has_pending():
@@ -145,7 +148,7 @@
         return math.inf
 
     def gossip(self, now: float, writer: PeerWriter) -> None:
-        """Send what is pending to a few random members: claims within the budget, notices always."""
+        """Send pending claims, within the budget, and pending notices to a few random members."""
         if now < self.next_gossip_at:
             return
         self.next_gossip_at = now + self.gossip_interval()
--- a/brookhinge/membership/failure_detector.py
+++ b/brookhinge/membership/failure_detector.py
@@ -6,26 +6,26 @@
 from brookhinge.membership import timing
 from brookhinge.membership.claims import MemberState
 from brookhinge.membership.dissemination import MAX_PLAIN_CLAIMS, Dissemination
-from brookhinge.membership.local_health import WAKING_PENALTY, LocalHealth
+from brookhinge.membership.local_health import WAKE_PENALTY, LocalHealth
 from brookhinge.membership.local_member import LocalMember
 from brookhinge.membership.messages import Ack, Nack, Ping, PingRequest
 from brookhinge.membership.suspicion import SuspicionTable
 from brookhinge.membership.updates import UpdateApplier
 from brookhinge.membership.writer import PeerWriter
 
-HELPERS = 3  # members that are asked to ping a silent one
-SETTLED_NOTICES = 2  # see Dissemination.piggyback
-NO_DEADLINE = 0  # nonce of a ping whose answer nobody waits for
-ANY_PROCESS = 0  # incarnation id of a ping that any process at the address may answer
+HELPERS = 3  # members asked to ping one that did not answer
+SETTLED_NOTICES = 2  # per ping; see Dissemination.piggyback
+NO_DEADLINE = 0  # nonce of a ping that expects no ack
+ANY_PROCESS = 0  # incarnation id that allows any process at the address to answer a ping
 
 
 class Probe:
-    """A probe under way: asked directly, asked again, then by helpers."""
+    """A probe in progress: one direct ping, a repeated one, then pings through helpers."""
 
     __slots__ = ("attempts", "deadline", "helpers", "incarnation_id", "nacks", "nonce", "position")
 
     def __init__(self, position: int, incarnation_id: int, nonce: int, deadline: float) -> None:
-        """Begin with the first direct ping."""
+        """Create the probe state for the first direct ping."""
         self.position = position
         self.incarnation_id = incarnation_id
         self.nonce = nonce
@@ -35,16 +35,22 @@
         self.nacks: set[str] = set()
 
 
-class HelpedProbe(NamedTuple):
-    """A ping on behalf of another member: its position and nonce, and when it is sent a nack."""
+class IndirectPing(NamedTuple):
+    """A ping on behalf of another member.
 
-    asker: int
-    asker_nonce: int
+    Attributes:
+        requester: Position of the member that asked for it.
+        requester_nonce: Nonce of its ping request.
+        deadline: When the requester is sent a nack if no ack has arrived.
+    """
+
+    requester: int
+    requester_nonce: int
     deadline: float
 
 
 class FailureDetector:
-    """Probes the members in turn, one at a time."""
+    """Probes the members one after another, one at a time."""
 
     def __init__(
         self,
@@ -60,17 +66,17 @@
         self.suspicions = suspicions
         self.health = health
         self.updates = updates
-        self._order: list[str] = []  # names still to be probed in this turn
+        self._order: list[str] = []  # names still to be probed in this pass
         self._probe: Probe | None = None
-        self._helped: dict[int, HelpedProbe] = {}
+        self._indirect_pings: dict[int, IndirectPing] = {}
         self._next_probe_at = now + timing.PROBE_INTERVAL_S * local.rng.random()
         self._next_lost_retry_at = now + timing.LOST_RETRY_INTERVAL_S * local.rng.random()
 
     def run(self, now: float, probe_interval_s: float, writer: PeerWriter) -> None:
-        """Do what is due; `probe_interval_s` without the stretch of local health."""
+        """Run whatever is due; `probe_interval_s` is not yet scaled by local health."""
         for i in self.suspicions.expired(now):
             self.updates.declare(now, i, MemberState.LOST, writer)
-        self._expire_helped(now, writer)
+        self._expire_indirect_pings(now, writer)
         if self._probe is not None and now >= self._probe.deadline:
             self._on_timeout(now, self._probe, writer)
         if now >= self._next_probe_at:
@@ -84,13 +90,13 @@
             self._retry_lost(writer)
 
     def due_at(self) -> float:
-        """When `run` has something to do."""
+        """Return when `run` next has something to do."""
         return min(
             self._next_probe_at,
             self._next_lost_retry_at,
             self._probe.deadline if self._probe is not None else math.inf,
             min(self.suspicions.deadlines(), default=math.inf),
-            min((helped.deadline for helped in self._helped.values()), default=math.inf),
+            min((indirect.deadline for indirect in self._indirect_pings.values()), default=math.inf),
         )
 
     # probes
@@ -101,12 +107,12 @@
             nonce = self.local.next_nonce()
             self._probe = Probe(i, self.local.view.incarnation_ids[i], nonce, self._timeout_at(now))
             self.ping(i, nonce, writer)
-        # One datagram that gets through lets a suspected member refute.
+        # A suspected member can refute as soon as one datagram reaches it.
         for suspected in self.suspicions.begun_by(self.local.name):
             self.ping(suspected, NO_DEADLINE, writer)
 
     def next_target(self) -> int | None:
-        """The next member to probe: each in turn, in an order drawn anew each time (SWIM, 4.3)."""
+        """Return the next member to probe: round-robin, in a new random order each pass (SWIM, 4.3)."""
         view = self.local.view
         while True:
             if not self._order:
@@ -122,7 +128,10 @@
         return now + timing.PROBE_TIMEOUT_S * self.health.multiplier()
 
     def _on_timeout(self, now: float, probe: Probe, writer: PeerWriter) -> None:
-        """Ask once more, then through helpers, then suspect: one lost datagram is no silence."""
+        """Repeat the ping, then ping through helpers, then suspect the member.
+
+        One lost datagram therefore raises no suspicion.
+        """
         view = self.local.view
         i = probe.position
         if i >= len(view.names) or view.incarnation_ids[i] != probe.incarnation_id:
@@ -136,7 +145,7 @@
             self._ask_helpers(now, probe, writer)
         else:
             self._probe = None
-            # A helper that sent not even a nack points to a fault of this router or its link.
+            # A helper that did not even send a nack indicates a fault of this router or its link.
             self.health.worsen(probe.helpers - len(probe.nacks) if probe.helpers else 1)
             if view.states[i] == MemberState.ALIVE:
                 self.updates.declare(now, i, MemberState.SUSPECTED, writer)
@@ -152,15 +161,15 @@
         probe.deadline = now + wait_s * self.health.multiplier()
 
     def _retry_lost(self, writer: PeerWriter) -> None:
-        """Ping one of the lost: it may be back, also as another process."""
+        """Ping a random lost member, which may be back, possibly as another process."""
         lost = [i for i, state in enumerate(self.local.view.states) if state == MemberState.LOST]
         if lost:
             self.ping(self.local.rng.choice(lost), NO_DEADLINE, writer, any_process=True)
 
     def ping(self, i: int, nonce: int, writer: PeerWriter, any_process: bool = False) -> None:
-        """Ping the member at a position.
+        """Ping the member at position `i`.
 
-        With one of another version no digests are compared: some claims, drawn at random, ride along instead.
+        Digests are not compared with a member of another version, so its ping carries some random claims.
         """
         view = self.local.view
         claims = []
@@ -172,50 +181,50 @@
         message = Ping(nonce, incarnation_id, view.incarnations[i], view.states[i])
         self.dissemination.send(i, message, writer, claims, SETTLED_NOTICES)
 
-    # answers
+    # acks and nacks
 
     def on_ack(self, nonce: int, writer: PeerWriter) -> None:
-        """End the probe with that nonce, or pass the answer on to who asked for help."""
+        """End the probe with that nonce, or forward the ack to the member that requested the ping."""
         if self._probe is not None and nonce == self._probe.nonce:
             self._probe = None
             self.health.improve()
-        elif nonce in self._helped:
-            helped = self._helped.pop(nonce)
-            self.dissemination.send(helped.asker, Ack(helped.asker_nonce), writer)
+        elif nonce in self._indirect_pings:
+            indirect = self._indirect_pings.pop(nonce)
+            self.dissemination.send(indirect.requester, Ack(indirect.requester_nonce), writer)
 
     def on_nack(self, nonce: int, helper: str) -> None:
-        """Note that a helper lives, though the probed member did not answer it."""
+        """Record that a helper is alive although the probed member did not answer it."""
         if self._probe is not None and nonce == self._probe.nonce:
             self._probe.nacks.add(helper)
 
-    def on_ping_request(self, now: float, asker: int, request: PingRequest, writer: PeerWriter) -> None:
-        """Ping a member on behalf of the one at position `asker`."""
+    def on_ping_request(self, now: float, requester: int, request: PingRequest, writer: PeerWriter) -> None:
+        """Ping a member on behalf of the one at position `requester`."""
         nonce = self.local.next_nonce()
-        self._helped[nonce] = HelpedProbe(asker, request.nonce, now + timing.PROBE_TIMEOUT_S)
+        self._indirect_pings[nonce] = IndirectPing(requester, request.nonce, now + timing.PROBE_TIMEOUT_S)
         ping = Ping(nonce, request.incarnation_id, 0, MemberState.ALIVE)
         self.dissemination.send_to((request.host, request.port), ping, writer)
 
-    def _expire_helped(self, now: float, writer: PeerWriter) -> None:
-        for nonce, helped in list(self._helped.items()):
-            if now >= helped.deadline:
-                del self._helped[nonce]
-                if helped.asker < len(self.local.view.names):
-                    self.dissemination.send(helped.asker, Nack(helped.asker_nonce), writer)
+    def _expire_indirect_pings(self, now: float, writer: PeerWriter) -> None:
+        for nonce, indirect in list(self._indirect_pings.items()):
+            if now >= indirect.deadline:
+                del self._indirect_pings[nonce]
+                if indirect.requester < len(self.local.view.names):
+                    self.dissemination.send(indirect.requester, Nack(indirect.requester_nonce), writer)
 
-    # gaps
+    # pauses and forgotten members
 
     def on_wake(self, now: float, gap_s: float) -> None:
-        """Hold no timeout against anybody that ran out while this process was frozen or starved."""
-        self.health.worsen(WAKING_PENALTY)
+        """Discard timeouts that ran out while this process was paused or starved of CPU time."""
+        self.health.worsen(WAKE_PENALTY)
         self.suspicions.postpone(gap_s)
         self._abandon_probes()
         self._next_probe_at = now
 
     def forget_gone(self, now: float) -> None:
-        """Forget who has been gone for long; positions change, so probes under way are abandoned."""
+        """Forget members that have been gone for long, and drop the probes, as positions change."""
         if self.suspicions.forget_gone(now, self.local.view):
             self._abandon_probes()
 
     def _abandon_probes(self) -> None:
         self._probe = None
-        self._helped = {}
+        self._indirect_pings = {}
--- a/brookhinge/membership/fleet_size.py
+++ b/brookhinge/membership/fleet_size.py
@@ -1,6 +1,7 @@
-"""By how many a limit of the whole fleet is divided. No I/O, no clock.
+"""Estimates how many routers share a fleet-wide limit. No I/O, no clock.
 
-Counting too few routers lets all together overload a cold server, so whoever may still be alive counts.
+If too few are counted, the routers together can overload a cold server, so every router that may still be
+alive is counted.
 """
 
 from typing import NamedTuple
@@ -10,7 +11,7 @@
 
 
 class FleetSize(NamedTuple):
-    """How many routers share the limits of this router's zone, and those of the whole fleet."""
+    """The number of routers that share the limits of this router's zone and those of the whole fleet."""
 
     in_zone: int
     total: int
@@ -19,25 +20,27 @@
 def estimate_fleet_size(
     view: MembershipView, now: float, lease_s: float, configured: int, zone: str | None = None
 ) -> int:
-    """Count the routers that may be using a share of a limit now; 1 at least.
+    """Count the routers that may be using a share of a limit now; at least 1.
 
-    Who is alive or suspected counts. Who was lost counts until `lease_s` after it was last believed alive:
-    it may only be cut off. Who left counts as long: it may be back under its name, and not everybody know
-    so yet. So does a process that was replaced under its name without a claim of leaving. Below what the
-    settings tell, only a claim of leaving frees a share: two sides of a cut that each gave the other up
-    would together use twice the whole.
+    Alive and suspected members count. A lost member counts until `lease_s` after it was last believed alive,
+    because it may only be unreachable. A member that left counts for the same time, because it may be back
+    under its name before every router knows so; so does a process that was replaced under its name without
+    announcing that it left. Below the configured count, only an announced departure frees a share: otherwise
+    two sides of a network partition that declared each other lost would together use twice the limit.
 
     Args:
-        view: the fleet's.
-        now: seconds of the view's clock.
-        lease_s: how long a router goes on using a figure once it receives nothing from the others.
-        configured: routers as the settings say: those not known yet may be there unseen.
-        zone: the zone whose limit is meant; None for a limit of the whole fleet.
+        view: This router's view of the fleet.
+        now: Current time of the view's clock, in seconds.
+        lease_s: How long a router keeps using a value after it last received anything from the others.
+        configured: Number of routers in the settings; those not known yet may be running unseen.
+        zone: Zone whose limit is shared; None for a limit of the whole fleet.
     """
-    using = sum(now - at < lease_s and zone in (None, there) for at, there in view.replaced)
+    using = sum(
+        now - alive_at < lease_s and zone in (None, member_zone) for alive_at, member_zone in view.replaced
+    )
     left = 0
-    for state, since, there in zip(view.states, view.since, view.zones, strict=True):
-        if zone not in (None, there):
+    for state, since, member_zone in zip(view.states, view.since, view.zones, strict=True):
+        if zone not in (None, member_zone):
             continue
         is_within_lease = now - since < lease_s
         using += state in PRESENT_STATES or is_within_lease
--- a/brookhinge/membership/incarnation_conflict.py
+++ b/brookhinge/membership/incarnation_conflict.py
@@ -1,4 +1,4 @@
-"""Incarnation conflicts: two processes under one name. The older start keeps the name, if it lives."""
+"""Incarnation conflicts: of two processes under one name, the one started first keeps it if alive."""
 
 import math
 from typing import NamedTuple
@@ -12,8 +12,8 @@
 from brookhinge.membership.writer import PeerWriter
 
 
-class Contest(NamedTuple):
-    """An older process under this name that is being asked whether it lives."""
+class PendingConflict(NamedTuple):
+    """A pending ping to an older process under this name, which keeps the name if it answers."""
 
     nonce: int
     deadline: float
@@ -21,22 +21,22 @@
 
 
 class IncarnationConflict:
-    """Decides whether this process keeps its name."""
+    """Decides whether this process keeps its name when another process uses it."""
 
     def __init__(self, local: LocalMember, dissemination: Dissemination) -> None:
         self.local = local
         self.dissemination = dissemination
-        self._contest: Contest | None = None
+        self._pending: PendingConflict | None = None
 
     def refute(self, now: float, incarnation: int) -> None:
-        """Answer what others claim under this name with a higher incarnation."""
+        """Refute claims about this name by raising the incarnation."""
         if self.local.assert_alive(now, incarnation):
             self.dissemination.queue_urgent(self.local.name, now)
 
     def on_claim(self, now: float, claim: Claim, writer: PeerWriter) -> None:
-        """Take a claim about another process under this name: one before this one, or one beside it.
+        """Handle a claim about another process under this name, an earlier one or one still running.
 
-        Whether an older one lives, it alone can say: it is asked.
+        Only an older process itself can show that it is alive, so it is pinged.
         """
         local = self.local
         i = local.position()
@@ -46,34 +46,34 @@
         )
         if claim.state in GONE_STATES or claim.address == local.view.addresses[i] or is_younger:
             self.refute(now, claim.incarnation)
-        elif self._contest is None:
+        elif self._pending is None:
             nonce = local.next_nonce()
-            self._contest = Contest(nonce, now + timing.CONFLICT_TIMEOUT_S, claim)
+            self._pending = PendingConflict(nonce, now + timing.CONFLICT_TIMEOUT_S, claim)
             ping = Ping(nonce, claim.incarnation_id, 0, MemberState.ALIVE)
             writer.send(claim.address, ping, *self.dissemination.piggyback(now))
 
     def on_ack(self, nonce: int, writer: PeerWriter) -> bool:
-        """Stop if the older process answers; whether the ack was its."""
-        contest = self._contest
-        if contest is None or nonce != contest.nonce:
+        """Stop this member if the ack is from the older process; return whether it was."""
+        pending = self._pending
+        if pending is None or nonce != pending.nonce:
             return False
         self.local.stopped = True
-        host, port = contest.claim.address
+        host, port = pending.claim.address
         writer.changed(MemberChange.NAME_TAKEN, self.local.name, f"{host}:{port}")
         return True
 
     def expire(self, now: float) -> None:
-        """Take the name if the older process did not answer in time."""
-        contest = self._contest
-        if contest is not None and now >= contest.deadline:
-            self._contest = None
-            self.refute(now, contest.claim.incarnation)
+        """Claim the name if the older process did not answer in time."""
+        pending = self._pending
+        if pending is not None and now >= pending.deadline:
+            self._pending = None
+            self.refute(now, pending.claim.incarnation)
 
     def postpone(self, gap_s: float) -> None:
-        """Move the deadline by a time in which this process did not run."""
-        if self._contest is not None:
-            self._contest = self._contest._replace(deadline=self._contest.deadline + gap_s)
+        """Move the deadline by `gap_s` seconds in which this process did not run."""
+        if self._pending is not None:
+            self._pending = self._pending._replace(deadline=self._pending.deadline + gap_s)
 
     def due_at(self) -> float:
-        """When the contest ends if no answer comes."""
-        return self._contest.deadline if self._contest is not None else math.inf
+        """Return when the pending conflict expires if no answer arrives; infinity if there is none."""
+        return self._pending.deadline if self._pending is not None else math.inf
--- a/brookhinge/membership/join_progress.py
+++ b/brookhinge/membership/join_progress.py
@@ -1,27 +1,33 @@
-"""How far a member has come with its joining."""
+"""Tracks whether a member is still joining the fleet."""
 
 from brookhinge.membership import timing
 from brookhinge.membership.local_member import LocalMember
 
 
 class JoinProgress:
-    """A member is joining until its view equals others', or for MAX_JOINING_S."""
+    """The join state of a member, which lasts until its view agrees with others or for MAX_JOINING_S."""
 
     def __init__(self, local: LocalMember, now: float) -> None:
         self.local = local
         self.joining_until = now + timing.MAX_JOINING_S
-        self._agreements = 0  # members in a row that knew nobody more
+        self._agreements = 0  # consecutive members that knew no additional member
 
     def is_joining(self) -> bool:
-        """Whether it fetches the view, and nobody need fetch anything from it."""
+        """Return whether this member is still fetching the view; others need not fetch from it meanwhile."""
         return self.local.now < self.joining_until
 
     def finish(self, now: float) -> None:
-        """End the joining."""
+        """End the join phase."""
         self.joining_until = now
 
     def note_answer(self, now: float, learned: bool, needed: int) -> None:
-        """Note that a member answered; done once `needed` in a row knew nobody more."""
+        """Record a sync response; finish once `needed` consecutive ones added no member.
+
+        Args:
+            now: Current time in seconds.
+            learned: Whether the response added a member to the view.
+            needed: Number of consecutive responses without a new member.
+        """
         self._agreements = 0 if learned else self._agreements + 1
         if self._agreements >= needed:
             self.finish(now)
--- a/brookhinge/membership/joining.py
+++ b/brookhinge/membership/joining.py
@@ -1,4 +1,4 @@
-"""Joining: finding a first member by the seeds, then fetching the view from one after another."""
+"""Joining: contacts a first member through the seeds, then fetches the view from one after another."""
 
 import math
 
@@ -14,16 +14,16 @@
 from brookhinge.membership.writer import PeerWriter
 
 MAX_SEEDS_AT_ONCE = 3
-INTRODUCTIONS = 3  # members that one who is joining is told of by each that it asks first
-SYNC_REQUEST_BYTES = 136  # of the digests
+INTRODUCTIONS = 3  # members named in the first answer to a joining member
+SYNC_REQUEST_BYTES = 136  # of bucket digests
 CATCH_UP_BYTES_PER_S = 850.0
-START_BYTES_PER_S = 2500.0  # where the others are joining too: the whole fleet starts
+START_BYTES_PER_S = 2500.0  # while the others are joining too, as at the start of the whole fleet
 SETTLED_AGREEMENTS = 1
-JOINING_AGREEMENTS = 3  # members that are joining too know less
+JOINING_AGREEMENTS = 3  # for answers from members that are joining too, which know less
 
 
 class Joining:
-    """The start of one member."""
+    """Joins one member to the fleet when it starts."""
 
     def __init__(
         self,
@@ -42,11 +42,11 @@
         self._next_seed_at = now
 
     def is_alone(self) -> bool:
-        """Whether it has seeds and knows nobody yet."""
+        """Return whether this member has seeds and knows no other member yet."""
         return bool(self.seeds) and len(self.local.view.present()) <= 1
 
     def due_at(self) -> float:
-        """When `run` has something to do."""
+        """Return when `run` next has something to do."""
         if self.is_alone():
             return self._next_seed_at
         if self.progress.is_joining():
@@ -54,7 +54,7 @@
         return math.inf
 
     def run(self, now: float, writer: PeerWriter) -> None:
-        """Ping seeds while nobody is known; ask one member after another for claims while joining."""
+        """Ping seeds while no member is known; while joining, request claims from a random member."""
         if now >= self._next_seed_at and self.is_alone():
             self._next_seed_at = now + timing.SEED_RETRY_INTERVAL_S * (0.5 + self.local.rng.random())
             self._ping_seeds(writer)
@@ -68,14 +68,17 @@
             self.dissemination.send_to(address, ping, writer)
 
     def _catch_up(self, writer: PeerWriter) -> None:
-        """Send a sync request to a member, best to one that is no seed: all that start at once ask those."""
+        """Send a sync request to a member, preferably not a seed.
+
+        All members that start at the same time ping the seeds.
+        """
         known = self.local.sample_members(len(self.local.view.names), same_version=True)
         others = [i for i in known if self.local.view.addresses[i] not in self.seeds]
         if known:
             self.anti_entropy.request_sync(self.local.rng.choice(others or known), writer)
 
     def on_sync_response(self, now: float, received: Received, learned: bool) -> None:
-        """Plan the next sync request at the rate allowed; done once enough members knew nobody more."""
+        """Schedule the next sync request within the allowed byte rate, and record the response."""
         is_sender_joining = received.digest == UNSETTLED_DIGEST
         size = EMPTY_DATAGRAM_BYTES + SYNC_REQUEST_BYTES + COMPRESSED_CLAIM_BYTES * len(received.updates)
         rate = START_BYTES_PER_S if is_sender_joining else CATCH_UP_BYTES_PER_S
@@ -85,6 +88,6 @@
         )
 
     def introductions(self, now: float) -> list[Claim]:
-        """Some members for one that is joining: it then asks them, and not the few that all know."""
+        """Return claims about random members, so that a joining member does not ask only the seeds."""
         members = self.local.sample_members(INTRODUCTIONS, same_version=True)
         return [self.local.view.claim(i, now) for i in members]
--- a/brookhinge/membership/local_health.py
+++ b/brookhinge/membership/local_health.py
@@ -1,17 +1,17 @@
-"""Local health: how slow this router, or its own link, is (Lifeguard, section 4.1)."""
+"""Local health: an estimate of how slow this router or its link is (Lifeguard, section 4.1)."""
 
 MAX_SCORE = 8
-WAKING_PENALTY = 2
+WAKE_PENALTY = 2
 
 
 class LocalHealth:
-    """A score from 0, probes come back, to 8; it stretches the intervals of the failure detector."""
+    """A score from 0 (probes are answered) to MAX_SCORE that scales the failure detector's intervals."""
 
     def __init__(self) -> None:
         self.score = 0
 
     def worsen(self, by: int) -> None:
-        """Raise the score, as far as it goes; a negative number lowers it."""
+        """Raise the score by `by`, within its bounds; a negative value lowers it."""
         self.score = min(MAX_SCORE, max(0, self.score + by))
 
     def improve(self) -> None:
@@ -19,5 +19,5 @@
         self.score = max(0, self.score - 1)
 
     def multiplier(self) -> float:
-        """By how much intervals are stretched."""
+        """Return the factor by which intervals are scaled."""
         return 1.0 + self.score
--- a/brookhinge/membership/local_member.py
+++ b/brookhinge/membership/local_member.py
@@ -1,4 +1,4 @@
-"""This process as a member of the fleet: its identity, its view, and what the protocol asks of them."""
+"""This process as a member of the fleet: its identity, its view, and operations on both."""
 
 import random
 from typing import NamedTuple
@@ -11,16 +11,16 @@
 
 
 class Identity(NamedTuple):
-    """What a process states of itself when it starts."""
+    """The identity of a process, fixed when it starts."""
 
     name: str
     address: tuple[str, int]
     zone: str
-    version: int  # of the protocol
-    started_at_ms: int  # by the wall clock
+    version: int  # protocol version
+    started_at_ms: int  # wall clock, Unix time
 
     def first_claim(self, incarnation_id: int) -> Claim:
-        """The claim to begin with."""
+        """Return the first claim of this process about itself."""
         host, port = self.address
         return Claim(
             name=self.name,
@@ -37,16 +37,16 @@
 
 
 class LocalMember:
-    """Identity, view and chance of one process, shared by the parts of its peer.
+    """The identity, view and random generator of one process, shared by the components of its peer.
 
     Attributes:
-        now: when its last round began, seconds.
-        stopped: it has left, or an older process holds its name.
-        rng: the only source of chance; the order of the draws is part of a seeded history.
+        now: Start time of its last round, in seconds.
+        stopped: Whether it has left or an older process holds its name.
+        rng: The only source of randomness; the order of draws determines a seeded simulation run.
     """
 
     def __init__(self, identity: Identity, view: MembershipView, rng: random.Random, now: float) -> None:
-        """Draw an incarnation id and become the first member of the view."""
+        """Draw an incarnation id and add this process to the view as its first member."""
         self.name = identity.name
         self.incarnation_id = rng.getrandbits(INCARNATION_ID_BITS)
         self.version = identity.version
@@ -58,32 +58,35 @@
         view.apply(now, identity.first_claim(self.incarnation_id), self.name)
 
     def position(self) -> int:
-        """Its position in the view."""
+        """Return the position of this process in the view."""
         return self.view.index[self.name]
 
     def incarnation(self) -> int:
-        """The incarnation that it claims for itself."""
+        """Return the incarnation that this process claims."""
         return self.view.incarnations[self.position()]
 
     def claim(self, now: float) -> Claim:
-        """What it states of itself."""
+        """Return the claim of this process about itself."""
         return self.view.claim(self.position(), now)
 
     def next_nonce(self) -> int:
-        """A number for a ping; 0 is never drawn and stands for a ping without a deadline."""
+        """Return a new nonce for a ping; 0 is reserved for pings without a deadline."""
         self._last_nonce += 1
         return self._last_nonce
 
     def is_foreign(self, i: int) -> bool:
-        """Whether the member at a position speaks another version of the protocol."""
+        """Return whether the member at position `i` speaks another protocol version."""
         return self.view.versions[i] != self.version
 
     def scale(self) -> float:
-        """By how much intervals are stretched at the fleet's size."""
+        """Return the factor by which intervals are scaled at the current fleet size."""
         return interval_scale(len(self.view.names))
 
     def sample_members(self, count: int, same_version: bool = False) -> list[int]:
-        """Draw positions of so many present members but itself, of the same protocol version if asked."""
+        """Draw the positions of up to `count` random present members other than this process.
+
+        With `same_version`, only members of the same protocol version are drawn.
+        """
         view = self.view
         candidates = [
             i
@@ -94,12 +97,16 @@
         return self.rng.sample(candidates, min(count, len(candidates)))
 
     def claims_of(self, names: list[str], now: float) -> list[Claim]:
-        """Claims about those of the names that are still known."""
+        """Return claims about the named members that are still known."""
         view = self.view
         return [view.claim(view.index[name], now) for name in names if name in view.index]
 
     def assert_alive(self, now: float, incarnation: int) -> bool:
-        """Outbid an incarnation that others claim under this name; False if it is outbid already."""
+        """Raise the incarnation above one that others claim for this name.
+
+        Returns:
+            False if the own incarnation is already higher.
+        """
         if incarnation < self.incarnation():
             return False
         own = self.claim(now)._replace(incarnation=incarnation + 1, state=MemberState.ALIVE)
--- a/brookhinge/membership/messages.py
+++ b/brookhinge/membership/messages.py
@@ -1,4 +1,4 @@
-"""The messages of the membership socket, one class for each kind. codec.py has their words on the wire."""
+"""The messages of the membership socket, one class for each kind; codec.py maps them to method names."""
 
 import enum
 from typing import NamedTuple
@@ -8,14 +8,14 @@
 from brookhinge.membership.claims import Claim
 
 Notice = tuple[str | int | float, ...]
-"""A kind and its values: something that tightens a rule, told to all members."""
+"""A kind and its values: an event that tightens a rule, broadcast to all members."""
 
 Row = tuple
-"""One line of a table that another protocol puts in the place of the notices."""
+"""A table row of another protocol on the same socket, carried in the notices field."""
 
 
 class StatusTopic(enum.IntEnum):
-    """What an observer can ask for; the numbers go over the wire."""
+    """The tables that an observer can query; the numbers are part of the wire format."""
 
     MEMBERS = 0
     LIMITS = 1
@@ -23,9 +23,9 @@
 
 
 class Ping(msgspec.Struct, frozen=True):
-    """Asks a member for an answer, and states what is believed of it, so that it can refute it.
+    """Asks a member for an ack and states its believed state, so that it can refute it.
 
-    `incarnation_id` 0 means that any process at the address may answer.
+    An `incarnation_id` of 0 allows any process at the address to answer.
     """
 
     nonce: int
@@ -41,13 +41,13 @@
 
 
 class Nack(msgspec.Struct, frozen=True):
-    """Tells the asker of a ping request that no answer came in time."""
+    """Informs the sender of a ping request that the target did not answer in time."""
 
     nonce: int
 
 
 class PingRequest(msgspec.Struct, frozen=True):
-    """Asks a helper to ping a member that did not answer."""
+    """Asks a helper to ping a member that did not answer a direct ping."""
 
     nonce: int
     host: str
@@ -56,17 +56,17 @@
 
 
 class Announcement(msgspec.Struct, frozen=True):
-    """Carries claims and notices alone; is not answered."""
+    """Carries only claims and notices; it is not answered."""
 
 
 class Gossip(msgspec.Struct, frozen=True):
-    """Carries many claims, compressed; is not answered."""
+    """Carries many claims, compressed; it is not answered."""
 
 
 class SyncRequest(msgspec.Struct, frozen=True):
     """Asks for the claims of all buckets whose digests differ.
 
-    `digests` holds two bytes for each bucket, taken from bit `shift` of its digest on.
+    `digests` holds two bytes for each bucket: 16 bits of its digest, starting at bit `shift`.
     """
 
     shift: int
@@ -78,39 +78,39 @@
 
 
 class ForeignMessage(msgspec.Struct, frozen=True):
-    """Stands for any message of another protocol version but a ping and an ack. It is never written."""
+    """Replaces a message of another protocol version that is neither a ping nor an ack; it is never sent."""
 
 
 class StatusRequest(msgspec.Struct, frozen=True):
-    """Asks for the rows of a status topic, from `offset` on."""
+    """Asks for the rows of a status topic, starting at row `offset`."""
 
     offset: int
     topic: int
 
 
 class StatusResponse(msgspec.Struct, frozen=True):
-    """Answers a status request: some rows from `offset` on, of `total`."""
+    """Answers a status request with some of the `total` rows, starting at row `offset`."""
 
     offset: int
     total: int
 
 
 class LeaseRequest(msgspec.Struct, frozen=True):
-    """A lessee's demand and grants; `acknowledged` is the last message number it received from the lessor."""
+    """A lessee's demand and grants; `acknowledged` is the last lessor message number that it received."""
 
     number: int
     acknowledged: int
 
 
 class LeaseOffer(msgspec.Struct, frozen=True):
-    """A lessor's leases; `acknowledged` is the last message number it received from the lessee."""
+    """A lessor's leases; `acknowledged` is the last lessee message number that it received."""
 
     number: int
     acknowledged: int
 
 
 class EvidenceReport(msgspec.Struct, frozen=True):
-    """A router's totals of attempts and failures, for the collector of the servers in its rows."""
+    """A router's totals of attempts and failures, sent to the collector of the servers in its rows."""
 
     number: int
     sent_at_ms: int
@@ -124,28 +124,28 @@
 
 
 class WarmStartRequest(msgspec.Struct, frozen=True):
-    """A router that has just started asks for warm-start state."""
+    """Asks a member for warm-start state; sent by a router that has just started."""
 
     unused: int
     unused_too: int
 
 
 class WarmStartState(msgspec.Struct, frozen=True):
-    """Answers a warm-start request: some rows from `offset` on, of `total`."""
+    """Answers a warm-start request with some of the `total` rows, starting at row `offset`."""
 
     offset: int
     total: int
 
 
 class Received(NamedTuple):
-    """A datagram as it was read.
+    """A decoded datagram.
 
     Attributes:
-        sender: the sender's claim about itself.
-        digest: of the sender's view; 0 from one that is joining, or of another version.
-        updates: piggybacked claims about others.
-        notices: piggybacked notices, or the rows of a message of another protocol on the same socket.
-        message: one of the classes above.
+        sender: The sender's claim about itself.
+        digest: The digest of the sender's view; 0 if the sender is joining or speaks another version.
+        updates: Piggybacked claims about other members.
+        notices: Piggybacked notices, or the rows of a message of another protocol on the same socket.
+        message: An instance of one of the classes above.
     """
 
     sender: Claim
@@ -156,7 +156,7 @@
 
 
 class CoreMessage(NamedTuple):
-    """A message of another protocol on the same socket: who sent it (an incarnation id), and its rows."""
+    """A message of another protocol on the same socket, with the sender's incarnation id and the rows."""
 
     sender_id: int
     message: msgspec.Struct
--- a/brookhinge/membership/metrics.py
+++ b/brookhinge/membership/metrics.py
@@ -1,4 +1,7 @@
-"""A router's metrics of its fleet, read from the thread that serves them: lists are copied first."""
+"""Metrics of a router's view of the fleet.
+
+They are read from the thread that serves them, so lists are copied first.
+"""
 
 from collections.abc import Iterator
 from typing import TYPE_CHECKING
@@ -19,33 +22,37 @@
         self.transport = transport
 
     def collect(self) -> Iterator[Metric]:
-        """Yield all metrics, as prometheus_client asks."""
+        """Yield all metrics; called by prometheus_client."""
         transport = self.transport
         states = list(transport.peer.view.states)
         members = GaugeMetricFamily(
-            "brookhinge_fleet_members", "routers by what is believed of them", labels=["state"]
+            "brookhinge_fleet_members", "Number of known routers by believed state", labels=["state"]
         )
         for state in MemberState:
             members.add_metric([state.label], states.count(state))
         yield members
         sharers = GaugeMetricFamily(
-            "brookhinge_fleet_sharers", "by how many limits are divided", labels=["where"]
+            "brookhinge_fleet_sharers",
+            "Number of routers that share limits, in this zone (here) and in the fleet (all)",
+            labels=["where"],
         )
         sharers.add_metric(["here"], transport.fleet_size.in_zone)
         sharers.add_metric(["all"], transport.fleet_size.total)
         yield sharers
         yield GaugeMetricFamily(
             "brookhinge_fleet_local_health",
-            "0: probes come back; up to 8: this router is slow or its link is",
+            "Local health score: 0 if probes are answered, up to 8 if this router or its link is slow",
             transport.peer.health.score,
         )
         yield GaugeMetricFamily(
             "brookhinge_fleet_out",
-            "1: an older process holds this router's name",
+            "1 if this router has left or an older process holds its name, otherwise 0",
             int(transport.peer.stopped),
         )
-        yield _counter("datagrams", "sent, taken, or why one was dropped", transport.codec.counts)
-        yield _counter("changes", "of members, as in the log", transport.changes)
+        yield _counter(
+            "datagrams", "Datagrams sent, accepted (taken), or dropped, by reason", transport.codec.counts
+        )
+        yield _counter("changes", "Changes of members, as in the log event fleet", transport.changes)
         if transport.purge_log is not None:
             from brookhinge.purgelog.metrics import router_figures
 
--- a/brookhinge/membership/notice_queue.py
+++ b/brookhinge/membership/notice_queue.py
@@ -1,4 +1,4 @@
-"""Notices, each sent a bounded number of times by every member that receives it. No I/O, no clock."""
+"""A queue of notices, each sent a bounded number of times by every member. No I/O, no clock."""
 
 import random
 
@@ -6,29 +6,29 @@
 
 MAX_NOTICES = 512
 MAX_SEEN = 4 * MAX_NOTICES
-KEPT_S = 30.0
+RECENT_S = 30.0
 
 
 class PendingNotice:
-    """How often a notice is still to be sent, and when it was received."""
+    """The remaining transmissions of a notice and the time when it was received."""
 
     __slots__ = ("received_at", "remaining")
 
     def __init__(self, remaining: int, received_at: float) -> None:
-        """Queue it `remaining` times."""
+        """Queue the notice for `remaining` transmissions."""
         self.remaining = remaining
         self.received_at = received_at
 
 
 class NoticeQueue:
-    """The notices of late, and for longer which were seen."""
+    """Recent notices, and a longer record of those seen, which detects duplicates."""
 
     def __init__(self) -> None:
         self._notices: dict[Notice, PendingNotice] = {}
         self._seen: dict[Notice, None] = {}
 
     def add(self, notice: Notice, now: float, transmissions: int) -> bool:
-        """Queue a notice so many times; False if it was seen before."""
+        """Queue a notice for `transmissions` sends; return False if it was seen before."""
         if notice in self._seen:
             return False
         if len(self._notices) >= MAX_NOTICES:
@@ -40,8 +40,8 @@
         return True
 
     def take(self, count: int) -> list[Notice]:
-        """Take so many pending notices, the least often sent first; each counts as sent once more."""
-        pending = [notice for notice, one in self._notices.items() if one.remaining > 0]
+        """Take up to `count` pending notices, those with most remaining sends first; count each as sent."""
+        pending = [notice for notice, entry in self._notices.items() if entry.remaining > 0]
         pending.sort(key=lambda notice: -self._notices[notice].remaining)
         taken = pending[:count]
         for notice in taken:
@@ -49,20 +49,20 @@
         return taken
 
     def sample_settled(self, count: int, rng: random.Random) -> list[Notice]:
-        """Draw up to so many notices that were sent often enough."""
-        settled = [notice for notice, one in self._notices.items() if one.remaining <= 0]
+        """Draw up to `count` random notices that have no remaining transmissions."""
+        settled = [notice for notice, entry in self._notices.items() if entry.remaining <= 0]
         return rng.sample(settled, min(count, len(settled)))
 
     def has_pending(self) -> bool:
-        """Whether any is still to be sent."""
-        return any(one.remaining > 0 for one in self._notices.values())
+        """Return whether any notice is pending."""
+        return any(entry.remaining > 0 for entry in self._notices.values())
 
     def recent(self) -> list[Notice]:
-        """All notices of late."""
+        """Return all recent notices."""
         return list(self._notices)
 
     def expire(self, now: float) -> None:
-        """Drop the notices that are no longer of late; they stay seen."""
+        """Drop notices that are no longer recent; they still count as seen."""
         self._notices = {
-            notice: one for notice, one in self._notices.items() if now - one.received_at < KEPT_S
+            notice: entry for notice, entry in self._notices.items() if now - entry.received_at < RECENT_S
         }
--- a/brookhinge/membership/peer.py
+++ b/brookhinge/membership/peer.py
@@ -1,7 +1,7 @@
-"""One router's part in the fleet's view, without I/O, clock or chance of its own.
+"""The membership protocol of one router, without I/O, clock or randomness of its own.
 
-A peer asks the parts of the protocol in order: what was received, incarnation conflicts, the failure
-detector, joining, gossip. Times are seconds of the caller's monotonic clock.
+Each round handles received datagrams, then runs incarnation conflicts, the failure detector, joining and
+gossip, in this order. Times are seconds of the caller's monotonic clock.
 """
 
 import math
@@ -37,16 +37,16 @@
 from brookhinge.membership.writer import PeerWriter
 
 LEAVE_FANOUT = 2 * NOTICE_FANOUT
-WAKE_GAP_IN_PROBES = 2.0  # a longer pause between two rounds means that this process did not run
+WAKE_GAP_IN_PROBES = 2.0  # a longer gap between two rounds means that this process was paused
 
-# Two members that answered these by an announcement would go on for good.
-UNANSWERED = (Announcement, Gossip, SyncResponse)
-UNCOMPARED = (Announcement, Gossip, SyncResponse, SyncRequest)
-ARRIVALS = (MemberChange.JOINED, MemberChange.RESTARTED, MemberChange.BACK)
+# Not answered with an announcement, as two members would otherwise answer each other endlessly.
+UNANSWERED_TYPES = (Announcement, Gossip, SyncResponse)
+UNCOMPARED_TYPES = (Announcement, Gossip, SyncResponse, SyncRequest)
+ARRIVAL_CHANGES = (MemberChange.JOINED, MemberChange.RESTARTED, MemberChange.BACK)
 
 
 class Member(NamedTuple):
-    """What is known of a member, for the host."""
+    """The known state of a member, as given to the host."""
 
     name: str
     state: MemberState
@@ -58,18 +58,18 @@
 
 
 class Peer:
-    """One process among its fleet; `round` is called for what was received and when `next_at` is reached."""
+    """One member of the fleet; the host calls `round` for received datagrams and at `next_at`."""
 
     def __init__(
         self, identity: Identity, seeds: Sequence[tuple[str, int]], rng: random.Random, now: float
     ) -> None:
-        """Start alone.
+        """Create a peer that knows only itself.
 
         Args:
-            identity: what this process states of itself.
-            seeds: addresses to join by, any of which will do.
-            rng: the only source of chance.
-            now: seconds.
+            identity: Identity of this process.
+            seeds: Addresses of members to join through; one that answers is enough.
+            rng: The only source of randomness.
+            now: Current time in seconds.
         """
         self.view = MembershipView(timing.FORGET_AFTER_S)
         self.local = LocalMember(identity, self.view, rng, now)
@@ -91,33 +91,33 @@
         )
         self._next_forget_at = now + timing.FORGET_INTERVAL_S
 
-    # what the host asks
+    # queries by the host
 
     @property
     def name(self) -> str:
-        """Its name in the fleet."""
+        """The name of this process in the fleet."""
         return self.local.name
 
     @property
     def version(self) -> int:
-        """The version of the protocol that it speaks."""
+        """The protocol version that this process speaks."""
         return self.local.version
 
     @property
     def stopped(self) -> bool:
-        """Whether it has left, or an older process holds its name."""
+        """Whether this process has left or an older process holds its name."""
         return self.local.stopped
 
     def claim(self, now: float) -> Claim:
-        """What it states of itself."""
+        """Return the claim of this process about itself."""
         return self.local.claim(now)
 
     def digest(self) -> int:
-        """The digest that goes with each datagram."""
+        """Return the digest that is sent with each datagram."""
         return self.anti_entropy.digest()
 
     def members(self) -> list[Member]:
-        """All that are remembered."""
+        """Return all known members, including those lost or left."""
         view = self.view
         columns = (
             view.names,
@@ -133,16 +133,16 @@
     def estimate_fleet_size(
         self, now: float, lease_s: float, configured: int, zone: str | None = None
     ) -> int:
-        """By how many a limit of the fleet is divided: see fleet_size.py.
+        """Return how many routers share a limit of the fleet; see fleet_size.py.
 
-        Who is joining may have been told that members left, and not yet that they are back: nobody's share
-        is free for it.
+        A joining member may know that others left but not yet that they are back, so it treats no share as
+        free.
         """
         lease_s = math.inf if self.join_progress.is_joining() else lease_s
         return estimate_fleet_size(self.view, now, lease_s, configured, zone)
 
     def next_at(self) -> float:
-        """When a round is due though nothing was received."""
+        """Return when the next round is due if nothing is received."""
         if self.stopped:
             return math.inf
         return min(
@@ -153,24 +153,24 @@
             self.conflict.due_at(),
         )
 
-    # what the host tells
+    # commands by the host
 
     def spread(self, now: float, kind: str, values: tuple, writer: PeerWriter) -> None:
-        """Tell all members something that tightens a rule: a drain, a purge, a server gone."""
+        """Send all members a notice that tightens a rule: a drain, a purge, or the removal of a server."""
         self.dissemination.receive_notice(now, (kind, *values), self.name, writer)
 
     def leave(self, now: float, writer: PeerWriter) -> None:
-        """Claim to have left, to as many members as will carry it on."""
+        """Announce to LEAVE_FANOUT members, which gossip it further, that this process has left."""
         if not self.stopped:
             self.view.apply(now, self.claim(now)._replace(state=MemberState.LEFT), self.name)
             for i in self.local.sample_members(LEAVE_FANOUT):
                 self.dissemination.send(i, Announcement(), writer, [self.claim(now)])
         self.local.stopped = True
 
-    # a round
+    # rounds
 
     def round(self, now: float, inbox: Sequence[Received], writer: PeerWriter) -> None:
-        """Take what was received, then do what is due."""
+        """Handle the received datagrams, then run whatever is due."""
         if self.stopped:
             return
         gap_s = now - self.local.now
@@ -192,11 +192,11 @@
             self.dissemination.notices.expire(now)
 
     def _probe_interval(self) -> float:
-        """Seconds between two probes: in a large fleet they are most of what the view costs."""
+        """Return the seconds between two probes, which cause most of the traffic in a large fleet."""
         scale = timing.MAX_INTERVAL_SCALE if self.join_progress.is_joining() else self.local.scale()
         return timing.PROBE_INTERVAL_S * scale
 
-    # what was received
+    # received datagrams
 
     def _receive(self, now: float, received: Received, writer: PeerWriter) -> None:
         sender = received.sender
@@ -211,19 +211,19 @@
             return
         is_foreign = self.local.is_foreign(i)
         if self.view.states[i] != MemberState.ALIVE:
-            self._tell_its_state(now, i, message_type, writer)
-        if change in ARRIVALS:
-            self.anti_entropy.welcome(now, i, writer)
+            self._send_known_state(now, i, message_type, writer)
+        if change in ARRIVAL_CHANGES:
+            self.anti_entropy.on_arrival(now, i, writer)
         if message_type is SyncResponse and self.join_progress.is_joining():
             self.joining.on_sync_response(now, received, len(self.view.names) > known_before)
-        if message_type not in UNCOMPARED and not is_foreign:
+        if message_type not in UNCOMPARED_TYPES and not is_foreign:
             self.anti_entropy.compare(now, i, received.digest, writer)
         handler = _HANDLERS.get(message_type)
         if handler is not None:
             handler(self, now, i, received, writer)
 
     def _apply(self, now: float, received: Received, writer: PeerWriter) -> MemberChange | None:
-        """Apply all claims and notices of a datagram; what the sender's own claim changed."""
+        """Apply all claims and notices of a datagram; return what the sender's own claim changed."""
         sender = received.sender
         transmissions = self._transmissions(type(received.message))
         change = self.updates.apply_update(now, sender, sender.name, writer, transmissions)
@@ -234,16 +234,19 @@
         return change
 
     def _transmissions(self, message_type: type) -> int:
-        """How often news from such a message is sent on: to a member that is joining all is new."""
+        """Return how often new claims from a message of this type are sent on.
+
+        To a joining member nearly every claim is new, so it forwards only those received by gossip.
+        """
         is_joining = self.join_progress.is_joining()
         if message_type is SyncResponse:
             return 0 if is_joining else UPDATE_TRANSMISSIONS // 2
         return 0 if is_joining and message_type is not Gossip else UPDATE_TRANSMISSIONS
 
     def _answer_superseded(self, now: float, i: int | None, received: Received, writer: PeerWriter) -> None:
-        """Answer a process whose name is another's by what is known: it is told so.
+        """Answer a process whose name belongs to another process with the claim known for that name.
 
-        It may also ask, or be asked, whether the older process lives: see incarnation_conflict.py.
+        Pings and acks between the two processes are handled first; see incarnation_conflict.py.
         """
         sender = received.sender
         message = received.message
@@ -251,25 +254,25 @@
             writer.send(sender.address, Ack(message.nonce), [], [])
         elif isinstance(message, Ack):
             self.handle_ack(message.nonce, writer)
-        elif i is not None and not isinstance(message, UNANSWERED):
+        elif i is not None and not isinstance(message, UNANSWERED_TYPES):
             writer.send(sender.address, Announcement(), [self.view.claim(i, now)], [])
 
-    def _tell_its_state(self, now: float, i: int, message_type: type, writer: PeerWriter) -> None:
-        """Tell a member that lives what is believed of it."""
+    def _send_known_state(self, now: float, i: int, message_type: type, writer: PeerWriter) -> None:
+        """Send a live member the state in which this router believes it, so that it can refute it."""
         if self.local.is_foreign(i):
             self.failure_detector.ping(i, NO_DEADLINE, writer)
-        elif message_type not in UNANSWERED:
+        elif message_type not in UNANSWERED_TYPES:
             self.dissemination.send(i, Announcement(), writer, [self.view.claim(i, now)])
 
     def handle_ack(self, nonce: int, writer: PeerWriter) -> None:
-        """Take the answer to a ping of the conflict or of the failure detector."""
+        """Handle an ack to a ping of the incarnation conflict or of the failure detector."""
         if not self.conflict.on_ack(nonce, writer):
             self.failure_detector.on_ack(nonce, writer)
 
     def _on_ping(self, now: float, i: int, received: Received, writer: PeerWriter) -> None:
         ping = received.message
         if ping.state != MemberState.ALIVE and ping.incarnation >= self.local.incarnation():
-            self.updates.on_accused(now, ping.incarnation, ping.state)
+            self.updates.refute_own_state(now, ping.incarnation, ping.state)
         if ping.incarnation_id not in (ANY_PROCESS, self.local.incarnation_id):
             return
         is_foreign = self.local.is_foreign(i)
--- a/brookhinge/membership/status_query.py
+++ b/brookhinge/membership/status_query.py
@@ -1,4 +1,4 @@
-"""Status queries: an observer asks one router what it believes, without joining the fleet."""
+"""Status queries: an observer reads the state of one router without joining the fleet."""
 
 import asyncio
 import random
@@ -12,26 +12,26 @@
 
 MAX_UNANSWERED = 4
 ANSWER_TIMEOUT_S = 0.4
-LEAST_WAIT_S = 0.01
-OBSERVER_NAME = "?"  # names of members never begin with it
+MIN_WAIT_S = 0.01
+OBSERVER_NAME = "?"  # member names never start with this character
 
 
 class Status(NamedTuple):
-    """All rows of one topic, in order, and the digest of the router's view."""
+    """All rows of one topic, sorted, and the digest of the router's view."""
 
     rows: list[list]
     digest: int
 
 
 class Observer(asyncio.DatagramProtocol):
-    """Queues the status responses that come."""
+    """Queues the status responses that are received."""
 
     def __init__(self, codec: Codec) -> None:
         self.codec = codec
         self.responses: asyncio.Queue[Received] = asyncio.Queue()
 
     def datagram_received(self, data: bytes, address: tuple) -> None:
-        """Queue a status response; anything else is dropped."""
+        """Queue a status response; drop any other datagram."""
         received = self.codec.read(data)
         if received is not None and isinstance(received.message, StatusResponse):
             self.responses.put_nowait(received)
@@ -40,10 +40,11 @@
 async def query_status(
     address: tuple[str, int], site: str, key: bytes, topic: StatusTopic = StatusTopic.MEMBERS
 ) -> Status | None:
-    """Read all rows of a topic from the router at an address; None if nothing answers.
+    """Read all rows of a topic from the router at an address; return None if it does not answer.
 
-    Rows of members: (member, state, seconds since, by whose claim, zone, address); of limits and verdicts
-    as their cores' `status_rows` says. A view that changes while it is read is read again.
+    Rows of members are (member, state, seconds in this state, reporter, zone, address). Rows of limits and
+    verdicts are described at `status_rows` of their cores. If the view changes between two responses,
+    reading starts again.
     """
     codec = Codec(site, key)
     transport, observer = await asyncio.get_running_loop().create_datagram_endpoint(
@@ -69,7 +70,7 @@
         deadline = time.monotonic() + ANSWER_TIMEOUT_S
         try:
             received = await asyncio.wait_for(
-                observer.responses.get(), max(LEAST_WAIT_S, deadline - time.monotonic())
+                observer.responses.get(), max(MIN_WAIT_S, deadline - time.monotonic())
             )
         except TimeoutError:
             unanswered += 1
--- a/brookhinge/membership/udp_transport.py
+++ b/brookhinge/membership/udp_transport.py
@@ -1,4 +1,4 @@
-"""Joins a peer to UDP on an asyncio loop: datagrams in, rounds, datagrams out, changes to the log."""
+"""Runs a peer over UDP on an asyncio loop: reads and sends datagrams, runs rounds and logs changes."""
 
 import asyncio
 import collections
@@ -35,15 +35,18 @@
 if TYPE_CHECKING:
     from brookhinge.operator.settings import Fleet
 
-MAX_INBOX = 256  # datagrams that one round takes; more that come before it are dropped
-LEAVE_FLUSH_S = 0.05  # until the claim of leaving is out and the socket may close
+MAX_INBOX = 256  # datagrams queued for one round; further ones are dropped
+LEAVE_FLUSH_S = 0.05  # time for the leave announcement to be sent before the socket closes
 COUNT_INTERVAL_S = 1.0
-LEAST_WAIT_S = 0.001
-STATUS_ROWS = 6  # in one datagram
+MIN_WAIT_S = 0.001
+STATUS_ROWS = 6  # per datagram
 
 
 class UdpTransport(asyncio.DatagramProtocol):
-    """One router among its peers: `await start()`, `spread(kind, *values)`, `await leave()`."""
+    """The membership socket of one router.
+
+    Its interface is `await start()`, `spread(kind, *values)` and `await leave()`.
+    """
 
     def __init__(
         self,
@@ -53,14 +56,14 @@
         post: Callable[[Event], None],
         log: Callable[..., None],
     ) -> None:
-        """Prepare a router; nothing is sent before `start`.
+        """Prepare the transport; nothing is sent before `start`.
 
         Args:
-            settings: the block `fleet` of the operator's file.
-            seed: of chance, with the moment of the start.
-            configured: how many routers the settings tell of, in the zone and in all.
-            post: takes the events for the engine.
-            log: called as log(event, **values).
+            settings: The `fleet` block of the operator settings.
+            seed: Seed of the random generator, combined with the start time and process id.
+            configured: Number of configured routers in the zone and in the whole fleet.
+            post: Receives events for the engine.
+            log: Called as log(event, **values).
         """
         self.settings = settings
         self.seed = seed
@@ -69,7 +72,7 @@
         self.codec = Codec(settings.site, settings.key)
         self.transport: asyncio.DatagramTransport | None = None
         self.changes: collections.Counter[MemberChange] = collections.Counter()
-        self.purge_log = None  # a LogClient, if there is one: its metrics are served with these
+        self.purge_log = None  # a LogClient or None; its metrics are served along with these
         self.configured = FleetSize(*configured)
         self.fleet_size = self.configured
         self.timer: asyncio.TimerHandle | None = None
@@ -83,24 +86,24 @@
         self._core_inboxes: dict[int, list[CoreMessage]] = {}
 
     def add(self, factory: Callable[["UdpTransport", float], Core]) -> None:
-        """Register a core; `factory(transport, now)` makes it once the peer is made."""
+        """Register a core; `factory(transport, now)` creates it after the peer has been created."""
         self._core_factories.append(factory)
 
     async def start(self) -> tuple[str, int]:
-        """Bind the socket and join; the address that members see."""
+        """Bind the socket and join the fleet; return the address advertised to members."""
         loop = asyncio.get_running_loop()
         self.transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self.settings.listen)
         address = self.settings.advertise or self.transport.get_extra_info("sockname")[:2]
         started_at_ms = round(time.time() * 1000)
         identity = Identity(self.settings.name, address, self.settings.zone, VERSION, started_at_ms)
-        # Two starts with one seed are two processes all the same.
+        # Two starts with the same seed must draw different incarnation ids.
         rng = random.Random(f"{self.seed} {started_at_ms} {os.getpid()}")
         self.peer = Peer(identity, list(self.settings.join), rng, time.monotonic())
         self._serve_metrics()
         host, port = address
         metrics = {"metrics": self._metrics_server.server_port} if self._metrics_server else {}
         self.log("fleet", change="listening", address=f"{host}:{port}", **metrics)
-        self._cores = [make(self, steady()) for make in self._core_factories]
+        self._cores = [factory(self, steady()) for factory in self._core_factories]
         self._core_of = {kind: core for core in self._cores for kind in core.message_types}
         self._core_inboxes = {id(core): [] for core in self._cores}
         self.run_round()
@@ -129,11 +132,11 @@
             self._is_round_scheduled = True
             asyncio.get_running_loop().call_soon(self.run_round)
 
-    def error_received(self, fault: OSError) -> None:
-        """Ignore that nobody listens at an address: silence says the same."""
+    def error_received(self, error: OSError) -> None:
+        """Ignore errors such as an unreachable port; the failure detector notices the missing answer."""
 
     def _route_to_core(self, received: Received) -> Received:
-        """Queue the message of a core; return what is left for the peer."""
+        """Queue a message for its core, and return the datagram without it for the peer."""
         message = received.message
         if not isinstance(message, CORE_MESSAGES):
             return received
@@ -146,7 +149,7 @@
     # rounds
 
     def run_round(self) -> None:
-        """Run the peer and the cores on what was received since the last round, and on what is due."""
+        """Run the peer and the cores on the datagrams since the last round and whatever is due."""
         self._is_round_scheduled = False
         inbox = self._inbox
         self._inbox = []
@@ -164,10 +167,10 @@
         self.timer = None
         if wait_s != math.inf:
             loop = asyncio.get_running_loop()
-            self.timer = loop.call_later(max(LEAST_WAIT_S, wait_s), self.run_round)
+            self.timer = loop.call_later(max(MIN_WAIT_S, wait_s), self.run_round)
 
     def _run_cores(self) -> float:
-        """Run all cores; seconds until the next one is due."""
+        """Run all cores; return the seconds until the next one is due."""
         wait_s = math.inf
         for core in self._cores:
             inbox = self._core_inboxes[id(core)]
@@ -178,13 +181,16 @@
         return wait_s
 
     def before_engine_round(self) -> None:
-        """Publish what has ended by itself, so that the engine's next round does not use it."""
+        """Publish expired values, so that the engine's next round does not use them."""
         for core in self._cores:
             if steady() >= core.shrinks_at:
                 core.publish(steady(), self)
 
     def _update_fleet_size(self, now: float) -> None:
-        """Tell the engine by how many limits are divided, after each change and each second."""
+        """Post the number of routers that share limits to the engine if it has changed.
+
+        This runs after each membership change and once per COUNT_INTERVAL_S.
+        """
         self._next_count_at = now + COUNT_INTERVAL_S
         lease_s = self.settings.lease_s
         in_zone = self.peer.estimate_fleet_size(now, lease_s, self.configured.in_zone, self.settings.zone)
@@ -194,15 +200,15 @@
             self.log("fleet", change="sharers", here=in_zone, all=total)
             self._post(RouterCountChanged(in_zone, total))
 
-    # what the service asks
+    # commands by the service
 
     def spread(self, kind: str, *values: object) -> None:
-        """Tell all members something that tightens a rule."""
+        """Send all members a notice that tightens a rule."""
         self.peer.spread(time.monotonic(), kind, values, self)
 
     async def leave(self) -> None:
-        """Tell the members that this router goes, and close."""
-        if self.transport is None:  # it never got to join
+        """Announce to the members that this router leaves, and close the socket."""
+        if self.transport is None:  # `start` has not bound the socket
             return
         self.peer.leave(time.monotonic(), self)
         await asyncio.sleep(LEAVE_FLUSH_S)
@@ -213,13 +219,13 @@
         self.transport.close()
 
     def core_context(self) -> CoreContext:
-        """What a core needs to know of this router; the peer is made by now."""
+        """Return the context for a core; the peer must exist already."""
         return CoreContext(self.peer.view, self.settings.name, self.settings.zone, self.peer.version)
 
     # status
 
     def _answer_observer(self, received: Received, address: tuple) -> None:
-        """Send some rows of a topic, from an offset on."""
+        """Answer a status request with up to STATUS_ROWS rows, starting at the requested offset."""
         request = received.message
         if not isinstance(request, StatusRequest):
             return
@@ -249,7 +255,7 @@
             )
         return rows
 
-    # what the peer writes
+    # PeerWriter
 
     def send(
         self,
@@ -258,14 +264,14 @@
         updates: Sequence[Claim],
         notices: Sequence[Notice],
     ) -> None:
-        """Send a datagram; one that is too long even without updates is dropped and counted."""
+        """Send a datagram; one that is too long without updates and notices is dropped and counted."""
         claim = self.peer.claim(time.monotonic())
         data = self.codec.write(claim, self.peer.digest(), message, updates, notices)
         if data is not None:
             self.transport.sendto(data, address)
 
     def changed(self, change: MemberChange, name: str, reporter: str) -> None:
-        """Log a change of a member, and count the fleet anew."""
+        """Log and count a change of a member, and force a recount of the fleet in the next round."""
         self._next_count_at = 0.0
         self.changes[change] += 1
         if change is MemberChange.NAME_TAKEN:
@@ -274,20 +280,20 @@
                 change=change,
                 member=name,
                 by=reporter,
-                why="an older process holds this name: this one stays out of the fleet",
+                why="an older process uses this name; this process stays out of the fleet",
             )
         else:
             present = len(self.peer.view.present())
             self.log("fleet", change=change, member=name, by=reporter, members=present)
 
     def notice(self, kind: str, values: tuple, reporter: str) -> None:
-        """Post a member's notice to the engine."""
+        """Post a notice received from a member to the engine."""
         self._post(PeerNoticeReceived(kind, values))
 
-    # what the cores write
+    # CoreWriter
 
     def post_to(self, i: int, message: msgspec.Struct, rows: Sequence[Row]) -> None:
-        """Send a core's message to the member at a position."""
+        """Send a core's message with rows to the member at position `i`."""
         self.send(self.peer.view.addresses[i], message, [], rows)
 
     def post_event(self, event: Event) -> None:
--- a/brookhinge/membership/updates.py
+++ b/brookhinge/membership/updates.py
@@ -1,4 +1,4 @@
-"""Applying updates: what a claim, received or made here, changes in the view and sets off."""
+"""Applies claims, received or made locally, to the view and queues what must be sent on."""
 
 from brookhinge.membership.claims import Claim, MemberState
 from brookhinge.membership.dissemination import UPDATE_TRANSMISSIONS, Dissemination
@@ -13,7 +13,7 @@
 
 
 class UpdateApplier:
-    """Merges claims into the view, keeps the suspicions in step, and queues what is new."""
+    """Merges claims into the view, updates the suspicion table, and queues new claims for dissemination."""
 
     def __init__(
         self,
@@ -37,7 +37,10 @@
         writer: PeerWriter,
         transmissions: int = UPDATE_TRANSMISSIONS,
     ) -> MemberChange | None:
-        """Merge a claim, or refute it, and queue what is new so many times; return what it changed."""
+        """Merge a claim, or refute it if it is about this process, and return what it changed.
+
+        A claim that is new is queued to be sent `transmissions` times.
+        """
         local = self.local
         if claim.name == local.name:
             self._apply_own_name(now, claim, writer)
@@ -63,10 +66,10 @@
         if claim.incarnation_id != self.local.incarnation_id:
             self.conflict.on_claim(now, claim, writer)
         elif claim.state != MemberState.ALIVE and claim.incarnation >= self.local.incarnation():
-            self.on_accused(now, claim.incarnation, claim.state)
+            self.refute_own_state(now, claim.incarnation, claim.state)
 
     def _confirm_suspicion(self, now: float, claim: Claim, reporter: str) -> None:
-        """Count another witness of a suspicion that is under way."""
+        """Count the reporter as another witness of a pending suspicion."""
         view = self.local.view
         i = view.index.get(claim.name)
         if i is None or claim.state != MemberState.SUSPECTED:
@@ -80,13 +83,16 @@
         ):
             self.dissemination.queue_witness(claim.name, now)
 
-    def on_accused(self, now: float, incarnation: int, state: MemberState) -> None:
-        """Refute that this process is suspected or gone; a suspicion also says that it may be slow."""
+    def refute_own_state(self, now: float, incarnation: int, state: MemberState) -> None:
+        """Refute a claim that this process is suspected or gone.
+
+        A suspicion also worsens local health, because it suggests that this process is slow.
+        """
         if state == MemberState.SUSPECTED:
             self.health.worsen(1)
         self.conflict.refute(now, incarnation)
 
     def declare(self, now: float, i: int, state: MemberState, writer: PeerWriter) -> None:
-        """Claim of its own that the member at a position is suspected or lost."""
+        """Declare the member at position `i` suspected or lost."""
         claim = self.local.view.claim(i, now)._replace(state=state)
         self.apply_update(now, claim, self.local.name, writer)
--- a/brookhinge/membership/view.py
+++ b/brookhinge/membership/view.py
@@ -1,6 +1,7 @@
-"""What one router knows of each of its fleet, and which of two claims holds. No I/O, no clock.
+"""One router's view of all members, and the precedence of claims. No I/O, no clock.
 
-Claims merge in any order and any number to the same view: the properties in tests/membership hold it to that.
+Merging is commutative and idempotent: claims received in any order and any number of times give the same
+view. The property tests in tests/membership check this.
 """
 
 import enum
@@ -10,8 +11,8 @@
 
 from brookhinge.membership.claims import GONE_STATES, PRESENT_STATES, Claim, MemberState
 
-BUCKETS = 64  # parts in which views are compared
-SHIFTS = 49  # positions in a digest of 64 bits from which 16 bits can be taken
+BUCKETS = 64  # partitions of the view that are compared separately
+SHIFTS = 49  # bit offsets at which 16 bits of a 64-bit digest can be taken
 UINT64_MASK = 0xFFFFFFFFFFFFFFFF
 SHORT_DIGEST_MASK = 0xFFFF
 
@@ -21,7 +22,7 @@
 
 
 class MemberChange(enum.StrEnum):
-    """What a claim changed; the values stand in logs and metrics."""
+    """What a claim changed; the values appear in logs and metrics."""
 
     JOINED = "joined"
     SUSPECTED = "suspected"
@@ -49,15 +50,15 @@
 
 
 class MembershipView:
-    """Parallel lists, one entry a member; `index` has the position of a name.
+    """The known members as parallel lists, one entry per member; `index` maps a name to its position.
 
-    `since` is when the member came to its state, `reporters` by whose claim. `replaced` has, for each
-    process that was replaced under its name without a claim of leaving, when it was last believed alive,
-    and its zone.
+    `since` holds when each member entered its state, and `reporters` which member reported that. `replaced`
+    holds the time last believed alive and the zone of each process that was replaced by another under the
+    same name without having announced that it left.
     """
 
     def __init__(self, remember_s: float) -> None:
-        """Start empty; `remember_s`: how long the lost and the gone are kept."""
+        """Create an empty view; members that were lost or left are kept for `remember_s` seconds."""
         self.remember_s = remember_s
         self.index: dict[str, int] = {}
         self.names: list[str] = []
@@ -74,7 +75,7 @@
         self._bucket_digests = [0] * BUCKETS
 
     def claim(self, i: int, now: float) -> Claim:
-        """What this router claims of the member at a position."""
+        """Return this router's claim about the member at position `i`."""
         state = self.states[i]
         host, port = self.addresses[i]
         return Claim(
@@ -91,16 +92,16 @@
         )
 
     def supersedes(self, i: int, incarnation_id: int, incarnation: int, state: MemberState) -> bool:
-        """Whether a claim about the member at a position goes before what is known.
+        """Return whether a claim about the member at position `i` supersedes the known state.
 
-        The higher incarnation does, which only the process itself raises, and within one the worse state.
-        Who has left raises it no more: leaving is for good.
+        The higher incarnation wins; only the process itself raises it. Within one incarnation the worse state
+        wins. A process that has left never raises its incarnation again, so leaving is final.
         """
         known = (self.incarnations[i], self.incarnation_ids[i], self.states[i])
         return (incarnation, incarnation_id, state) > known
 
     def apply(self, now: float, claim: Claim, reporter: str) -> MemberChange | None:
-        """Merge a claim received from `reporter`; what it changed, or None."""
+        """Merge a claim received from `reporter`; return what it changed, or None."""
         if claim.state in GONE_STATES and claim.age_s > self.remember_s:
             return None
         i = self.index.get(claim.name)
@@ -117,7 +118,7 @@
         self._replace(now, i, claim, reporter)
         if is_other_process:
             return MemberChange.RESTARTED if claim.state in PRESENT_STATES else _STATE_CHANGES[claim.state]
-        return _change_of_state(old_state, claim.state, has_moved)
+        return _state_change(old_state, claim.state, has_moved)
 
     def _add(self, now: float, claim: Claim, reporter: str) -> None:
         i = self.index[claim.name] = len(self.names)
@@ -134,7 +135,7 @@
         self._toggle_digest(i)
 
     def _note_replaced(self, now: float, i: int) -> None:
-        """Remember a process that did not leave: what it was lent may still be in use."""
+        """Remember a replaced process that did not leave, because it may still use its leases."""
         if self.states[i] in PRESENT_STATES:
             self.replaced.append((now, self.zones[i]))
         elif self.states[i] == LOST:
@@ -155,26 +156,26 @@
         self._toggle_digest(i)
 
     def _toggle_digest(self, i: int) -> None:
-        """Take a member into its bucket's digest, or out again. Suspicion passes and stays out of it."""
+        """Add a member to its bucket's digest or remove it; suspicion is temporary and counts as alive."""
         state = ALIVE if self.states[i] == SUSPECTED else self.states[i]
         part = f"{self.names[i]} {self.incarnation_ids[i]} {self.incarnations[i]} {int(state)}"
         self._bucket_digests[self.bucket(i)] ^= xxhash.xxh64_intdigest(part.encode())
 
     def bucket(self, i: int) -> int:
-        """The bucket of the member at a position."""
+        """Return the bucket of the member at position `i`."""
         return zlib.crc32(self.names[i].encode()) % BUCKETS
 
     def digest(self) -> int:
-        """One number for the whole view: two that are equal are the same view."""
+        """Return one number for the whole view; equal digests mean equal views."""
         total = 0
         for bucket_digest in self._bucket_digests:
             total = (total * 31 + bucket_digest) & UINT64_MASK
         return total
 
     def short_digests(self, shift: int) -> bytes:
-        """16 bits of each bucket's digest, from bit `shift` on.
+        """Return 16 bits of each bucket's digest, starting at bit `shift`.
 
-        Two that are alike by chance differ at another shift.
+        Digests whose 16 bits collide at one shift differ at another.
         """
         return b"".join(
             (bucket_digest >> shift & SHORT_DIGEST_MASK).to_bytes(2, "big")
@@ -182,11 +183,11 @@
         )
 
     def present(self) -> list[int]:
-        """Positions of those not known to be gone."""
+        """Return the positions of members that are alive or suspected."""
         return [i for i, state in enumerate(self.states) if state in PRESENT_STATES]
 
     def forget_gone(self, now: float) -> bool:
-        """Drop who has been gone for longer than is remembered; return whether positions changed."""
+        """Drop members gone for longer than `remember_s`; return whether positions changed."""
         self.replaced = [(at, zone) for at, zone in self.replaced if now - at <= self.remember_s]
         dropped = {
             i
@@ -214,8 +215,8 @@
         return True
 
 
-def _change_of_state(old: MemberState, new: MemberState, has_moved: bool) -> MemberChange | None:
-    """What a newer claim about the same process changed."""
+def _state_change(old: MemberState, new: MemberState, has_moved: bool) -> MemberChange | None:
+    """Return what a newer claim about the same process changed, or None."""
     if old == new:
         if has_moved:
             return MemberChange.MOVED
--- a/brookhinge/membership/warm_start.py
+++ b/brookhinge/membership/warm_start.py
@@ -1,8 +1,7 @@
-"""Warm-start state: what a router that has just started is told by a member of its zone. No I/O, no clock.
+"""Warm start: a router that has just started fetches state from a member of its zone. No I/O, no clock.
 
-That is sub-ranges of the beacon rings, what requests take, and which servers hold what is asked for most.
-It loosens
-nothing: a wrong hint costs a miss.
+The state is the sub-ranges of the beacon rings, the transfer times of the request classes, and the holders of
+the most requested objects. It loosens no rule: a wrong hint costs a miss.
 """
 
 import math
@@ -21,19 +20,19 @@
 
 
 class WarmStart:
-    """Asks one member after another until one answers; from then on answers others."""
+    """Asks one member after another until one answers; afterwards it answers others."""
 
     message_types = (WarmStartRequest, WarmStartState)
     status_topic = None
     shrinks_at = math.inf
 
     def __init__(self, context: CoreContext, *, known_rows: Callable[[], list[Row]], now: float) -> None:
-        """Begin to ask at once.
+        """Create a protocol instance whose first request is due at once.
 
         Args:
-            context: this router; only members of its zone are asked.
-            known_rows: what this router knows, (kind, text, number, text, number, number) each.
-            now: seconds.
+            context: Context of this router; only members of its zone are asked.
+            known_rows: Returns the state of this router as rows (kind, text, number, text, number, number).
+            now: Current time in seconds.
         """
         self.context = context
         self.known_rows = known_rows
@@ -42,11 +41,11 @@
         self._attempts = 0
 
     def next_at(self) -> float:
-        """When the next member is asked."""
+        """Return when the next member is asked; infinity when done."""
         return math.inf if self.is_done else self._next_attempt_at
 
     def round(self, now: float, inbox: Sequence[CoreMessage], writer: CoreWriter) -> None:
-        """Answer, take an answer, or ask."""
+        """Answer requests and handle responses, then ask the next member if that is due."""
         for received in inbox:
             if isinstance(received.message, WarmStartRequest):
                 self._answer(received.sender_id, writer)
@@ -57,7 +56,7 @@
             self._ask(now, writer)
 
     def _answer(self, sender_id: int, writer: CoreWriter) -> None:
-        """Send what is known, if this router has done asking itself."""
+        """Send the state of this router, unless it is still asking for state itself."""
         incarnation_ids = self.context.view.incarnation_ids
         if not self.is_done or sender_id not in incarnation_ids:
             return
@@ -68,7 +67,7 @@
             writer.post_to(sender, WarmStartState(offset, len(rows)), part)
 
     def _ask(self, now: float, writer: CoreWriter) -> None:
-        """Ask the next member; whoever has nobody to ask has started with the others."""
+        """Ask the next member; give up after MAX_ATTEMPTS, as when all routers start together."""
         self._next_attempt_at = now + RETRY_INTERVAL_S
         self._attempts += 1
         members = self._candidates()
@@ -78,15 +77,15 @@
             writer.post_to(members[self._attempts % len(members)], WarmStartRequest(0, 0), [])
 
     def _candidates(self) -> list[int]:
-        """Positions of the members that may be asked, in an order of this router's own."""
+        """Return the positions of members that can be asked, in an order specific to this router."""
         context = self.context
         names = context.view.names
         members = [i for i in context.alive_members(context.zone) if not context.is_self(i)]
         return sorted(members, key=lambda i: xxhash.xxh64_intdigest(f"{context.name} {names[i]}".encode()))
 
     def publish(self, now: float, writer: CoreWriter) -> None:
-        """Post nothing: nothing here ends by itself."""
+        """Post nothing, since no value of this protocol expires."""
 
     def status_rows(self, now: float) -> list[Row]:
-        """No rows: there is no status topic."""
+        """Return no rows, since there is no status topic."""
         return []
--- a/brookhinge/membership/warm_start_decisions.py
+++ b/brookhinge/membership/warm_start_decisions.py
@@ -1,24 +1,24 @@
-"""The decisions of a router that tells warm-start state and is told it (`warm_start.py`).
+"""Provides a router's warm-start state to members and applies theirs (see `warm_start.py`).
 
-What is told loosens nothing: a cache is asked for what it holds with the oldest copy that will do as ever,
-and a wrong hint costs a miss.
+The received state loosens no rule: a request to a cache still states the oldest copy that is acceptable, and
+a wrong hint costs a miss.
 """
 
 from brookhinge.decisions.messages import RouterMessage, WarmStartReceived
 from brookhinge.membership.warm_start import MAX_ROWS
 
-LONGEST_KEY = 64  # of objects whose holders are told
-# Kinds of rows.
+MAX_KEY_LENGTH = 64  # characters; holders of objects with longer keys are not sent
+# Row kinds; part of the wire format.
 RING = "ring"
 TRANSFER_TIME = "takes"
 HOLDER = "holder"
 
 
 class WarmStartMixin:
-    """Goes before Router: it also takes `WarmStartReceived`, and `memory` tells what a peer may want."""
+    """A mixin placed before Router that handles `WarmStartReceived` and provides the warm-start rows."""
 
     def handle(self, message: RouterMessage) -> None:
-        """Handle one message; what the router has learnt itself goes before what it is told."""
+        """Handle one message; state learned by this router takes precedence over received state."""
         if isinstance(message, WarmStartReceived):
             for kind, *row in message.rows:
                 if kind == RING:
@@ -31,7 +31,7 @@
             super().handle(message)
 
     def memory(self) -> list[tuple]:
-        """Return rows of what this router knows: (kind, text, number, text, number, number) each."""
+        """Return the state of this router as rows (kind, text, number, text, number, number)."""
         ids = self.endpoints.ids
         rows = [
             (RING, ids[ring.points[0]], len(ring.points), "", ring.range_ends[0], ring.range_ends[1])
@@ -39,43 +39,43 @@
             if len(ring.points) in (2, 3)
         ]
         rows += [
-            (TRANSFER_TIME, one.name, 0, "", mean_s, samples)
-            for one, mean_s, samples in zip(
+            (TRANSFER_TIME, request_class.name, 0, "", mean_s, samples)
+            for request_class, mean_s, samples in zip(
                 self.request_classes, self.statistics.transfer_s, self.statistics.samples, strict=True
             )
         ]
-        wanted = sorted(
+        most_requested = sorted(
             (
                 state
                 for state in self.objects.states.values()
-                if self.eligibility.current_holders(state, self.now) and len(state.key) <= LONGEST_KEY
+                if self.eligibility.current_holders(state, self.now) and len(state.key) <= MAX_KEY_LENGTH
             ),
             key=lambda state: -state.count,
         )
         rows += [
             (HOLDER, state.key, state.part, ids[server], state.group, state.count)
-            for state in wanted[:MAX_ROWS]
+            for state in most_requested[:MAX_ROWS]
             for server in state.holders
         ]
         return rows
 
     def _learn_ring(self, first: int | str, points: int, _: str, first_end: int, second_end: int) -> None:
-        """Take over the sub-ranges of a ring that has the same points here."""
+        """Adopt the sub-ranges of a ring that has the same first point and number of points here."""
         for ring in self.rings.rings:
             is_same = self.endpoints.ids[ring.points[0]] == first and len(ring.points) == points
             if is_same and 0 < first_end <= second_end <= ring.range_ends[-1]:
                 ring.range_ends[:-1] = [first_end, second_end][: points - 1]
 
     def _learn_transfer_time(self, name: str, _: int, __: str, mean_s: float, samples: float) -> None:
-        """Take over a class's mean transfer time where the peer has counted more requests."""
+        """Adopt a request class's mean transfer time if it rests on more samples than the local one."""
         statistics = self.statistics
-        for i, one in enumerate(self.request_classes):
-            if one.name == name and samples > statistics.samples[i] and mean_s > 0.0:
+        for i, request_class in enumerate(self.request_classes):
+            if request_class.name == name and samples > statistics.samples[i] and mean_s > 0.0:
                 statistics.transfer_s[i] = mean_s
                 statistics.samples[i] = samples
 
     def _learn_holder(self, key: str, part: int, server: int | str, group: int, count: float) -> None:
-        """Take over a holder of an object, unless that was purged lately."""
+        """Add a holder of an object, unless the object or its group was purged recently."""
         server_index = self.endpoints.index.get(server)
         objects = self.objects
         was_purged = self.purges.is_known(key) or self.purges.is_known(group)
--- a/brookhinge/membership/writer.py
+++ b/brookhinge/membership/writer.py
@@ -1,4 +1,4 @@
-"""What a peer tells its host: the interface that a transport implements."""
+"""The interface through which a peer sends datagrams and reports events; a transport implements it."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -11,7 +11,7 @@
 
 
 class PeerWriter(Protocol):
-    """Takes the datagrams and the events of one peer."""
+    """Sends the datagrams and receives the events of one peer."""
 
     def send(
         self,
@@ -23,7 +23,7 @@
         """Send a datagram to a member."""
 
     def changed(self, change: MemberChange, name: str, reporter: str) -> None:
-        """Note a change of a member, by whose claim it came."""
+        """Report a change of a member and the member whose claim caused it."""
 
     def notice(self, kind: str, values: tuple, reporter: str) -> None:
-        """Take a notice received from a member, once each."""
+        """Report a notice received from a member; each notice is reported once."""
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -147,6 +147,6 @@
         received = b.read(data)
         if received is not None:
             read += 1
-            assert codec.is_sound(received.sender)
+            assert codec.is_valid_claim(received.sender)
             assert type(received.message) in (*WIRE_NAMES, ForeignMessage)
     assert b.counts["forged"] > 49_000 and read < 20_000 and sum(b.counts.values()) == 100_000
