--- a/brookhinge/emulator/simulated_fleet.py
+++ b/brookhinge/emulator/simulated_fleet.py
@@ -147,7 +147,7 @@
 
     def hear(self, n, *events):
         for core in self.cores[n] if self.share else ():
-            if self.now >= core.shrinks_at:
+            if self.now >= core.next_expiry_at:
                 core.publish(self.now, self.writers[n])
         before, self.told[n] = self.told[n], []
         super().hear(n, *before, *events)
--- a/brookhinge/emulator/simulated_limits.py
+++ b/brookhinge/emulator/simulated_limits.py
@@ -55,7 +55,7 @@
     def part(self, limit=COLD):
         """What the decisions would use now: what was told, but nothing past its end."""
         now = self.clock()
-        if now >= self.limits.shrinks_at:
+        if now >= self.limits.next_expiry_at:
             self.limits.publish(now, self)
         return self.used.get(limit, self.used.get(("own", "", 0), 0.0) / self.world.count)
 
--- a/brookhinge/engine/endpoint_list.py
+++ b/brookhinge/engine/endpoint_list.py
@@ -68,7 +68,7 @@
             self.set_instance(server, None)
         self.invariants.note_complete_list(present)
         if self.safety_notices is not None:
-            for notice in self.safety_notices.absent(present):
+            for notice in self.safety_notices.remove_absent(present):
                 self.notify_peers(notice)
 
     def apply_notice(self, row: messages.Endpoint) -> None:
--- a/brookhinge/engine/fleet_events.py
+++ b/brookhinge/engine/fleet_events.py
@@ -100,20 +100,20 @@
 
     def is_start(self, row: messages.Endpoint | None, start_ms: int) -> bool:
         """Whether a server is listed with that start."""
-        return row is not None and self.safety_notices.stamp(row.started_at) == start_ms
+        return row is not None and self.safety_notices.unix_ms(row.started_at) == start_ms
 
     # reports
 
     def demand(self) -> list[tuple]:
         """Demand since the last call for limits that the fleet shares: (kind, server, start in ms, ...)."""
         return [
-            (kind, server, self.safety_notices.stamp(started_at), *demand)
+            (kind, server, self.safety_notices.unix_ms(started_at), *demand)
             for kind, server, started_at, *demand in self.decisions.demand(self.context.now)
         ]
 
     def seen(self) -> dict[tuple[str, int], tuple[float, float]]:
         """{(server, start in ms): (attempts, failures)} of caches, totals of this process."""
         return {
-            (server, self.safety_notices.stamp(started_at)): (attempts, failures)
+            (server, self.safety_notices.unix_ms(started_at)): (attempts, failures)
             for server, started_at, attempts, failures in self.decisions.seen()
         }
--- a/brookhinge/limits/limits.py
+++ b/brookhinge/limits/limits.py
@@ -41,7 +41,7 @@
         """
         self.protocol = LeaseProtocol(context, fleet_size, now)
         self.take_demand = demand
-        self.shrinks_at = now
+        self.next_expiry_at = now
         self._next_report_at = now
         self._posted: dict[Limit, float] = {}
         self._posted_own_fraction: float | None = None
@@ -63,7 +63,7 @@
     def publish(self, now: float, writer: CoreWriter) -> None:
         """Post the quotas that have changed.
 
-        Also called before a round of the engine once `shrinks_at` is past, so that no quota is used after
+        Also called before a round of the engine once `next_expiry_at` is past, so that no quota is used after
         its end, not even by a process that was frozen meanwhile.
         """
         lessee = self.protocol.lessee
@@ -81,7 +81,7 @@
         for limit in [limit for limit in self._posted if limit not in shared]:
             del self._posted[limit]
             rows.append((*limit, None))
-        self.shrinks_at = lessee.next_expiry(now)
+        self.next_expiry_at = lessee.next_expiry(now)
         if rows:
             writer.post_event(QuotasAssigned(rows))
 
--- a/brookhinge/membership/core.py
+++ b/brookhinge/membership/core.py
@@ -70,12 +70,12 @@
     Attributes:
         message_types: The message types that it receives.
         status_topic: The status topic that it answers, or None.
-        shrinks_at: When a value that it posted to the engine next expires, in seconds.
+        next_expiry_at: When a value that it posted to the engine next expires, in seconds.
     """
 
     message_types: tuple[type, ...]
     status_topic: StatusTopic | None
-    shrinks_at: float
+    next_expiry_at: float
 
     def round(self, now: float, inbox: Sequence[CoreMessage], writer: CoreWriter) -> None:
         """Handle the received messages, then run whatever is due."""
--- a/brookhinge/membership/safety_notices.py
+++ b/brookhinge/membership/safety_notices.py
@@ -46,7 +46,7 @@
         ] = {}  # start times of servers whose drain began and ended on the own channel
         self._purges: dict[tuple[int, str, int], None] = {}
 
-    def stamp(self, started_at: float | None) -> int:
+    def unix_ms(self, started_at: float | None) -> int:
         """Convert seconds since this router's start to Unix milliseconds; None gives 0."""
         return round((started_at + self.router_started_at) * 1000) if started_at is not None else 0
 
@@ -58,7 +58,7 @@
         """
         server = row.server
         health = row.state
-        started_at_ms = self.stamp(row.started_at)
+        started_at_ms = self.unix_ms(row.started_at)
         previous = self.rows.get(server)
         received = self._received.get(server)
         if received is not None and (
@@ -70,7 +70,7 @@
             self._ended_drains[server] = started_at_ms
         self._own[server] = ReportedHealth(started_at_ms, health)
         is_tightened = health != "ready" and (
-            previous is None or previous.state != health or self.stamp(previous.started_at) != started_at_ms
+            previous is None or previous.state != health or self.unix_ms(previous.started_at) != started_at_ms
         )
         used = row._replace(state=received.health) if received is not None else row
         self.rows[server] = used
@@ -78,11 +78,11 @@
             self._forget(server)
         return used, (health, server, started_at_ms) if is_tightened else None
 
-    def absent(self, present: Container[str]) -> list[ServerNotice]:
+    def remove_absent(self, present: Container[str]) -> list[ServerNotice]:
         """Remove the servers missing from a full list of the own channel; return a notice for each."""
         notices = []
         for server in [server for server in self.rows if server not in present]:
-            notices.append(("gone", server, self.stamp(self.rows[server].started_at)))
+            notices.append(("gone", server, self.unix_ms(self.rows[server].started_at)))
             self._forget(server)
         return notices
 
@@ -101,7 +101,7 @@
         row = self.rows.get(server)
         if (
             row is None
-            or self.stamp(row.started_at) != started_at_ms
+            or self.unix_ms(row.started_at) != started_at_ms
             or SEVERITY[row.state] >= SEVERITY[health]
         ):
             return None
--- a/brookhinge/membership/udp_transport.py
+++ b/brookhinge/membership/udp_transport.py
@@ -183,7 +183,7 @@
     def before_engine_round(self) -> None:
         """Publish expired values, so that the engine's next round does not use them."""
         for core in self._cores:
-            if steady() >= core.shrinks_at:
+            if steady() >= core.next_expiry_at:
                 core.publish(steady(), self)
 
     def _update_fleet_size(self, now: float) -> None:
--- a/brookhinge/membership/warm_start.py
+++ b/brookhinge/membership/warm_start.py
@@ -24,7 +24,7 @@
 
     message_types = (WarmStartRequest, WarmStartState)
     status_topic = None
-    shrinks_at = math.inf
+    next_expiry_at = math.inf
 
     def __init__(self, context: CoreContext, *, known_rows: Callable[[], list[Row]], now: float) -> None:
         """Create a protocol instance whose first request is due at once.
--- a/brookhinge/membership/warm_start_decisions.py
+++ b/brookhinge/membership/warm_start_decisions.py
@@ -30,7 +30,7 @@
         else:
             super().handle(message)
 
-    def memory(self) -> list[tuple]:
+    def warm_start_rows(self) -> list[tuple]:
         """Return the state of this router as rows (kind, text, number, text, number, number)."""
         ids = self.endpoints.ids
         rows = [
--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -113,7 +113,7 @@
         self._transport.add(
             lambda transport, now: WarmStart(
                 transport.core_context(),
-                known_rows=self._state.decisions.memory,
+                known_rows=self._state.decisions.warm_start_rows,
                 now=now,
             )
         )
--- a/brookhinge/verdicts/outlier_detection.py
+++ b/brookhinge/verdicts/outlier_detection.py
@@ -51,7 +51,7 @@
 
     message_types = (EvidenceReport, EvidenceTable)
     status_topic = StatusTopic.VERDICTS
-    shrinks_at = math.inf  # what is said to the engine has its end with it
+    next_expiry_at = math.inf  # what is said to the engine has its end with it
 
     def __init__(
         self,
--- a/tests/membership/test_safety_notices.py
+++ b/tests/membership/test_safety_notices.py
@@ -47,7 +47,7 @@
 def test_a_whole_list_that_leaves_one_out_is_a_notice():
     t = SafetyNotices(0.0)
     t.receive_row(row("a")), t.receive_row(row("b"))
-    assert t.absent({"b"}) == [("gone", "a", 0)] and t.absent({"b"}) == []
+    assert t.remove_absent({"b"}) == [("gone", "a", 0)] and t.remove_absent({"b"}) == []
 
 
 def test_notices_that_are_no_notices():
@@ -75,7 +75,7 @@
             assert SEVERITY[used[1]] >= SEVERITY[health]
             now = {"health": used[1], "born": born} if health != "gone" else {}
         else:
-            used = t.receive_notice((health, "s", t.stamp(born)))
+            used = t.receive_notice((health, "s", t.unix_ms(born)))
             if used is not None:
                 assert now["born"] == born and SEVERITY[used[1]] > SEVERITY[now["health"]]
                 now["health"] = used[1]
--- a/tests/membership/test_warm_start.py
+++ b/tests/membership/test_warm_start.py
@@ -25,7 +25,7 @@
 
 
 def hand_over(old, new):
-    new.router.process(new.now, [WarmStartReceived(old.router.memory())], new.trace)
+    new.router.process(new.now, [WarmStartReceived(old.router.warm_start_rows())], new.trace)
 
 
 def test_sub_ranges_sending_times_and_holders_are_taken_over():
