--- a/tests/membership/test_large_fleet.py
+++ b/tests/membership/test_large_fleet.py
@@ -1,5 +1,7 @@
-"""The view at the size designed for, 530 routers, in virtual time: sixteen start at once, a site restarts. Counts of who
-shares the limits never fall short on the way, and the bytes stay within what a router may spend on the view."""
+"""Membership at the design size of 530 routers, in virtual time.
+
+Sixteen routers start at once, or a site restarts. Meanwhile no router counts fewer sharers of a limit than there are, and
+the traffic of the view stays within its budget."""
 
 import statistics
 
@@ -12,45 +14,45 @@
 
 MEMBERS, LOSS = 530, 0.01
 WATCHED_S = 30.0
-BUDGET = 1900  # bytes a second, sent and received with headers, over any 10 s: the median router's
+BUDGET_BYTES_PER_S = 1900  # sent and received with headers, over any 10 s, of the median router
 
 
 def join(seed):
     net = settled_fleet(seed, MEMBERS - SITE_ROUTERS, LOSS)
     net.run(2.0)
-    began = net.now
+    started_at = net.now
     view_traffic.join(net, MEMBERS)
-    return net, began, watch(net, WATCHED_S, MEMBERS)
+    return net, started_at, watch(net, WATCHED_S, MEMBERS)
 
 
 def restart(seed):
     net = settled_fleet(seed, MEMBERS, LOSS)
     net.run(2.0)
-    began = net.now
+    started_at = net.now
     view_traffic.restart(net, MEMBERS)
-    return net, began, watch(net, WATCHED_S, MEMBERS)
+    return net, started_at, watch(net, WATCHED_S, MEMBERS)
 
 
-def median_rate(net, began):
-    return statistics.median(host.traffic.worst_rate(began, net.now) for host in net.living())
+def median_rate(net, started_at):
+    return statistics.median(host.traffic.worst_rate(started_at, net.now) for host in net.living())
 
 
 @pytest.mark.parametrize("seed", (11, 12))
-def test_sixteen_that_start_at_once_are_counted_and_cost_no_more_than_they_may(seed):
-    net, began, (_, short) = join(seed)
-    assert short <= 0 and median_rate(net, began) <= BUDGET
+def test_sixteen_simultaneous_joins_are_counted_within_the_traffic_budget(seed):
+    net, started_at, (_, shortfall) = join(seed)
+    assert shortfall <= 0 and median_rate(net, started_at) <= BUDGET_BYTES_PER_S
     assert [change for host in net.living() for _, change, _, _ in host.log if change == "lost"] == []
     assert one_view(net)
 
 
 @pytest.mark.parametrize("seed", (21, 22))
-def test_a_site_that_restarts_is_counted_all_the_way(seed):
-    net, began, (_, short) = restart(seed)
-    assert short <= 0 and median_rate(net, began) <= 1.1 * BUDGET
+def test_routers_of_a_restarting_site_stay_counted(seed):
+    net, started_at, (_, shortfall) = restart(seed)
+    assert shortfall <= 0 and median_rate(net, started_at) <= 1.1 * BUDGET_BYTES_PER_S
 
 
-def freed_at_once(view, now, lease_s, configured, zone=None):
-    """The planted fault: who left is counted no more from that moment on."""
+def estimate_without_lease(view, now, lease_s, configured, zone=None):
+    """Injected fault: a router that left is no longer counted from that moment on."""
     using = sum(
         state in PRESENT_STATES or state == MemberState.LOST and now - since < lease_s
         for state, since in zip(view.states, view.since, strict=True)
@@ -58,7 +60,7 @@
     return max(using, configured - view.states.count(MemberState.LEFT), 1)
 
 
-def test_a_share_freed_at_once_is_found_out(monkeypatch):
-    monkeypatch.setattr(peer, "estimate_fleet_size", freed_at_once)
-    _, _, (_, short) = restart(21)
-    assert short > 0
+def test_freeing_a_share_without_a_lease_is_detected(monkeypatch):
+    monkeypatch.setattr(peer, "estimate_fleet_size", estimate_without_lease)
+    _, _, (_, shortfall) = restart(21)
+    assert shortfall > 0
--- a/tests/membership/test_rig.py
+++ b/tests/membership/test_rig.py
@@ -1,87 +1,87 @@
-"""Real routers as processes on loopback, with faults in and between them. Waiting is until it holds, at most so long; how
-long it took is measured by the benchmark, not here."""
+"""Real router processes on loopback, with faults injected into them and the links between them.
+
+Each wait ends when its condition holds, or fails after a limit. The time needed is measured by the benchmark, not here."""
 
 import asyncio
 
 from brookhinge.emulator.process_cluster import OFF, OTHER_VERSION, ProcessCluster
 
-LONG = 60.0  # for a slow machine; the note's bounds are a fraction of it
+TIMEOUT_S = 60.0  # generous for a slow machine; the target times are a fraction of it
 
 
-def play(script, folder, **rig_):
+def run_scenario(scenario, folder, **cluster_options):
     async def run():
-        async with ProcessCluster(folder, **rig_) as rig:
-            assert await rig.until(rig.one_view, LONG)
-            await script(rig)
+        async with ProcessCluster(folder, **cluster_options) as rig:
+            assert await rig.until(rig.one_view, TIMEOUT_S)
+            await scenario(rig)
 
     asyncio.run(run())
 
 
-def lost(rig, name):
+def lost_members(rig, name):
     return {line["member"] for line in rig.log(name, "fleet") if line["change"] == "lost"}
 
 
-async def believes(rig, name, member, state):
+async def has_state(rig, name, member, state):
     view = await rig.view(name)
     return view is not None and view.get(member) == state
 
 
-def test_killed_restarted_frozen_and_thawed(tmp_path):
-    async def script(rig):
+def test_killed_and_frozen_routers_are_lost_and_accepted_again(tmp_path):
+    async def scenario(rig):
         for name in ("n3", "n5", "n8"):
             await rig.kill(name)
-        assert await rig.until(rig.one_view, LONG)
+        assert await rig.until(rig.one_view, TIMEOUT_S)
         for name in ("n3", "n5", "n8"):
             await rig.start(name)
-        assert await rig.until(rig.one_view, LONG)
+        assert await rig.until(rig.one_view, TIMEOUT_S)
         rig.freeze("n6")
-        assert await rig.until(lambda: believes(rig, "n1", "n6", "lost"), LONG)
+        assert await rig.until(lambda: has_state(rig, "n1", "n6", "lost"), TIMEOUT_S)
         await asyncio.sleep(2.0)
         rig.thaw("n6")
-        assert await rig.until(rig.one_view, LONG)
-        assert lost(rig, "n6") <= {"n3", "n5", "n8"}  # who slept takes nobody for dead
+        assert await rig.until(rig.one_view, TIMEOUT_S)
+        assert lost_members(rig, "n6") <= {"n3", "n5", "n8"}  # a frozen router declares no live one lost
         assert {line["member"] for line in rig.log("n1", "fleet") if line["change"] == "back"} == {"n6"}
 
-    play(script, tmp_path, routers=12)
+    run_scenario(scenario, tmp_path, routers=12)
 
 
-def test_halves_with_changes_on_both_sides_become_one(tmp_path):
-    async def script(rig):
+def test_partitioned_halves_with_changes_merge_into_one_view(tmp_path):
+    async def scenario(rig):
         left = {"n1", "n2", "n3", "n4"}
         rig.wires.cut = lambda a, b: (a in left) != (b in left)
-        assert await rig.until(lambda: believes(rig, "n1", "n7", "lost"), LONG)
-        assert await rig.until(lambda: believes(rig, "n7", "n1", "lost"), LONG)
+        assert await rig.until(lambda: has_state(rig, "n1", "n7", "lost"), TIMEOUT_S)
+        assert await rig.until(lambda: has_state(rig, "n7", "n1", "lost"), TIMEOUT_S)
         await rig.kill("n8")
         await rig.end("n4")
-        assert await rig.until(lambda: believes(rig, "n1", "n4", "left"), LONG)
+        assert await rig.until(lambda: has_state(rig, "n1", "n4", "left"), TIMEOUT_S)
         rig.wires.cut = lambda a, b: False
-        assert await rig.until(rig.one_view, LONG)
-        assert await rig.until(
-            lambda: believes(rig, "n7", "n4", "left"), LONG
-        )  # no old news revives a leaver
-        assert await rig.until(lambda: believes(rig, "n1", "n8", "lost"), LONG)
+        assert await rig.until(rig.one_view, TIMEOUT_S)
+        # stale claims do not revive a member that left
+        assert await rig.until(lambda: has_state(rig, "n7", "n4", "left"), TIMEOUT_S)
+        assert await rig.until(lambda: has_state(rig, "n1", "n8", "lost"), TIMEOUT_S)
 
-    play(script, tmp_path, routers=8)
+    run_scenario(scenario, tmp_path, routers=8)
 
 
-def test_bad_links_make_nobody_lost_for_long(tmp_path):
-    async def script(rig):
-        rig.wires.cut = lambda a, b: {a, b} == {"n2", "n5"}  # all but one can reach it
+def test_faulty_links_make_no_member_lost_for_long(tmp_path):
+    async def scenario(rig):
+        rig.wires.cut = lambda a, b: {a, b} == {"n2", "n5"}  # all other members still reach n2 and n5
         rig.wires.loss, rig.wires.double, rig.wires.corrupt, rig.wires.delay_s = 0.2, 0.1, 0.02, 0.05
         await asyncio.sleep(10.0)
-        rig.wires.cut = lambda a, b: a == "n3"  # what it sends is lost, what it is sent comes
+        rig.wires.cut = lambda a, b: a == "n3"  # one-way: datagrams from n3 are lost
         rig.wires.loss = rig.wires.corrupt = 0.0
-        assert await rig.until(lambda: believes(rig, "n1", "n3", "lost"), LONG)
+        assert await rig.until(lambda: has_state(rig, "n1", "n3", "lost"), TIMEOUT_S)
         rig.wires.cut = lambda a, b: False
-        assert await rig.until(rig.one_view, LONG)
+        assert await rig.until(rig.one_view, TIMEOUT_S)
 
-    play(script, tmp_path, routers=6)
+    run_scenario(scenario, tmp_path, routers=6)
 
 
-def test_a_drain_told_to_one_router_alone_binds_all(tmp_path):
-    """The command channels of all others are dead: without peers they would go on asking the box."""
+def test_drain_received_by_one_router_applies_to_all(tmp_path):
+    """The command channels of all other routers are down; without notices they would keep using the cache server."""
 
-    async def script(rig):
+    async def scenario(rig):
         callers = [await rig.caller(name) for name in rig.names]
 
         async def ask(rounds):
@@ -96,66 +96,66 @@
         await ask(10)
         assert rig.boxes["s-1"].counters["queries"] > before
         rig.channels["n1"].list("s-1", health="draining")
-        going = asyncio.ensure_future(ask(60))
+        requests = asyncio.ensure_future(ask(60))
         await asyncio.sleep(0.5)
         after, others = rig.boxes["s-1"].counters["queries"], rig.boxes["s-2"].counters["queries"]
-        await going
+        await requests
         assert rig.boxes["s-1"].counters["queries"] == after and rig.boxes["s-2"].counters["queries"] > others
         for caller in callers:
             caller.close()
 
-    play(script, tmp_path, routers=6, boxes=2)
+    run_scenario(scenario, tmp_path, routers=6, boxes=2)
 
 
-def test_who_must_stay_out_and_whose_clock_is_off(tmp_path):
-    async def script(rig):
+def test_wrong_key_and_duplicate_name_stay_out_and_a_wrong_clock_does_not_matter(tmp_path):
+    async def scenario(rig):
         await rig.kill("n4")
         await rig.kill("n5")
         await rig.kill("n6")
         await rig.start("n4", OFF.format(off=-3600))
-        assert await rig.until(lambda: believes(rig, "n1", "n4", "alive"), LONG)
-        await rig.start("n5", key="f" * 32)  # its datagrams are nobody's
-        await rig.start("n6", under="n2")  # a name in use: the older process keeps it
+        assert await rig.until(lambda: has_state(rig, "n1", "n4", "alive"), TIMEOUT_S)
+        await rig.start("n5", key="f" * 32)  # datagrams signed with another key are rejected
+        await rig.start("n6", under="n2")  # the name is in use, and the older process keeps it
         assert await rig.until(
-            lambda: [line for line in rig.log("n6", "fleet") if line["change"] == "taken"], LONG
+            lambda: [line for line in rig.log("n6", "fleet") if line["change"] == "taken"], TIMEOUT_S
         )
-        assert await rig.until(lambda: believes(rig, "n1", "n2", "alive"), LONG)
-        assert await rig.until(lambda: rig.one_view(["n1", "n2", "n3", "n4"]), LONG)
-        for name in ("n5", "n6"):  # both serve all the same, alone
+        assert await rig.until(lambda: has_state(rig, "n1", "n2", "alive"), TIMEOUT_S)
+        assert await rig.until(lambda: rig.one_view(["n1", "n2", "n3", "n4"]), TIMEOUT_S)
+        for name in ("n5", "n6"):  # both still serve requests without the fleet
             caller = await rig.caller(name)
             assert (await caller.ask("0000000000000007"))[0] == "satisfied"
             caller.close()
 
-    play(script, tmp_path, routers=6, boxes=1)
+    run_scenario(scenario, tmp_path, routers=6, boxes=1)
 
 
-def test_a_rolling_restart_of_all_loses_nobody(tmp_path):
-    async def script(rig):
+def test_rolling_restart_makes_no_router_lost(tmp_path):
+    async def scenario(rig):
         for name in rig.names:
             await rig.end(name)
             await rig.start(name)
-        assert await rig.until(rig.one_view, LONG)
-        assert [lost(rig, name) for name in rig.names] == [set()] * 8
+        assert await rig.until(rig.one_view, TIMEOUT_S)
+        assert [lost_members(rig, name) for name in rig.names] == [set()] * 8
         assert all(
             [line["here"] for line in rig.log(name, "fleet") if line["change"] == "sharers"][-1:] in ([], [8])
             for name in rig.names
         )
 
-    play(script, tmp_path, routers=8, boxes=1)
+    run_scenario(scenario, tmp_path, routers=8, boxes=1)
 
 
-def test_routers_of_two_message_versions_know_one_another(tmp_path):
-    """Each reads of the other claims and probes, and no more: one view, and nobody is taken for dead."""
+def test_routers_of_two_protocol_versions_share_one_view(tmp_path):
+    """Each version decodes only claims and probes of the other, which is enough for one view without false losses."""
 
-    async def script(rig):
+    async def scenario(rig):
         for name in ("n4", "n5"):
             await rig.end(name)
             await rig.start(name, OTHER_VERSION)
-        assert await rig.until(lambda: rig.one_view(["n1", "n2", "n3"], others=("n4", "n5")), LONG)
+        assert await rig.until(lambda: rig.one_view(["n1", "n2", "n3"], others=("n4", "n5")), TIMEOUT_S)
         await asyncio.sleep(4.0)
-        assert lost(rig, "n1") == lost(rig, "n2") == lost(rig, "n3") == set()
-        assert await rig.until(lambda: rig.one_view(["n1", "n2", "n3"], others=("n4", "n5")), LONG)
-        await rig.kill("n2")  # the others of its version still find it out
-        assert await rig.until(lambda: believes(rig, "n1", "n2", "lost"), LONG)
+        assert lost_members(rig, "n1") == lost_members(rig, "n2") == lost_members(rig, "n3") == set()
+        assert await rig.until(lambda: rig.one_view(["n1", "n2", "n3"], others=("n4", "n5")), TIMEOUT_S)
+        await rig.kill("n2")  # the others of its version still detect the crash
+        assert await rig.until(lambda: has_state(rig, "n1", "n2", "lost"), TIMEOUT_S)
 
-    play(script, tmp_path, routers=5, boxes=1)
+    run_scenario(scenario, tmp_path, routers=5, boxes=1)
--- a/tests/membership/test_rig_ports.py
+++ b/tests/membership/test_rig_ports.py
@@ -1,5 +1,7 @@
-"""Ports of the rig's routers: nobody else's socket takes one before its router binds it, and a router that cannot start
-is found out at its start and not by a view that never comes."""
+"""Ports of the router processes in tests.
+
+No other socket can take a port before its router binds it, and a router that cannot start fails at its start rather than by
+a view that never forms."""
 
 import asyncio
 import socket
@@ -12,9 +14,9 @@
 
 
 def datagram_socket(host, port):
-    made = socket.socket(type=socket.SOCK_DGRAM)
-    made.bind((host, port))
-    return made
+    sock = socket.socket(type=socket.SOCK_DGRAM)
+    sock.bind((host, port))
+    return sock
 
 
 def test_sockets_on_localhost_leave_the_ports_of_the_own_host_free():
@@ -25,7 +27,7 @@
     for port in ports:
         try:
             elsewhere = datagram_socket(LOCALHOST, port)
-        except OSError:  # in use there already, which is as good
+        except OSError:  # the port is in use on localhost already, which tests the same
             elsewhere = None
         with datagram_socket(host, port):
             pass
@@ -33,12 +35,12 @@
             elsewhere.close()
 
 
-def test_a_router_that_cannot_listen_to_the_fleet_fails_its_start(tmp_path, monkeypatch):
-    taken = []
+def test_router_that_cannot_bind_its_fleet_port_fails_to_start(tmp_path, monkeypatch):
+    sockets = []
 
     def port_in_use(host=LOCALHOST):
         port = free_port(host)
-        taken.append(datagram_socket(host, port))
+        sockets.append(datagram_socket(host, port))
         return port
 
     async def run():
@@ -50,5 +52,5 @@
     try:
         asyncio.run(run())
     finally:
-        for held in taken:
-            held.close()
+        for sock in sockets:
+            sock.close()
--- a/tests/membership/test_wire_bytes.py
+++ b/tests/membership/test_wire_bytes.py
@@ -1,6 +1,6 @@
-"""Datagrams are the same bytes in every release: literals for every message, digests for whole histories.
+"""Datagrams are the same bytes in every release: literal bytes per message, digests of whole histories.
 
-A failure here is a change of the protocol: routers of the version before could not read it.
+A failure means that the protocol has changed and routers of the previous release cannot decode it.
 """
 
 import hashlib
@@ -43,13 +43,13 @@
 
 
 def datagram(kind):
-    """The first datagram that a router writes, with this message."""
+    """Return the first datagram that a router writes, with a message of this kind."""
     values, updates, notices = MESSAGES[kind]
     return Codec(SITE, KEY).write(SELF_CLAIM, DIGEST, MESSAGE_TYPES[kind](*values), updates, notices)
 
 
 class DatagramLog:
-    """A digest of all datagrams in their order."""
+    """A running digest of all datagrams in order."""
 
     def __init__(self):
         self.count = 0
@@ -64,7 +64,7 @@
 
 
 class RecordingNet(Net):
-    """A network that logs each datagram that gets through, with its time and receiver."""
+    """A network that logs each delivered datagram with its time and receiver."""
 
     def __init__(self, seed, **links):
         super().__init__(seed, **links)
@@ -77,7 +77,7 @@
 
 
 def membership_history():
-    """Losses, a cut, a crash with a restart, a freeze, a leaver, a name held twice, another version."""
+    """Run loss, a partition, a restart, a freeze, a departure, a duplicate name and a second version."""
     net = RecordingNet(41, loss=0.1, double=0.05)
     for n in range(1, 13):
         net.add(n)
@@ -115,7 +115,7 @@
 
 
 def limits_history():
-    """Demand that moves between three routers; one freezes and one restarts."""
+    """Move demand between three routers, of which one freezes and one restarts."""
     world = RecordingWorld(5, 3, loss=0.1, double=0.05)
     world.members[1].demand[COLD] = 1.0
     world.run(8.0)
@@ -145,7 +145,7 @@
 
 
 def verdicts_history():
-    """A server that fails two answers in five, and recovers."""
+    """Run a server that fails two responses in five, then recovers."""
     fleet = RecordingFleet(1, 6, 4, 40.0, skew=0.5)
     fleet.tell("ready", 1)
     fleet.at(0.0, fleet.arrive)
@@ -252,17 +252,17 @@
 
 
 @pytest.mark.parametrize("kind", MESSAGES)
-def test_each_message_is_written_as_these_bytes(kind):
+def test_each_message_is_encoded_as_the_expected_bytes(kind):
     assert datagram(kind).hex() == GOLDEN[kind]
 
 
-def test_a_seeded_membership_history_sends_these_datagrams():
+def test_seeded_membership_history_sends_the_expected_datagrams():
     assert membership_history().datagrams.summary() == MEMBERSHIP_HISTORY
 
 
-def test_a_seeded_history_of_shared_limits_sends_these_datagrams():
+def test_seeded_limits_history_sends_the_expected_datagrams():
     assert limits_history().datagrams.summary() == LIMITS_HISTORY
 
 
-def test_a_seeded_history_of_outlier_evidence_sends_these_datagrams():
+def test_seeded_outlier_history_sends_the_expected_datagrams():
     assert verdicts_history().log.summary() == VERDICTS_HISTORY
