--- a/brookhinge/membership/dissemination.py
+++ b/brookhinge/membership/dissemination.py
@@ -50,14 +50,14 @@
         """Return how often each member sends a notice, which is enough to reach nearly all members."""
         return 3 * math.ceil(math.log10(len(self.local.view.names) + 1)) + 1
 
-    def _urgent_transmissions(self, in_large_fleet: int) -> int:
+    def _urgent_transmissions(self, large_fleet_transmissions: int) -> int:
         """Return how often each member sends an urgent claim.
 
         A large fleet needs fewer transmissions, because each member receives the claim from many others.
         """
         if len(self.local.view.names) < timing.LARGE_FLEET_MEMBERS:
             return self.broadcast_limit()
-        return in_large_fleet
+        return large_fleet_transmissions
 
     def queue_urgent(self, name: str, now: float) -> None:
         """Queue a suspicion, or a claim that refutes or ends one."""
@@ -104,8 +104,8 @@
             updates = self.local.claims_of(self.queue.take(MAX_PIGGYBACKED_CLAIMS), now)
             self.budget.spend(PLAIN_CLAIM_BYTES * len(updates))
         notices = self.notices.take(MAX_NOTICES)
-        room = MAX_NOTICES - len(notices)
-        notices += self.notices.sample_settled(min(settled_notices, room), self.local.rng)
+        free_slots = MAX_NOTICES - len(notices)
+        notices += self.notices.sample_settled(min(settled_notices, free_slots), self.local.rng)
         return updates, notices
 
     def send(
--- a/brookhinge/membership/joining.py
+++ b/brookhinge/membership/joining.py
@@ -68,9 +68,9 @@
             self.dissemination.send_to(address, ping, writer)
 
     def _catch_up(self, writer: PeerWriter) -> None:
-        """Send a sync request to a member, preferably not a seed.
+        """Send a sync request to a random member, preferably not a seed.
 
-        All members that start at the same time ping the seeds.
+        All members that start at the same time already contact the seeds.
         """
         known = self.local.sample_members(len(self.local.view.names), same_version=True)
         others = [i for i in known if self.local.view.addresses[i] not in self.seeds]
--- a/brookhinge/membership/peer.py
+++ b/brookhinge/membership/peer.py
@@ -258,7 +258,7 @@
             writer.send(sender.address, Announcement(), [self.view.claim(i, now)], [])
 
     def _send_known_state(self, now: float, i: int, message_type: type, writer: PeerWriter) -> None:
-        """Send a live member the state in which this router believes it, so that it can refute it."""
+        """Send a live member the state that this router has recorded for it, so that it can refute it."""
         if self.local.is_foreign(i):
             self.failure_detector.ping(i, NO_DEADLINE, writer)
         elif message_type not in UNANSWERED_TYPES:
--- a/brookhinge/membership/safety_notices.py
+++ b/brookhinge/membership/safety_notices.py
@@ -41,9 +41,8 @@
         self.rows: dict[str, Endpoint] = {}
         self._received: dict[str, ReportedHealth] = {}
         self._own: dict[str, ReportedHealth] = {}
-        self._ended_drains: dict[
-            str, int
-        ] = {}  # start times of servers whose drain began and ended on the own channel
+        # Start times of servers whose drain began and ended on the own channel.
+        self._ended_drains: dict[str, int] = {}
         self._purges: dict[tuple[int, str, int], None] = {}
 
     def unix_ms(self, started_at: float | None) -> int:
--- a/tests/membership/test_cli.py
+++ b/tests/membership/test_cli.py
@@ -117,9 +117,16 @@
             caller = await rig.caller("n1")
             await caller.ask("0000000000000007")
             assert await rig.until(lambda: rig.parts("n1"), 60.0)
-            for word in ("limits", "verdicts"):
+            for command in ("limits", "verdicts"):
                 yield await asyncio.to_thread(
-                    run_cli, "fleet", word, "--file", str(tmp_path / "fleet.hcl"), "--router", "n1", "--json"
+                    run_cli,
+                    "fleet",
+                    command,
+                    "--file",
+                    str(tmp_path / "fleet.hcl"),
+                    "--router",
+                    "n1",
+                    "--json",
                 )
             caller.close()
 
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -124,11 +124,11 @@
 def test_two_sides_of_a_partition_never_use_more_than_the_whole_limit():
     """Each side declared the other lost more than a lease ago; both still divide by the configured count."""
     sides = [MembershipView(600.0), MembershipView(600.0)]
-    for side, mine in zip(sides, ("ab", "cd")):
+    for side, own_names in zip(sides, ("ab", "cd")):
         apply_all(
             side,
             *(
-                make_claim(name, k + 1, state=MemberState.ALIVE if name in mine else MemberState.LOST)
+                make_claim(name, k + 1, state=MemberState.ALIVE if name in own_names else MemberState.LOST)
                 for k, name in enumerate("abcd")
             ),
         )
