--- a/brookhinge/membership/anti_entropy.py
+++ b/brookhinge/membership/anti_entropy.py
@@ -81,9 +81,8 @@
         ]
         if not self.answer_budget.allows(now):
             return
-        self.local.rng.shuffle(
-            differing
-        )  # claims are sent bucket by bucket, so that whole buckets agree afterwards
+        # Claims are sent bucket by bucket, so that whole buckets agree afterwards.
+        self.local.rng.shuffle(differing)
         order = {bucket: rank for rank, bucket in enumerate(differing)}
         positions = [k for k in range(len(view.names)) if view.bucket(k) in order]
         positions.sort(key=lambda k: order[view.bucket(k)])
--- a/brookhinge/membership/codec.py
+++ b/brookhinge/membership/codec.py
@@ -110,9 +110,8 @@
     """Accepts each sequence number of each process once, in any order within a window."""
 
     def __init__(self) -> None:
-        self._received: dict[
-            int, tuple[int, int]
-        ] = {}  # incarnation id: (highest number, bitmap of the numbers below it)
+        # Incarnation id: (highest number, bitmap of the numbers below it).
+        self._received: dict[int, tuple[int, int]] = {}
 
     def accept(self, incarnation_id: int, number: int) -> bool:
         """Record a sequence number; return False if it was received before or is older than the window."""
