--- a/brookhinge/verdicts/outlier_detection.py
+++ b/brookhinge/verdicts/outlier_detection.py
@@ -51,7 +51,7 @@
 
     message_types = (EvidenceReport, EvidenceTable)
     status_topic = StatusTopic.VERDICTS
-    shrinks_at = math.inf  # verdicts are posted with their duration
+    next_expiry_at = math.inf  # verdicts are posted with their duration
 
     def __init__(
         self,
