--- a/brookhinge/store/copies.py
+++ b/brookhinge/store/copies.py
@@ -1,6 +1,6 @@
-"""Cached copies as the store takes them in and hands them out. No I/O.
+"""Types of cached copies at the interface of the store. No I/O.
 
-An object is stored in parts; the bytes of a part are split into chunks of `CHUNK_BYTES`, which the disk tier
+An object is stored in parts. The bytes of a part are split into chunks of `CHUNK_BYTES`, which the disk tier
 verifies and serves independently of each other.
 """
 
@@ -12,7 +12,7 @@
 CHUNK_BYTES = 65536
 EVICTION_RANKS = 4
 MAX_GROUP = 255
-UNKNOWN_GROUP = 256  # every purge of a group hits such a copy
+UNKNOWN_GROUP = 256  # such a copy is purged by every group purge
 MAX_OBJECT_NAME_BYTES = 255
 MAX_TAG_BYTES = 1024
 MAX_CHUNKS = (1 << 16) - 1
@@ -34,7 +34,7 @@
 class Copy(NamedTuple):
     """Bytes of a part to be stored.
 
-    `start` is a multiple of the chunk size; the end is one too, or the end of the part.
+    `start` is a multiple of the chunk size. The end is one as well unless it is the end of the part.
     """
 
     object: bytes
@@ -42,13 +42,13 @@
     tag: bytes  # entity tag of this version of the part; b"" if it has none
     dated: float  # when the origin issued this copy, Unix seconds
     group: int  # purge group, 0 to 255, or UNKNOWN_GROUP
-    rank: int  # eviction rank, 0 to 3: lower is evicted first
-    size: int  # bytes of the whole part
+    rank: int  # eviction rank, 0 to 3; lower ranks are evicted first
+    size: int  # bytes in the whole part
     body: bytes
     start: int = 0
 
     def as_read_result(self) -> ReadResult:
-        """The same copy as a read would return it."""
+        """Return the copy in the form that a read returns."""
         return ReadResult(
             tag=self.tag,
             dated=self.dated,
@@ -62,17 +62,17 @@
 
 
 class LookupResult(NamedTuple):
-    """What the index of the disk tier knows of a part without reading it."""
+    """Metadata of a part from the index of the disk tier."""
 
     dated: float
     group: int
     rank: int
     size: int
-    needs_revalidation: bool  # not to be served before its source has said that it is unchanged
-    chunks: int  # bit mask of the chunks that are stored
+    needs_revalidation: bool  # must not be served until its source has confirmed that it is unchanged
+    chunks: int  # bit mask of the stored chunks
 
     def missing(self, start: int, stop: int) -> list[tuple[int, int]]:
-        """Ranges of [start, stop) that are not stored, widened to whole chunks."""
+        """Return the byte ranges of [start, stop) that are not stored, extended to chunk boundaries."""
         ranges = []
         for chunk in range(start // CHUNK_BYTES, chunk_count(min(stop, self.size))):
             if self.chunks >> chunk & 1:
@@ -87,17 +87,17 @@
 
 
 def chunk_count(size: int) -> int:
-    """Number of chunks that hold `size` bytes."""
+    """Return the number of chunks that `size` bytes take."""
     return -(-size // CHUNK_BYTES)
 
 
 def key_of(object_: bytes, part: int) -> int:
-    """64-bit index key of a part. Records carry the full name, which is compared when they are read."""
+    """Return the 64-bit index key of a part. Collisions are detected by the full name in the record."""
     return xxh3_64_intdigest(b"%d/%b" % (part, object_))
 
 
 def version_of(tag: bytes, dated: float, size: int) -> int:
-    """32 bits that tell versions of a part apart. Without a tag the date stands for it."""
+    """Return a 32-bit hash of the version of a part, made from its tag, or from its date without one."""
     return xxh3_64_intdigest(tag or struct.pack("<d", dated), seed=size) & 0xFFFFFFFF
 
 
@@ -105,26 +105,26 @@
     """Check that a copy can be stored.
 
     Raises:
-        ValueError: Names the field that is out of range.
+        ValueError: A field is out of range; the message names it.
     """
     if not 0 < len(copy.object) <= MAX_OBJECT_NAME_BYTES:
         raise ValueError("object: expected 1 to 255 bytes")
     if not 0 <= copy.part < 1 << 32:
         raise ValueError("part: expected 0 to 4294967295")
     if len(copy.tag) > MAX_TAG_BYTES:
-        raise ValueError("tag: too long")
+        raise ValueError("tag: expected at most 1024 bytes")
     if not 0 <= copy.group <= UNKNOWN_GROUP:
-        raise ValueError("group: expected 0 to 255, or 256 for one that was not told")
+        raise ValueError("group: expected 0 to 255, or 256 for an unknown group")
     if not 0 <= copy.rank < EVICTION_RANKS:
         raise ValueError("rank: expected 0 to 3")
     if not 0 < copy.size < 1 << 32:
-        raise ValueError("size: out of range")
+        raise ValueError("size: expected 1 to 4294967295")
     if copy.dated != copy.dated:
-        raise ValueError("dated: not a number")
+        raise ValueError("dated: expected a timestamp, got NaN")
     if chunk_count(copy.size) > MAX_CHUNKS:
-        raise ValueError("size: too many chunks")
+        raise ValueError("size: expected at most 65535 chunks")
     if not _covers_whole_chunks(copy):
-        raise ValueError("range: expected whole chunks of the part")
+        raise ValueError("start, body: expected a non-empty range of whole chunks within the part")
 
 
 def _covers_whole_chunks(copy: Copy) -> bool:
--- a/brookhinge/store/errors.py
+++ b/brookhinge/store/errors.py
@@ -1,21 +1,21 @@
-"""Errors of the store. What the disk refuses stays an OSError."""
+"""Exceptions raised by the store. Errors reported by the operating system remain OSError."""
 
 
 class StoreError(Exception):
-    """Base of all errors that the store itself raises."""
+    """Base class of the errors that the store itself raises."""
 
 
 class StoreUnusableError(StoreError):
-    """A folder that can't be used as a store, and why. Nothing in it was changed."""
+    """Raised when a folder can't be used as a store. Nothing in the folder was changed."""
 
 
 class DamagedError(StoreError):
-    """Bytes in a file that are not what was written there."""
+    """Raised when the bytes in a file are not the ones that were written there."""
 
 
 class UnsupportedVersionError(StoreError):
-    """A file in another version of the format."""
+    """Raised for a file in an unsupported version of the format."""
 
 
 class FolderInUseError(StoreError, OSError):
-    """The folder is locked by another live process."""
+    """Raised when another running process has locked the folder."""
--- a/brookhinge/store/file_format.py
+++ b/brookhinge/store/file_format.py
@@ -1,4 +1,4 @@
-"""The header that every file of a store begins with, see docs/design/store.md. No I/O."""
+"""Header at the beginning of every file of a store; see docs/design/store.md. No I/O."""
 
 import struct
 from enum import Enum
@@ -16,7 +16,7 @@
 
 
 class FileKind(Enum):
-    """Kinds of files by their magic bytes."""
+    """File types; each value is the magic number at the beginning of the file."""
 
     STORE = b"BKST"
     SEGMENT = b"BKSG"
@@ -25,30 +25,35 @@
 
 
 class FileHeader(NamedTuple):
-    """Which store a file belongs to, and its number among the files of its kind (0 if there is but one)."""
+    """Identity of a file.
+
+    Attributes:
+        store_id: Random id of the store that the file belongs to.
+        number: Number among the files of the same kind; 0 if the store has only one of them.
+    """
 
     store_id: int
     number: int
 
 
 def encode_file_header(kind: FileKind, store_id: int, number: int) -> bytes:
-    """The first bytes of a file."""
+    """Return the header of a file."""
     fixed = _HEADER.pack(kind.value, FORMAT_VERSION, CHUNK_SIZE_LOG2, store_id, number, 0)[:_CHECKSUM_OFFSET]
     return fixed + struct.pack("<Q", xxh3_64_intdigest(fixed))
 
 
 def decode_file_header(kind: FileKind, data: bytes | memoryview) -> FileHeader:
-    """Read the header at the beginning of `data`.
+    """Decode the file header at the beginning of `data`.
 
     Raises:
-        DamagedError: Not a file of this kind, or the checksum does not match.
-        UnsupportedVersionError: Another version or chunk size.
+        DamagedError: The file is not of this kind, or the checksum does not match.
+        UnsupportedVersionError: The format version or the chunk size is not supported.
     """
     if len(data) < FILE_HEADER_BYTES or data[:4] != kind.value:
-        raise DamagedError("no file of the store")
+        raise DamagedError("not a store file: wrong magic number or too short")
     _, version, chunk_log2, store_id, number, checksum = _HEADER.unpack_from(data)
     if xxh3_64_intdigest(bytes(data[:_CHECKSUM_OFFSET])) != checksum:
-        raise DamagedError("a file's head that does not fit its check")
+        raise DamagedError("file header: checksum mismatch")
     if (version, chunk_log2) != (FORMAT_VERSION, CHUNK_SIZE_LOG2):
-        raise UnsupportedVersionError(f"version {version}, expected {FORMAT_VERSION}")
+        raise UnsupportedVersionError(f"format version {version}, expected {FORMAT_VERSION}")
     return FileHeader(store_id, number)
--- a/brookhinge/store/files.py
+++ b/brookhinge/store/files.py
@@ -1,7 +1,7 @@
-"""The file layer: every byte that the store keeps on disk goes through `Files`.
+"""File access layer: all disk I/O of the store goes through `Files`.
 
-Tests put another layer in its place that loses, tears, reorders and refuses writes. Handles are file
-descriptors; errors are OSError.
+Tests replace it with a simulation that loses, tears, reorders and rejects writes. Handles are file
+descriptors; failures raise OSError.
 """
 
 import contextlib
@@ -17,13 +17,13 @@
 
 
 class Files:
-    """The files of one folder."""
+    """Operations on the files of one folder."""
 
     def __init__(self, folder: str | os.PathLike) -> None:
         self.folder = os.fspath(folder)
 
     def path(self, name: str) -> str:
-        """The path of a file of the folder."""
+        """Return the path of a file in the folder."""
         return os.path.join(self.folder, name)
 
     def make_folder(self) -> None:
@@ -31,36 +31,36 @@
         os.makedirs(self.folder, exist_ok=True)
 
     def names(self) -> list[str]:
-        """The names in the folder, sorted."""
+        """Return the names in the folder, sorted."""
         return sorted(os.listdir(self.folder))
 
     def create(self, name: str) -> int:
-        """Open a new or emptied file for reading and writing."""
+        """Create a file, or truncate an existing one, and open it for reading and writing."""
         return os.open(self.path(name), os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, _FILE_MODE)
 
     def open(self, name: str, write: bool = False) -> int:
-        """Open a file that exists."""
+        """Open an existing file."""
         return os.open(self.path(name), (os.O_RDWR if write else os.O_RDONLY) | os.O_CLOEXEC)
 
     def size(self, handle: int) -> int:
-        """Bytes in a file."""
+        """Return the size of a file in bytes."""
         return os.fstat(handle).st_size
 
     def write(self, handle: int, offset: int, buffers: list[bytes]) -> None:
-        """Write all buffers at `offset`; a short write is continued until it is complete or fails."""
+        """Write all buffers at `offset`, continuing after short writes."""
         total = sum(map(len, buffers))
-        done = os.pwritev(handle, buffers, offset)
-        if done == total:
+        written = os.pwritev(handle, buffers, offset)
+        if written == total:
             return
         data = memoryview(b"".join(buffers))
-        while done < total:
-            wrote = os.pwrite(handle, data[done:], offset + done)
-            if wrote <= 0:
-                raise OSError(errno.EIO, "nothing written")
-            done += wrote
+        while written < total:
+            count = os.pwrite(handle, data[written:], offset + written)
+            if count <= 0:
+                raise OSError(errno.EIO, "pwrite wrote no bytes")
+            written += count
 
     def read(self, handle: int, offset: int, size: int) -> bytes:
-        """Up to `size` bytes from `offset`; fewer only at the end of the file."""
+        """Read `size` bytes from `offset`, or fewer if the file ends before."""
         data = os.pread(handle, size, offset)
         while data and len(data) < size:
             more = os.pread(handle, size - len(data), offset + len(data))
@@ -70,11 +70,11 @@
         return data
 
     def sync(self, handle: int) -> None:
-        """Make what was written to a file durable."""
+        """Make the data written to a file durable."""
         os.fdatasync(handle)
 
     def sync_folder(self) -> None:
-        """Make creations, renames and removals of files durable."""
+        """Make file creations, renames and removals in the folder durable."""
         handle = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(handle)
@@ -82,7 +82,7 @@
             os.close(handle)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file over another one."""
+        """Rename a file, replacing any file that has the new name."""
         os.replace(self.path(old), self.path(new))
 
     def remove(self, name: str) -> None:
@@ -94,10 +94,10 @@
         os.close(handle)
 
     def lock(self, name: str) -> int:
-        """Lock the folder by a file of this name, which holds the process id for people to read.
+        """Lock the folder through a lock file, which also holds the process id for operators to read.
 
         Returns:
-            A handle; the lock is held while it is open.
+            The handle of the lock file. The lock is held until the handle is closed.
 
         Raises:
             FolderInUseError: Another process holds the lock.
@@ -117,7 +117,7 @@
 
 
 def write_file_atomically(files: Files, name: str, buffers: list[bytes]) -> None:
-    """Replace a file so that after a crash either the old or the new one is there, whole."""
+    """Replace a file atomically: after a crash it has either its old or its new content in full."""
     temporary = name + TEMPORARY_SUFFIX
     handle = files.create(temporary)
     try:
@@ -130,7 +130,7 @@
 
 
 def read_file(files: Files, name: str) -> bytes:
-    """All bytes of a file."""
+    """Return the whole content of a file."""
     handle = files.open(name)
     try:
         return files.read(handle, 0, files.size(handle))
--- a/brookhinge/store/folder_layout.py
+++ b/brookhinge/store/folder_layout.py
@@ -1,11 +1,12 @@
-"""Names of the files in a store's folder.
-
-store                  which store this is, and the version of its format
-lock                   held by the process that uses the folder
-s-00000001.seg ...     segments of records, append-only; only the last one is written to
-purges.log             the purge ledger
-index-00000001.snap    snapshots of the index, the last two
-NAME.new               a file that was being written when the process ended
+"""Names of the files in a store folder.
+
+store                  store id and format version
+lock                   lock file, locked by the process that uses the folder
+s-00000001.seg ...     append-only segments of records; only the last one is written to
+purges.log             purge ledger
+index-00000001.snap    index snapshots, of which the last two are kept
+trial                  file that a disk probe writes and removes
+NAME.new               replacement for NAME that is being written, or was when the process ended
 """
 
 from collections.abc import Iterable
@@ -21,22 +22,22 @@
 
 
 def segment_name(number: int) -> str:
-    """The file of a segment."""
+    """Return the file name of a segment."""
     return f"{_SEGMENT_PREFIX}{number:08d}{_SEGMENT_SUFFIX}"
 
 
 def snapshot_name(number: int) -> str:
-    """The file of an index snapshot."""
+    """Return the file name of an index snapshot."""
     return f"{_SNAPSHOT_PREFIX}{number:08d}{_SNAPSHOT_SUFFIX}"
 
 
 def segment_numbers(names: Iterable[str]) -> list[int]:
-    """Numbers of the segments among file names, ascending."""
+    """Return the numbers of the segment files among `names`, in ascending order."""
     return _numbers(names, _SEGMENT_PREFIX, _SEGMENT_SUFFIX)
 
 
 def snapshot_numbers(names: Iterable[str]) -> list[int]:
-    """Numbers of the index snapshots among file names, ascending."""
+    """Return the numbers of the index snapshots among `names`, in ascending order."""
     return _numbers(names, _SNAPSHOT_PREFIX, _SNAPSHOT_SUFFIX)
 
 
--- a/brookhinge/store/index.py
+++ b/brookhinge/store/index.py
@@ -1,10 +1,11 @@
-"""The index of the disk tier: parallel arrays under an open-addressing hash table. No I/O.
+"""Index of the disk tier: parallel arrays with an open-addressing hash table. No I/O.
 
-A million parts take some 70 bytes each, where a dict of objects takes several times that
+With a million parts it takes about 70 bytes per part; a dict of objects takes several times as much
 (benchmarks/store.py).
 
-An entry is an extent: a run of a part's chunks in one record. The entries of a part form a chain, all of one
-version; the first of them stands in the hash table and in the LRU list of its eviction rank.
+An entry describes an extent, a run of consecutive chunks of a part in one record. The entries of a part all
+have the same version and form a linked list, the chain. The first entry of the chain is in the hash table and
+in the LRU list of its eviction rank.
 """
 
 from array import array
@@ -19,7 +20,7 @@
 
 
 class Extent(NamedTuple):
-    """One record as the index keeps it; the fields are the first columns of the index."""
+    """Index data of one record. The fields match the first columns of the index, in order."""
 
     key: int
     version: int
@@ -28,7 +29,7 @@
     record_bytes: int
     part_bytes: int
     dated: float
-    epoch: int  # copies of an earlier epoch than the tier's need revalidation
+    epoch: int  # copies from an epoch before the tier's current one need revalidation
     first_chunk: int
     chunk_count: int
     group: int
@@ -36,7 +37,7 @@
 
 
 class IndexDump(NamedTuple):
-    """All of an index as it stands in memory."""
+    """Copy of the raw memory of an index."""
 
     counters: list[int]
     buffers: list[bytes]
@@ -46,12 +47,12 @@
 
 
 class Index:
-    """Entries are small integers, row numbers of the columns."""
+    """Index of the records in use. An entry is identified by its row number in the columns."""
 
     def __init__(self) -> None:
         self.key = array("Q")
         self.version = array("I")
-        self.segment = array("I")  # NONE in a row that is free
+        self.segment = array("I")  # NONE in a free row
         self.aligned_offset = array("I")
         self.record_bytes = array("I")
         self.part_bytes = array("I")
@@ -61,10 +62,10 @@
         self.chunk_count = array("H")
         self.group = array("H")
         self.rank = array("B")
-        self.next_extent = array("I")  # of the part, or the next free row
+        self.next_extent = array("I")  # next entry in the chain of the part; in a free row, the next free row
         self.older = array("I")
         self.newer = array("I")
-        self.columns = (  # in the order in which snapshots hold them
+        self.columns = (  # in the order of the snapshot format
             self.key,
             self.version,
             self.segment,
@@ -82,18 +83,18 @@
             self.newer,
         )
         self.slots = array("I", [NONE]) * _INITIAL_SLOTS
-        self.free = NONE
+        self.first_free_row = NONE
         self.parts = 0
         self.entries = 0
         self.oldest = [NONE] * EVICTION_RANKS
         self.newest = [NONE] * EVICTION_RANKS
         self.bytes_by_rank = [0] * EVICTION_RANKS
-        self.live_bytes: dict[int, int] = {}  # of records in use, by segment
+        self.live_bytes: dict[int, int] = {}  # bytes of the records in use, by segment
 
     # Hash table
 
     def find(self, key: int) -> int | None:
-        """The first entry of a part, or None."""
+        """Return the first entry of a part, or None if the part is not stored."""
         slots = self.slots
         keys = self.key
         mask = len(slots) - 1
@@ -132,7 +133,7 @@
         self.slots[slot] = entry
 
     def _clear_slot(self, slot: int) -> None:
-        """Empty a slot and move up the entries behind it, so that no probe ends early."""
+        """Empty a slot and shift back later entries of its probe sequence, which lookups would miss."""
         slots = self.slots
         keys = self.key
         mask = len(slots) - 1
@@ -175,7 +176,7 @@
             self.newest[rank] = older
 
     def touch(self, entry: int) -> None:
-        """Mark a part, by its first entry, as the one used last."""
+        """Mark a part, given its first entry, as most recently used."""
         if self.newest[self.rank[entry]] != entry:
             self._unlink(entry)
             self._link_newest(entry)
@@ -193,9 +194,10 @@
         self._link_newest(entry)
 
     def victims(self, rank: int) -> Iterator[int]:
-        """Parts in the order in which they are evicted for a copy of that rank.
+        """Yield the parts in the order in which they are evicted for a copy of this rank.
 
-        The lowest rank comes first, in it the least recently used; never one of a higher rank.
+        The lowest rank comes first, and within a rank the least recently used part. Parts of a higher rank
+        than `rank` are never evicted.
         """
         for victim_rank in range(rank + 1):
             entry = self.oldest[victim_rank]
@@ -207,18 +209,18 @@
     # Parts and their extents
 
     def chain_of(self, entry: int) -> Iterator[int]:
-        """The extents of a part from `entry` on."""
+        """Yield the entries of a part from `entry` on."""
         while entry != NONE:
-            following = self.next_extent[entry]
+            next_entry = self.next_extent[entry]
             yield entry
-            entry = following
+            entry = next_entry
 
     def chain_bytes(self, entry: int) -> int:
-        """Bytes on disk of the extents of a part."""
+        """Return the bytes on disk of the records of a part, given its first entry."""
         return sum(self.record_bytes[extent] for extent in self.chain_of(entry))
 
     def stored_chunks(self, entry: int) -> int:
-        """Bit mask of the chunks of a part that are stored."""
+        """Return a bit mask of the stored chunks of a part, given its first entry."""
         chunks = 0
         for extent in self.chain_of(entry):
             chunks |= (1 << self.chunk_count[extent]) - 1 << self.first_chunk[extent]
@@ -227,44 +229,45 @@
     def add(self, extent: Extent) -> int | None:
         """Add a record to its part.
 
-        A record of another version than the stored one replaces the part, unless it is older.
+        A record of a different version replaces the part unless it is older.
 
         Returns:
-            The first entry of the part, or None if the record is older than what is stored.
+            The first entry of the part, or None if the record was not added because it is older than the
+            stored version.
         """
-        known = self.find(extent.key)
-        if known is not None and self.version[known] != extent.version:
-            if extent.dated < self.dated[known]:
+        stored = self.find(extent.key)
+        if stored is not None and self.version[stored] != extent.version:
+            if extent.dated < self.dated[stored]:
                 return None
-            self.drop(known)
-            known = None
+            self.drop(stored)
+            stored = None
         entry = self._new_row(extent)
         self.entries += 1
         self.live_bytes[extent.segment] = self.live_bytes.get(extent.segment, 0) + extent.record_bytes
         self.bytes_by_rank[extent.rank] += extent.record_bytes
-        if known is None:
+        if stored is None:
             self._insert_slot(entry)
             self._link_newest(entry)
             return entry
-        self._set_rank(known, extent.rank)
-        self._drop_covered(known, extent.first_chunk, extent.chunk_count)
+        self._set_rank(stored, extent.rank)
+        self._drop_covered(stored, extent.first_chunk, extent.chunk_count)
         first = self.find(extent.key)
-        if first is None:  # the new record covers all that was stored
+        if first is None:  # the new record replaces all stored chunks
             self._insert_slot(entry)
             self._link_newest(entry)
             return entry
         self.next_extent[entry] = self.next_extent[first]
         self.next_extent[first] = entry
-        for member in self.chain_of(first):  # a copy has one date
+        for member in self.chain_of(first):  # all extents of a part have the same date
             self.dated[member] = max(extent.dated, self.dated[member])
             self.epoch[member] = extent.epoch
         return first
 
     def _new_row(self, extent: Extent) -> int:
         values = (*extent, NONE, NONE, NONE)
-        entry = self.free
+        entry = self.first_free_row
         if entry != NONE:
-            self.free = self.next_extent[entry]
+            self.first_free_row = self.next_extent[entry]
             for column, value in zip(self.columns, values, strict=True):
                 column[entry] = value
             return entry
@@ -281,46 +284,46 @@
                 self.drop_extent(extent)
 
     def drop(self, entry: int) -> None:
-        """Remove a part by its first entry."""
+        """Remove a part, given its first entry."""
         self._clear_slot(self._slot_of(entry))
         self._unlink(entry)
         for extent in list(self.chain_of(entry)):
             self._free_row(extent)
 
     def drop_extent(self, entry: int) -> None:
-        """Remove one record of a part, and the part with its last record."""
+        """Remove one record of a part; removes the part if this was its last record."""
         first = self.find(self.key[entry])
         if entry == first:
-            following = self.next_extent[entry]
-            if following == NONE:
+            next_entry = self.next_extent[entry]
+            if next_entry == NONE:
                 self.drop(entry)
                 return
             self._unlink(entry)
-            self.slots[self._slot_of(entry)] = following
-            self._link_newest(following)
+            self.slots[self._slot_of(entry)] = next_entry
+            self._link_newest(next_entry)
         else:
-            before = next(e for e in self.chain_of(first) if self.next_extent[e] == entry)
-            self.next_extent[before] = self.next_extent[entry]
+            previous = next(e for e in self.chain_of(first) if self.next_extent[e] == entry)
+            self.next_extent[previous] = self.next_extent[entry]
         self._free_row(entry)
 
     def _free_row(self, entry: int) -> None:
         segment = self.segment[entry]
-        if segment in self.live_bytes:  # else the segment was removed before its records were dropped
+        if segment in self.live_bytes:  # not if the segment was removed before its records were dropped
             self.live_bytes[segment] -= self.record_bytes[entry]
         self.bytes_by_rank[self.rank[entry]] -= self.record_bytes[entry]
         self.entries -= 1
         self.segment[entry] = NONE
-        self.next_extent[entry] = self.free
-        self.free = entry
+        self.next_extent[entry] = self.first_free_row
+        self.first_free_row = entry
 
     # Segments
 
     def byte_offset(self, entry: int) -> int:
-        """Where a record begins in its segment, in bytes."""
+        """Return the byte offset of a record in its segment."""
         return self.aligned_offset[entry] * RECORD_ALIGN_BYTES
 
     def move(self, entry: int, segment: int, offset: int) -> None:
-        """Note that a record was copied to another segment; `offset` in bytes."""
+        """Update an entry after its record was copied to byte `offset` of another segment."""
         length = self.record_bytes[entry]
         if self.segment[entry] in self.live_bytes:
             self.live_bytes[self.segment[entry]] -= length
@@ -329,13 +332,13 @@
         self.aligned_offset[entry] = offset // RECORD_ALIGN_BYTES
 
     def entries_of_segment(self, segment: int) -> list[int]:
-        """The entries whose records lie in a segment, by offset."""
+        """Return the entries whose records are in a segment, ordered by offset."""
         segments = self.segment
-        found = [entry for entry in range(len(segments)) if segments[entry] == segment]
-        return sorted(found, key=self.aligned_offset.__getitem__)
+        entries = [entry for entry in range(len(segments)) if segments[entry] == segment]
+        return sorted(entries, key=self.aligned_offset.__getitem__)
 
     def entry_at(self, key: int, segment: int, offset: int) -> int | None:
-        """The entry of the record at a byte offset, if its part still uses it."""
+        """Return the entry of the record at a byte offset of a segment, or None if it is not in use."""
         aligned = offset // RECORD_ALIGN_BYTES
         first = self.find(key)
         if first is None:
@@ -346,7 +349,7 @@
         return None
 
     def drop_segments(self, numbers: set[int]) -> None:
-        """Remove all records of segments that are no longer there."""
+        """Remove all records of segments that no longer exist."""
         for entry in range(len(self.segment)):
             if self.segment[entry] != NONE and self.segment[entry] in numbers:
                 self.drop_extent(entry)
@@ -354,7 +357,7 @@
             self.live_bytes.pop(number, None)
 
     def drop_all(self) -> None:
-        """Remove every record; the segments stay."""
+        """Remove all records. The segments remain known."""
         for entry in range(len(self.segment)):
             if self.segment[entry] != NONE:
                 self.drop_extent(entry)
@@ -362,11 +365,11 @@
     # Snapshots
 
     def dump(self) -> IndexDump:
-        """A copy of the whole index."""
+        """Return a copy of the whole index."""
         counters = [
             len(self.key),
             len(self.slots),
-            self.free,
+            self.first_free_row,
             self.parts,
             self.entries,
             *self.oldest,
@@ -376,25 +379,25 @@
         return IndexDump(counters, [column.tobytes() for column in (*self.columns, self.slots)])
 
     @classmethod
-    def load(cls, counters: list[int], data: bytes, at: int) -> "Index":
-        """The index of a dump whose buffers begin at `at`. `live_bytes` is left empty."""
+    def load(cls, counters: list[int], data: bytes, offset: int) -> "Index":
+        """Return the index of a dump whose buffers begin at `offset` in `data`, without its `live_bytes`."""
         index = cls()
-        rows, slots, index.free, index.parts, index.entries = counters[:5]
+        rows, slots, index.first_free_row, index.parts, index.entries = counters[:5]
         ranks = EVICTION_RANKS
         index.oldest = list(counters[5 : 5 + ranks])
         index.newest = list(counters[5 + ranks : 5 + 2 * ranks])
         index.bytes_by_rank = list(counters[5 + 2 * ranks : DUMP_COUNTERS])
         for column in index.columns:
-            end = at + rows * column.itemsize
-            column.frombytes(data[at:end])
-            at = end
+            end = offset + rows * column.itemsize
+            column.frombytes(data[offset:end])
+            offset = end
         index.slots = array("I")
-        index.slots.frombytes(data[at : at + slots * index.slots.itemsize])
+        index.slots.frombytes(data[offset : offset + slots * index.slots.itemsize])
         return index
 
     @classmethod
     def dump_bytes(cls, counters: list[int]) -> int:
-        """Bytes of the buffers of a dump with these counters."""
+        """Return the total size in bytes of the buffers of a dump with these counters."""
         rows, slots = counters[:2]
         empty = cls()
         return rows * sum(column.itemsize for column in empty.columns) + slots * empty.slots.itemsize
--- a/brookhinge/store/memory_tier.py
+++ b/brookhinge/store/memory_tier.py
@@ -1,6 +1,7 @@
-"""The memory tier: whole parts within a limit of bytes. No I/O, no clock.
+"""Memory tier: a cache of whole parts with a size limit in bytes. No I/O, no clock.
 
-Eviction takes the lowest rank first, in it the least recently used, and nothing for a copy of a lower rank.
+Eviction starts at the lowest rank and within a rank with the least recently used part. A copy never evicts
+parts of a higher rank.
 """
 
 from collections import OrderedDict
@@ -8,11 +9,11 @@
 
 from brookhinge.store.copies import EVICTION_RANKS, ReadResult
 
-OVERHEAD_BYTES = 400  # of a part beside its body: key, record, links
+OVERHEAD_BYTES = 400  # per part in addition to its body: key, record, links
 
 
 class MemoryTier:
-    """Parts by key, which is (object, part) in the store."""
+    """Parts by key. The store uses (object, part) as the key."""
 
     def __init__(self, limit_bytes: int) -> None:
         self.limit_bytes = limit_bytes
@@ -21,7 +22,7 @@
         self.ranks: dict[Hashable, int] = {}
 
     def get(self, key: Hashable) -> ReadResult | None:
-        """The part, which counts as used."""
+        """Return a part and mark it as most recently used; None if it is not stored."""
         rank = self.ranks.get(key)
         if rank is None:
             return None
@@ -29,7 +30,12 @@
         return self.by_rank[rank][key]
 
     def put(self, key: Hashable, copy: ReadResult) -> bool:
-        """Store a part in place of the one under this key; False if there is no space that it may have."""
+        """Store a part under a key, replacing the one stored there.
+
+        Returns:
+            Whether the part was stored. False if eviction can't make enough space; the old part is dropped
+            nevertheless.
+        """
         needed = len(copy.body) + OVERHEAD_BYTES
         self.drop(key)
         free = self.limit_bytes - self.used_bytes
@@ -45,7 +51,7 @@
         return True
 
     def replace(self, key: Hashable, copy: ReadResult) -> None:
-        """Put the same bytes with other metadata in the place of a part."""
+        """Replace a stored part by a copy with the same bytes and rank but other metadata."""
         self.by_rank[self.ranks[key]][key] = copy
 
     def drop(self, key: Hashable) -> None:
@@ -55,16 +61,16 @@
             self.used_bytes -= len(self.by_rank[rank].pop(key).body) + OVERHEAD_BYTES
 
     def items(self) -> Iterator[tuple[Hashable, ReadResult]]:
-        """All parts, by rank and last use; the tier may be changed meanwhile."""
+        """Yield all parts by rank and last use. The tier may change during the iteration."""
         for parts in self.by_rank:
             yield from list(parts.items())
 
 
-def _bytes_up_to(parts: OrderedDict[Hashable, ReadResult], enough: int) -> int:
-    """Bytes of the parts, counted until there are enough."""
+def _bytes_up_to(parts: OrderedDict[Hashable, ReadResult], enough_bytes: int) -> int:
+    """Return the total size of the parts; stops counting at `enough_bytes`."""
     total = 0
     for copy in parts.values():
         total += len(copy.body) + OVERHEAD_BYTES
-        if total >= enough:
+        if total >= enough_bytes:
             break
     return total
--- a/brookhinge/store/part_writer.py
+++ b/brookhinge/store/part_writer.py
@@ -1,4 +1,4 @@
-"""Writes copies to the log: admission, eviction, and the segment that takes the record."""
+"""Writes copies to the log: admission, eviction and the choice of the segment."""
 
 from collections.abc import Callable, Iterable, Iterator
 
@@ -25,7 +25,12 @@
 
 
 class PartWriter:
-    """Writes of a disk tier. `admits`, if set, decides on copies that do not bypass admission."""
+    """Write path of a disk tier.
+
+    Attributes:
+        admits: Admission check for copies that do not bypass admission; None admits all of them.
+        max_live_bytes: Limit for the bytes of live records.
+    """
 
     def __init__(
         self, state: TierState, writer: SegmentWriter, cleaner: Cleaner, admits: AdmissionCheck | None
@@ -37,11 +42,18 @@
         self.max_live_bytes = cleaning.max_live_bytes(state.limit_bytes, state.segment_bytes)
 
     def write(self, copy: Copy, bypass_admission: bool = False) -> bool:
-        """Store a copy if it is worth its place; True if it was written.
+        """Store a copy if it is admitted and space can be made for it.
+
+        Args:
+            copy: Bytes of a part.
+            bypass_admission: Whether to skip the admission check.
+
+        Returns:
+            Whether the copy was written.
 
         Raises:
-            ValueError: The copy can't be stored at all.
-            OSError: The disk failed; what was half written is never served.
+            ValueError: A field of the copy is out of range.
+            OSError: The disk failed. An incomplete record is never served.
         """
         validate_copy(copy)
         state = self._state
@@ -72,14 +84,14 @@
         return self.admits(key, length, free, self._victims(key, rank))
 
     def _victims(self, key: int, rank: int) -> Iterator[Victim]:
-        """What would be evicted for a copy of that rank, but for the part itself."""
+        """Yield the parts that may be evicted for a copy of this rank, except the part itself."""
         index = self._state.index
         for entry in index.victims(rank):
             if index.key[entry] != key:
                 yield Victim(index.key[entry], index.chain_bytes(entry))
 
     def _evict_for(self, key: int, length: int, rank: int) -> bool:
-        """Drop what has to go for a record; False, and nothing dropped, if that is not enough."""
+        """Evict parts until a record of `length` bytes fits; return False and evict nothing if it can't."""
         state = self._state
         index = state.index
         excess = state.live_bytes() + length - self.max_live_bytes
@@ -100,7 +112,7 @@
         return True
 
     def _segment_for(self, length: int) -> Segment | None:
-        """The segment that a record goes to, or None if no space can be made for a new one."""
+        """Return a segment with space for a record, or None if there is no space for a new segment."""
         writer = self._writer
         if writer.has_space(length):
             return writer.active
@@ -108,7 +120,7 @@
         for _ in range(_MAX_CLEANED_PER_RECORD):
             if not self._cleaner.clean_if_needed():
                 break
-        if writer.has_space(length):  # in a segment that cleaning has begun
+        if writer.has_space(length):  # cleaning has started a new segment
             return writer.active
         if self._state.disk_bytes() + length > self._state.limit_bytes:
             return None
@@ -121,7 +133,7 @@
         checksums = chunk_checksums(copy.body)
         offset = self._writer.append(segment, encode_record(copy, serial, seed, checksums), length)
         with state.lock:
-            # a purge that came during the write did not see this copy
+            # A purge received during the write did not find this copy in the index.
             if not state.ledger.is_purged(copy.object, copy.group, copy.dated):
                 state.index.add(
                     Extent(
--- a/brookhinge/store/purge_ledger.py
+++ b/brookhinge/store/purge_ledger.py
@@ -1,9 +1,10 @@
-"""The purge ledger: what was purged, and when. No I/O; `purge_ledger_file` writes its records to disk.
+"""Purge ledger: the dates of all known purges. No I/O; `purge_ledger_file` writes its records to disk.
 
-A copy is purged if it is no younger than the last purge of its object or its group. Copies are judged when
-they are asked for, so a purge costs the same whatever it hits. The ledger is bounded: beyond `max_objects`
-the oldest half is folded into a floor, at or before which every copy counts as purged. The clock of this
-machine plays no part: both dates come from the origin and the command channel.
+A copy is purged if its date is not later than the latest purge of its object or its group. This is checked
+when a copy is looked up, so the cost of a purge does not depend on the number of copies that it matches. The
+ledger is bounded: beyond `max_objects` object purges, the oldest half is replaced by a floor, a date up to
+which every copy counts as purged. The local clock is not used: the dates of copies come from the origin, and
+those of purges from the command channel.
 """
 
 import struct
@@ -24,18 +25,24 @@
 
 
 class PurgeKind(IntEnum):
-    """What a purge names; the values are those of the file."""
+    """What a purge applies to. The values are written to the ledger file."""
 
     OBJECT = 1
     GROUP = 2
-    FLOOR = 3  # everything
+    FLOOR = 3  # all objects
 
 
 _KINDS = frozenset(kind.value for kind in PurgeKind)
 
 
 class Purge(NamedTuple):
-    """One purge. `name` is the object's name (bytes), the group's number, or 0 for the floor."""
+    """One purge.
+
+    Attributes:
+        kind: What the purge applies to.
+        name: The object name, the group number, or 0 for the floor.
+        when: Date of the purge, a Unix timestamp in seconds. It matches copies dated no later than this.
+    """
 
     kind: PurgeKind
     name: bytes | int
@@ -43,7 +50,7 @@
 
 
 class ReplayResult(NamedTuple):
-    """What became of the bytes of a ledger."""
+    """Number of records read from a ledger file, and of bytes that could not be read."""
 
     records: int
     unreadable_bytes: int
@@ -56,48 +63,48 @@
 
 
 class PurgeLedger:
-    """The purges that are known. Dates are Unix seconds."""
+    """All known purges. Dates are Unix timestamps in seconds."""
 
     def __init__(self, max_objects: int = DEFAULT_MAX_OBJECTS) -> None:
         self.max_objects = max_objects
         self.objects: dict[bytes, float] = {}
         self.groups: dict[int, float] = {}
         self.floor = NEVER
-        self.last_group = NEVER  # date of the latest purge of any group
+        self.latest_group_purge = NEVER  # date of the latest purge of any group
         self.serial = 0
 
     def purged_at(self, object_: bytes, group: int) -> float:
-        """The date of the latest purge that hits an object of a group; -inf if there is none."""
-        any_group = group == UNKNOWN_GROUP
-        group_purge = self.last_group if any_group else self.groups.get(group, self.floor)
+        """Return the date of the latest purge that applies to an object, or `NEVER` if there is none."""
+        in_any_group = group == UNKNOWN_GROUP
+        group_purge = self.latest_group_purge if in_any_group else self.groups.get(group, self.floor)
         return max(self.objects.get(object_, self.floor), group_purge, self.floor)
 
     def is_purged(self, object_: bytes, group: int, dated: float) -> bool:
-        """Whether a copy of that date has been purged."""
+        """Return whether a copy with this date has been purged."""
         return dated <= self.purged_at(object_, group)
 
     def add(self, purge: Purge) -> bytes:
-        """Note a purge and return its record for the file."""
-        self._note(purge)
+        """Add a purge and return its encoded record for the ledger file."""
+        self._apply(purge)
         self._fold_oldest()
         return self._encode(purge)
 
-    def _note(self, purge: Purge) -> None:
+    def _apply(self, purge: Purge) -> None:
         if purge.kind == PurgeKind.FLOOR:
             self.floor = max(self.floor, purge.when)
             return
-        known = self.objects if purge.kind == PurgeKind.OBJECT else self.groups
-        known[purge.name] = max(purge.when, known.get(purge.name, purge.when))
+        dates = self.objects if purge.kind == PurgeKind.OBJECT else self.groups
+        dates[purge.name] = max(purge.when, dates.get(purge.name, purge.when))
         if purge.kind == PurgeKind.GROUP:
-            self.last_group = max(self.last_group, purge.when)
+            self.latest_group_purge = max(self.latest_group_purge, purge.when)
 
     def limit_dates(self, now: float) -> None:
-        """Take purges that are dated later than `now` for purges of `now`."""
-        for known in (self.objects, self.groups):
-            for name, when in known.items():
-                known[name] = min(when, now)
+        """Set the date of each purge that is dated later than `now` to `now`."""
+        for dates in (self.objects, self.groups):
+            for name, when in dates.items():
+                dates[name] = min(when, now)
         self.floor = min(self.floor, now)
-        self.last_group = min(self.last_group, now)
+        self.latest_group_purge = min(self.latest_group_purge, now)
 
     def _fold_oldest(self) -> None:
         if len(self.objects) <= self.max_objects:
@@ -108,14 +115,14 @@
             del self.objects[name]
 
     def purges(self) -> list[Purge]:
-        """The fewest purges that say all that is known."""
+        """Return the smallest list of purges that is equivalent to the ledger."""
         floor = [Purge(PurgeKind.FLOOR, 0, self.floor)] if self.floor > NEVER else []
         groups = [Purge(PurgeKind.GROUP, group, when) for group, when in sorted(self.groups.items())]
         objects = [Purge(PurgeKind.OBJECT, name, when) for name, when in sorted(self.objects.items())]
         return [*floor, *groups, *objects]
 
     def encode_all(self) -> list[bytes]:
-        """The records of a file that is written anew."""
+        """Return the encoded records for a rewritten ledger file."""
         return [self._encode(purge) for purge in self.purges()]
 
     def _encode(self, purge: Purge) -> bytes:
@@ -129,41 +136,42 @@
         return record + b"\0" * (-len(record) % _ALIGN_BYTES)
 
     def replay(self, data: bytes | memoryview) -> ReplayResult:
-        """Note all purges of a file that can be read.
+        """Add all purges that can be read from the content of a ledger file.
 
-        Zeros at the end were never written; any other bytes that can't be read may have been a purge.
+        Zero bytes at the end are space that was never written. All other unreadable bytes are counted,
+        because they may have been a purge.
         """
-        at = 0
+        offset = 0
         records = 0
         unreadable = 0
-        gap = 0
-        while at + _RECORD.size <= len(data):
+        gap = 0  # unreadable bytes since the last record
+        while offset + _RECORD.size <= len(data):
             try:
-                record = _decode(data, at)
+                record = _decode(data, offset)
             except DamagedError:
-                at += _ALIGN_BYTES
+                offset += _ALIGN_BYTES
                 gap += _ALIGN_BYTES
                 continue
-            self._note(record.purge)
+            self._apply(record.purge)
             self.serial = max(self.serial, record.serial)
             records += 1
-            at += record.size
+            offset += record.size
             unreadable += gap
             gap = 0
         self._fold_oldest()
-        tail = bytes(data[max(0, at - gap) :])
+        tail = bytes(data[max(0, offset - gap) :])
         return ReplayResult(records, unreadable + len(tail.rstrip(b"\0")))
 
 
-def _decode(data: bytes | memoryview, at: int) -> _DecodedRecord:
-    magic, kind, group, name_bytes, when, serial, checksum = _RECORD.unpack_from(data, at)
-    name_at = at + _RECORD.size
-    name = bytes(data[name_at : name_at + name_bytes])
+def _decode(data: bytes | memoryview, offset: int) -> _DecodedRecord:
+    magic, kind, group, name_bytes, when, serial, checksum = _RECORD.unpack_from(data, offset)
+    name_start = offset + _RECORD.size
+    name = bytes(data[name_start : name_start + name_bytes])
     if magic != _MAGIC or len(name) < name_bytes or kind not in _KINDS:
-        raise DamagedError("no purge")
-    checked = bytes(data[at : name_at - _CHECKSUM.size]) + name
+        raise DamagedError("purge record: wrong magic number, kind or length")
+    checked = bytes(data[offset : name_start - _CHECKSUM.size]) + name
     if xxh3_64_intdigest(checked, seed=kind) != checksum:
-        raise DamagedError("a purge that does not fit its check")
+        raise DamagedError("purge record: checksum mismatch")
     purge = Purge(PurgeKind(kind), name if kind == PurgeKind.OBJECT else group, when)
     size = -(-(_RECORD.size + name_bytes) // _ALIGN_BYTES) * _ALIGN_BYTES
     return _DecodedRecord(purge, serial, size)
--- a/brookhinge/store/purge_ledger_file.py
+++ b/brookhinge/store/purge_ledger_file.py
@@ -1,4 +1,4 @@
-"""The file of the purge ledger: appended to at each purge, rewritten when it has grown too long."""
+"""File of the purge ledger: each purge is appended, and the file is rewritten when it has grown too large."""
 
 import contextlib
 import errno
@@ -16,11 +16,11 @@
 from brookhinge.store.tier_state import TierState
 
 _REWRITE_MIN_BYTES = 65536
-_REWRITE_BYTES_PER_PURGE = 4 * 64  # four times what a purge takes, about
+_REWRITE_BYTES_PER_PURGE = 4 * 64  # about four times the size of a purge record
 
 
 class PurgeLedgerFile:
-    """The ledger on disk."""
+    """The ledger file of one store, and its open handle."""
 
     def __init__(self, state: TierState) -> None:
         self._state = state
@@ -30,31 +30,34 @@
     def replay(self) -> ReplayResult:
         """Read the file into the ledger of the tier.
 
+        If the file header is damaged, the whole file counts as unreadable, but its intact records are added.
+
         Raises:
-            StoreUnusableError: The file is in another version of the format.
+            StoreUnusableError: The file is in an unsupported version of the format.
         """
         state = self._state
         data = read_file(state.files, LEDGER_FILE)
         try:
             if decode_file_header(FileKind.PURGE_LEDGER, data).store_id != state.store_id:
-                raise DamagedError("a ledger of another store")
+                raise DamagedError("purge ledger: belongs to another store")
         except UnsupportedVersionError as error:
-            raise StoreUnusableError(f"a ledger of {error}") from None
+            raise StoreUnusableError(f"purge ledger: {error}") from None
         except DamagedError:
             state.ledger.replay(data[FILE_HEADER_BYTES:])
             return ReplayResult(records=0, unreadable_bytes=len(data))
         return state.ledger.replay(memoryview(data)[FILE_HEADER_BYTES:])
 
     def append(self, record: bytes) -> None:
-        """Write the record of one purge; it is durable on return.
+        """Append the record of one purge; the record is durable on return.
 
         Raises:
-            OSError: The file is closed until `rewrite` succeeds.
+            OSError: The write failed, or the file is closed after an earlier failure until `rewrite`
+                succeeds.
         """
         state = self._state
         with state.write_lock:
             if self._handle is None:
-                raise OSError(errno.EIO, "the ledger is closed")
+                raise OSError(errno.EIO, "purge ledger file is not open")
             try:
                 state.files.write(self._handle, self._size, [record])
                 state.files.sync(self._handle)
@@ -70,7 +73,7 @@
                 self.rewrite()
 
     def rewrite(self) -> None:
-        """Replace the file by the fewest records that say what memory knows."""
+        """Replace the file with the smallest set of records that is equivalent to the ledger in memory."""
         state = self._state
         with state.write_lock:
             if self._handle is not None:
@@ -84,7 +87,7 @@
             self._size = len(data)
 
     def detach(self) -> int | None:
-        """Give up the handle, for the caller to close."""
+        """Return the open handle, if any, for the caller to close, and forget it."""
         handle = self._handle
         self._handle = None
         return handle
--- a/brookhinge/store/record_format.py
+++ b/brookhinge/store/record_format.py
@@ -1,7 +1,8 @@
-"""Records of the segment files as bytes. No I/O; docs/design/store.md has the format to the byte.
+"""Encoding of the records in segment files; see docs/design/store.md for the format. No I/O.
 
-A record holds a run of a part's chunks: a header, whose checksum also covers where the record stands (store,
-segment, offset), and the bytes, each chunk of which has a checksum in the header.
+A record holds an extent, a run of consecutive chunks of a part. It consists of a header and the body bytes.
+The checksum of the header is seeded with the location of the record (store, segment, offset), and the header
+holds a checksum of each chunk.
 """
 
 import struct
@@ -18,18 +19,18 @@
 RECORD_HEADER_BYTES = _HEADER.size
 _CHECKSUM_OFFSET = _HEADER.size - 8
 _EXTENT_KIND = 1
-_SEGMENT_MIX = 0x9E3779B97F4A7C15
-_OFFSET_MIX = 0xC2B2AE3D27D4EB4F
+_SEGMENT_MULTIPLIER = 0x9E3779B97F4A7C15
+_OFFSET_MULTIPLIER = 0xC2B2AE3D27D4EB4F
 _UINT64_MASK = (1 << 64) - 1
 
 
 class _FixedFields(NamedTuple):
-    """The fields at the beginning of every header; object, tag and checksums of the chunks follow."""
+    """Fixed-size header fields. The object name, the tag and the chunk checksums follow them."""
 
     magic: bytes
     kind: int
     rank: int
-    zero1: int
+    reserved1: int
     object_bytes: int
     tag_bytes: int
     first_chunk: int
@@ -38,14 +39,14 @@
     part: int
     size: int
     body_bytes: int
-    zero2: int
+    reserved2: int
     dated: float
     serial: int
     checksum: int
 
 
 class RecordHeader(NamedTuple):
-    """The verified header of a record."""
+    """Decoded header of a record, verified against its checksum."""
 
     object: bytes
     part: int
@@ -53,41 +54,43 @@
     dated: float
     group: int
     rank: int
-    size: int  # bytes of the whole part
+    size: int  # bytes in the whole part
     first_chunk: int
-    checksums: tuple[int, ...]  # of each chunk
-    body_offset: int  # from the beginning of the record
+    checksums: tuple[int, ...]  # one per chunk
+    body_offset: int  # relative to the start of the record
     body_bytes: int
     serial: int
     record_bytes: int
 
 
 def location_seed(store_id: int, segment: int, offset: int) -> int:
-    """Seed of the header's checksum, so that a record is rejected anywhere but where it was written."""
-    return (store_id ^ segment * _SEGMENT_MIX ^ offset * _OFFSET_MIX) & _UINT64_MASK
+    """Return the checksum seed for a record header; it makes a record invalid at any other location."""
+    return (store_id ^ segment * _SEGMENT_MULTIPLIER ^ offset * _OFFSET_MULTIPLIER) & _UINT64_MASK
 
 
 def record_bytes(object_bytes: int, tag_bytes: int, chunks: int, body_bytes: int) -> int:
-    """Bytes of a record on disk, with the padding up to the next aligned offset."""
+    """Return the size of a record on disk, including the padding to the next aligned offset."""
     unpadded = RECORD_HEADER_BYTES + object_bytes + tag_bytes + 8 * chunks + body_bytes
     return -(-unpadded // RECORD_ALIGN_BYTES) * RECORD_ALIGN_BYTES
 
 
 def chunk_checksums(body: bytes | memoryview) -> list[int]:
-    """The checksum of each chunk of a body."""
+    """Return the checksum of each chunk of a body."""
     view = memoryview(body)
-    return [xxh3_64_intdigest(view[at : at + CHUNK_BYTES]) for at in range(0, len(view), CHUNK_BYTES)]
+    return [
+        xxh3_64_intdigest(view[offset : offset + CHUNK_BYTES]) for offset in range(0, len(view), CHUNK_BYTES)
+    ]
 
 
 def encode_record(copy: Copy, serial: int, seed: int, checksums: list[int] | tuple[int, ...]) -> list[bytes]:
-    """The buffers of a record; the body is passed through uncopied."""
+    """Encode a record as a list of buffers. The body is not copied."""
     chunks = len(checksums)
     variable = copy.object + copy.tag + struct.pack(f"<{chunks}Q", *checksums)
     fields = _FixedFields(
         magic=RECORD_MAGIC,
         kind=_EXTENT_KIND,
         rank=copy.rank,
-        zero1=0,
+        reserved1=0,
         object_bytes=len(copy.object),
         tag_bytes=len(copy.tag),
         first_chunk=copy.start // CHUNK_BYTES,
@@ -96,7 +99,7 @@
         part=copy.part,
         size=copy.size,
         body_bytes=len(copy.body),
-        zero2=0,
+        reserved2=0,
         dated=copy.dated,
         serial=serial,
         checksum=0,
@@ -109,25 +112,25 @@
 
 
 def decode_record_header(data: bytes | memoryview, seed: int, at: int = 0) -> RecordHeader:
-    """Read the header of the record at `at`.
+    """Decode and verify the header of the record at position `at` of `data`.
 
     Raises:
-        DamagedError: There is no record that was written at this location.
+        DamagedError: `data` holds no valid record header for the location that `seed` was made from.
     """
     if len(data) - at < RECORD_HEADER_BYTES:
-        raise DamagedError("a head that is cut off")
+        raise DamagedError("record header: truncated")
     fixed = _FixedFields._make(_HEADER.unpack_from(data, at))
     if fixed.magic != RECORD_MAGIC or fixed.kind != _EXTENT_KIND:
-        raise DamagedError("no record")
+        raise DamagedError("record header: wrong magic number or kind")
     object_at = at + RECORD_HEADER_BYTES
     tag_at = object_at + fixed.object_bytes
     checksums_at = tag_at + fixed.tag_bytes
     body_at = checksums_at + 8 * fixed.chunks
     if len(data) < body_at:
-        raise DamagedError("a head that is cut off")
+        raise DamagedError("record header: truncated")
     checked = bytes(data[at : at + _CHECKSUM_OFFSET]) + bytes(data[object_at:body_at])
     if xxh3_64_intdigest(checked, seed=seed) != fixed.checksum:
-        raise DamagedError("a head that does not fit its check")
+        raise DamagedError("record header: checksum mismatch")
     return RecordHeader(
         bytes(data[object_at:tag_at]),
         fixed.part,
@@ -154,12 +157,12 @@
 
 
 def verify_chunks(checksums: tuple[int, ...], body: bytes | memoryview, first: int = 0) -> None:
-    """Compare each chunk of `body` with the checksums from entry `first` on.
+    """Verify the chunks of `body` against the checksums from index `first` on.
 
     Raises:
-        DamagedError: A chunk does not match.
+        DamagedError: A chunk does not match its checksum.
     """
     view = memoryview(body)
-    for entry, at in enumerate(range(0, len(view), CHUNK_BYTES), first):
-        if xxh3_64_intdigest(view[at : at + CHUNK_BYTES]) != checksums[entry]:
-            raise DamagedError("a chunk that does not fit its check")
+    for index, offset in enumerate(range(0, len(view), CHUNK_BYTES), first):
+        if xxh3_64_intdigest(view[offset : offset + CHUNK_BYTES]) != checksums[index]:
+            raise DamagedError("chunk: checksum mismatch")
--- a/brookhinge/store/segment.py
+++ b/brookhinge/store/segment.py
@@ -1,4 +1,4 @@
-"""One segment file, and the records that a sequential scan finds in it."""
+"""Segment files and the sequential scan over their records."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -30,12 +30,12 @@
     handle: int
     size: int  # bytes written
     synced_size: int  # bytes that are durable
-    readers: int = 0  # reads under way; the handle of a removed segment is closed after the last one
+    readers: int = 0  # reads in progress; the handle of a removed segment is closed after the last one
     is_removed: bool = False
 
 
 class ScannedRecord(NamedTuple):
-    """A whole record that a scan found."""
+    """An intact record found by a scan."""
 
     offset: int
     header: RecordHeader
@@ -46,14 +46,14 @@
     """Open a segment file for reading.
 
     Raises:
-        DamagedError: Its header is damaged, or names another store or number.
-        UnsupportedVersionError: It is in another version of the format.
+        DamagedError: The file header is damaged, or belongs to another store or segment number.
+        UnsupportedVersionError: The file is in an unsupported version of the format.
     """
     handle = files.open(segment_name(number))
     try:
         header = decode_file_header(FileKind.SEGMENT, files.read(handle, 0, FILE_HEADER_BYTES))
         if header != (store_id, number):
-            raise DamagedError("a segment of another store, or under another name")
+            raise DamagedError("segment header: store id or segment number does not match")
     except BaseException:
         files.close(handle)
         raise
@@ -62,9 +62,11 @@
 
 
 class SegmentScan:
-    """Iterates over the whole records of a segment; after a damaged place it goes on at the next record.
+    """Iterates over the intact records of a segment and skips damaged places between them.
 
-    `whole_records` and `damaged_places` count what was met so far.
+    Attributes:
+        whole_records: Number of intact records found so far.
+        damaged_places: Number of damaged places found so far; adjacent damaged records count as one.
     """
 
     def __init__(self, files: Files, store_id: int, segment: Segment, start: int = FILE_HEADER_BYTES) -> None:
@@ -97,7 +99,11 @@
             self._skip_to_next_magic()
 
     def _read_window(self, needed: int) -> int:
-        """Position of the offset in the window, which then holds `needed` bytes from it if the file does."""
+        """Make the window hold `needed` bytes from the current offset, or fewer if the file ends before.
+
+        Returns:
+            The position of the current offset in the window.
+        """
         if self._offset - self._window_offset + needed > len(self._window):
             wanted = min(max(_SCAN_WINDOW_BYTES, needed), self._size - self._offset)
             self._window = self._files.read(self._segment.handle, self._offset, wanted)
@@ -130,7 +136,7 @@
         if found >= 0:
             self._offset = base + found
             return
-        # the magic may stand across the end of the window
+        # The magic number may straddle the end of the window.
         last_start = base + len(window) - len(RECORD_MAGIC) + 1
         aligned = last_start // RECORD_ALIGN_BYTES * RECORD_ALIGN_BYTES
         self._offset = max(self._offset + RECORD_ALIGN_BYTES, aligned)
--- a/brookhinge/store/segment_writer.py
+++ b/brookhinge/store/segment_writer.py
@@ -1,4 +1,4 @@
-"""Appends records to the active segment, begins and seals segments, and makes them durable."""
+"""Appends records to the active segment, creates and seals segments, and syncs them."""
 
 import contextlib
 
@@ -9,7 +9,7 @@
 
 
 class SegmentWriter:
-    """The end of the log. Callers hold the tier's `write_lock`, except in `sync`, which takes it."""
+    """Writer at the end of the log. Callers hold the tier's `write_lock`; only `sync` acquires it itself."""
 
     def __init__(self, state: TierState) -> None:
         self._state = state
@@ -18,13 +18,13 @@
         self._folder_is_unsynced = False
 
     def reset(self) -> None:
-        """Begin without an active segment."""
+        """Discard all state, so that there is no active segment."""
         self.active = None
         self.unsynced_bytes = 0
         self._folder_is_unsynced = False
 
     def has_space(self, needed: int) -> bool:
-        """Whether the active segment takes a record of so many bytes."""
+        """Return whether the active segment has space for a record of `needed` bytes."""
         return self.active is not None and self.active.size + needed <= self._state.segment_bytes
 
     def begin_segment(self) -> Segment:
@@ -50,10 +50,14 @@
         return segment
 
     def append(self, segment: Segment, buffers: list[bytes], length: int) -> int:
-        """Write a record to the end of the active segment; return its offset.
+        """Append a record to the active segment.
+
+        Returns:
+            The offset of the record in the segment.
 
         Raises:
-            OSError: What stands at the end now is unknown, so nothing is ever written behind it.
+            OSError: The write failed. The content at the end of the segment is now unknown, so the segment
+                takes no more records.
         """
         offset = segment.size
         try:
@@ -67,18 +71,17 @@
         return offset
 
     def seal(self) -> None:
-        """Sync the active segment; it takes no more records."""
+        """Sync the active segment, which then takes no more records."""
         if self.active is not None:
             self.sync()
             self.active = None
 
     def sync(self) -> None:
-        """Make all that was appended durable.
+        """Make all appended records durable.
 
         Raises:
-            OSError: The unsynced records of a segment are forgotten: a failed sync may have lost any of them,
-            and a
-                second one would not say so.
+            OSError: A sync failed, and the unsynced records of that segment were dropped from the index. Any
+                of them may be lost, and a second sync would not report that.
         """
         state = self._state
         with state.write_lock:
@@ -90,18 +93,18 @@
                         state.files.sync_folder()
                         self._folder_is_unsynced = False
                 except OSError:
-                    self._forget_unsynced(segment)
+                    self._drop_unsynced(segment)
                     raise
                 segment.synced_size = size
             self.unsynced_bytes = 0
 
-    def _forget_unsynced(self, segment: Segment) -> None:
+    def _drop_unsynced(self, segment: Segment) -> None:
         index = self._state.index
         with self._state.lock:
             for entry in index.entries_of_segment(segment.number):
-                # dropping one record may have dropped others of its part
-                still_there = index.segment[entry] == segment.number
-                if still_there and index.byte_offset(entry) >= segment.synced_size:
+                # Dropping an earlier entry may already have dropped this one.
+                is_indexed = index.segment[entry] == segment.number
+                if is_indexed and index.byte_offset(entry) >= segment.synced_size:
                     index.drop_extent(entry)
             segment.synced_size = segment.size
             if self.active is segment:
--- a/brookhinge/store/tier_state.py
+++ b/brookhinge/store/tier_state.py
@@ -1,7 +1,8 @@
-"""What the parts of the disk tier share: the index, the ledger, the segments and the locks that guard them.
+"""State shared by the components of the disk tier: index, ledger, segments and the locks that protect them.
 
-Lock order: `write_lock`, held over work on files, before `lock`, held over memory alone. Segments are
-appended to and removed under `write_lock`; index, ledger and counters change under `lock`.
+Lock order: `write_lock` is acquired before `lock`. `write_lock` is held during file operations, `lock` only
+during operations in memory. Segments are appended to and removed under `write_lock`; index, ledger and
+counters change under `lock`.
 """
 
 import threading
@@ -18,23 +19,23 @@
 
 @dataclass(slots=True)
 class DiskCounters:
-    """Counts since the tier was made. The names stand in logs and metrics."""
+    """Counters since the tier was created. The field names appear in logs and metrics."""
 
     reads: int = 0
     written: int = 0
     written_bytes: int = 0
-    copied_bytes: int = 0  # by cleaning
+    copied_bytes: int = 0  # copied by cleaning
     damaged: int = 0
-    kept_out: int = 0  # copies that were not admitted or found no space
+    kept_out: int = 0  # copies that were not admitted or for which there was no space
     evicted: int = 0
     purges: int = 0
-    cleaned: int = 0  # segments
-    renewed: int = 0  # copies revalidated
+    cleaned: int = 0  # segments freed by cleaning
+    renewed: int = 0  # copies marked as revalidated
 
 
 @dataclass(slots=True, eq=False)
 class TierState:
-    """State of one disk tier."""
+    """Shared state of one disk tier."""
 
     files: Files
     limit_bytes: int
@@ -47,15 +48,15 @@
     index: Index = field(default_factory=Index)
     ledger: PurgeLedger = field(default_factory=PurgeLedger)
     segments: dict[int, Segment] = field(default_factory=dict)
-    suspects: set[int] = field(default_factory=set)  # segments in which something was damaged
+    suspects: set[int] = field(default_factory=set)  # segments in which a read found damage
     store_id: int = 0
-    last_serial: int = 0  # of the records
-    epoch: int = 1  # copies of an earlier one need revalidation
+    last_serial: int = 0  # highest serial number given to a record
+    epoch: int = 1  # copies from an earlier epoch need revalidation
     next_segment: int = 1
     next_snapshot: int = 1
 
     def reset(self) -> None:
-        """Forget everything that was read from a folder."""
+        """Reset everything that is read from a folder."""
         self.index = Index()
         self.ledger = PurgeLedger(self.max_purged_objects)
         self.segments = {}
@@ -67,20 +68,20 @@
         self.next_snapshot = 1
 
     def next_serial(self) -> int:
-        """The serial number of a new record."""
+        """Return the serial number for a new record."""
         self.last_serial += 1
         return self.last_serial
 
     def disk_bytes(self) -> int:
-        """Bytes of all segments."""
+        """Return the size of all segments in bytes."""
         return sum(segment.size for segment in self.segments.values())
 
     def live_bytes(self) -> int:
-        """Bytes of the records in use."""
+        """Return the total size in bytes of the records in use."""
         return sum(self.index.bytes_by_rank)
 
     def release(self, segment: Segment) -> None:
-        """End one read of a segment. The caller holds `lock`."""
+        """End a read of a segment; a removed one is closed after its last read. The caller holds `lock`."""
         segment.readers -= 1
         if segment.is_removed and not segment.readers:
             self.files.close(segment.handle)
--- a/tests/store/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -66,7 +66,7 @@
     ledger = tier.ledger
     assert {name.decode(): when for name, when in ledger.objects.items()} == purges["objects"]
     assert {str(group): when for group, when in ledger.groups.items()} == purges["groups"]
-    assert (ledger.floor, ledger.last_group) == (purges["floor"], purges["last_group"])
+    assert (ledger.floor, ledger.latest_group_purge) == (purges["floor"], purges["last_group"])
     kept = 1 + len(purges["groups"]) + len(purges["objects"])
     assert ledger.serial == purges["serial"] + (opened - 1) * kept
 
