--- a/brookhinge/store/admission.py
+++ b/brookhinge/store/admission.py
@@ -1,42 +1,47 @@
-"""Which copies are worth a place on disk. No I/O, no clock.
+"""Admission policy of the disk tier, based on TinyLFU (Einziger, Friedman, Manes, 2017). No I/O, no clock.
 
-A count-min sketch of four-bit counters estimates how often a part was asked for lately; a doorkeeper, a Bloom
-filter, keeps what was asked for once out of it, so that a scan costs a few bits a part. Both age together:
-after a stated number of counts the counters are halved and the doorkeeper is emptied (TinyLFU: Einziger,
-Friedman, Manes, 2017). A candidate is admitted if it is worth more than all that it would evict together, so
-that one large part does not outweigh a hundred small ones because it beats each of them alone.
+A count-min sketch of four-bit counters estimates how often a part was requested recently. A Bloom filter in
+front of it, the doorkeeper, holds parts that were requested only once, so that a scan costs a few bits per
+part. Both age together: after a given number of counts the counters are halved and the doorkeeper is cleared.
+A candidate is admitted if its value exceeds the total value of all parts that it would evict. Otherwise one
+large part could replace a hundred small ones because its value is higher than that of each of them.
 """
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
 _MAX_COUNTER = 15
-_HASH_MIX = 0x9E3779B97F4A7C15
+_HASH_MULTIPLIER = 0x9E3779B97F4A7C15
 _UINT64_MASK = 0xFFFFFFFFFFFFFFFF
-_HALVED_NIBBLES = b"\x77"  # keeps the bits of a halved counter from running into its neighbour
+_HALVED_NIBBLES = b"\x77"  # masks the bit that a right shift moves into the neighboring counter
 _DOORKEEPER_BITS_PER_COUNTER = 8
 DEFAULT_SIZE_EXPONENT = 0.5
 DEFAULT_MAX_VICTIMS = 64
 
 
 class Victim(NamedTuple):
-    """A part that would be evicted, and its bytes on disk."""
+    """A part that would be evicted, and its size on disk in bytes."""
 
     key: int
     size: int
 
 
 class FrequencySketch:
-    """Approximate counts of 64-bit keys, 0 to 16.
+    """Approximate counts of 64-bit keys, from 0 to 16.
 
-    Takes three bytes of memory for each counter of a row: four rows of four bits, and eight bits of the
+    Memory use is three bytes per unit of `width`: four rows of four-bit counters and eight bits of the
     doorkeeper.
     """
 
     ROWS = 4
 
     def __init__(self, width: int, sample: int | None = None) -> None:
-        """`width`: counters in a row, rounded up to a power of two; `sample`: counts between two ageings."""
+        """Create an empty sketch.
+
+        Args:
+            width: Counters per row, rounded up to a power of two.
+            sample: Number of counts before the sketch ages; ten times the rounded width by default.
+        """
         self.width = 1 << max(6, (int(width) - 1).bit_length())
         self.rows = [bytearray(self.width // 2) for _ in range(self.ROWS)]
         self.doorkeeper = bytearray(self.width * _DOORKEEPER_BITS_PER_COUNTER // 8)
@@ -45,17 +50,17 @@
         self.sample = sample or 10 * self.width
 
     def _positions(self, key: int) -> list[int]:
-        # two halves make as many hashes as are wanted (Kirsch, Mitzenmacher, 2006)
+        # Double hashing: any number of hashes from the two halves of the key (Kirsch, Mitzenmacher, 2006).
         base = key & 0xFFFFFFFF
         step = key >> 32 | 1
         return [(base + row * step) & self.mask for row in range(self.ROWS)]
 
     def _doorkeeper_bits(self, key: int) -> tuple[int, int, int]:
         mask = len(self.doorkeeper) * 8 - 1
-        mixed = key * _HASH_MIX & _UINT64_MASK
+        mixed = key * _HASH_MULTIPLIER & _UINT64_MASK
         return (mixed >> 40) & mask, (mixed >> 17) & mask, (mixed ^ key) & mask
 
-    def _passed_doorkeeper(self, key: int) -> bool:
+    def _is_in_doorkeeper(self, key: int) -> bool:
         return all(self.doorkeeper[bit >> 3] >> (bit & 7) & 1 for bit in self._doorkeeper_bits(key))
 
     def _counters(self, positions: list[int]) -> list[int]:
@@ -69,38 +74,38 @@
         self.counted += 1
         if self.counted >= self.sample:
             self.age()
-        if not self._passed_doorkeeper(key):
+        if not self._is_in_doorkeeper(key):
             for bit in self._doorkeeper_bits(key):
                 self.doorkeeper[bit >> 3] |= 1 << (bit & 7)
             return
         positions = self._positions(key)
         counters = self._counters(positions)
-        least = min(counters)
-        if least == _MAX_COUNTER:
+        lowest = min(counters)
+        if lowest == _MAX_COUNTER:
             return
-        # the smallest alone: the others already count other keys as well
+        # Conservative update: higher counters already include the counts of other keys.
         for row, position, counter in zip(self.rows, positions, counters, strict=True):
-            if counter == least:
+            if counter == lowest:
                 row[position >> 1] += 1 << 4 * (position & 1)
 
     def estimate(self, key: int) -> int:
-        """Uses lately; up to 16, and never too few since the last ageing."""
-        return min(self._counters(self._positions(key))) + self._passed_doorkeeper(key)
+        """Return the approximate recent use count, up to 16; never too low for uses since the last aging."""
+        return min(self._counters(self._positions(key))) + self._is_in_doorkeeper(key)
 
     def age(self) -> None:
-        """Halve all counters and empty the doorkeeper."""
-        for number, row in enumerate(self.rows):
+        """Halve all counters and clear the doorkeeper."""
+        for row_index, row in enumerate(self.rows):
             halved = int.from_bytes(row, "little") >> 1
             halved &= int.from_bytes(_HALVED_NIBBLES * len(row), "little")
-            self.rows[number] = bytearray(halved.to_bytes(len(row), "little"))
+            self.rows[row_index] = bytearray(halved.to_bytes(len(row), "little"))
         self.doorkeeper = bytearray(len(self.doorkeeper))
         self.counted //= 2
 
 
 class AdmissionPolicy:
-    """Decides what a tier of about `entries` parts admits."""
+    """Decides which parts a tier with space for about `entries` parts admits."""
 
-    SAMPLES_PER_ENTRY = 2  # ten, as in TinyLFU, keeps what was wanted yesterday (docs/design/store.md)
+    SAMPLES_PER_ENTRY = 2  # TinyLFU's value of 10 retains outdated parts (docs/design/store.md)
 
     def __init__(
         self,
@@ -109,13 +114,14 @@
         free_share: float = 0.0,
         max_victims: int = DEFAULT_MAX_VICTIMS,
     ) -> None:
-        """Size the sketch.
+        """Create a policy with an empty sketch.
 
         Args:
-            entries: Parts that the tier holds, about.
-            size_exponent: Weighs size: 0 values objects alone, 1 bytes alone.
-            free_share: Share of the free space that a part asked for only once may take.
-            max_victims: Parts that are compared with one candidate, at most.
+            entries: Approximate number of parts that the tier holds.
+            size_exponent: Exponent of the part size in its value: 0 weighs all parts equally, 1 by their
+                bytes.
+            free_share: Share of the free space that a part requested only once may take, from 0 to 1.
+            max_victims: Maximum number of victims compared with one candidate.
         """
         entries = max(64, int(entries))
         self.sketch = FrequencySketch(2 * entries, self.SAMPLES_PER_ENTRY * entries)
@@ -128,17 +134,17 @@
         self.sketch.count(key)
 
     def value(self, key: int, size: int) -> float:
-        """What keeping a part is worth: its uses lately, weighted by its size."""
+        """Return the value of keeping a part: its recent use count, weighted by its size."""
         return self.sketch.estimate(key) * max(1, size) ** self.size_exponent
 
     def admits(self, key: int, size: int, free: int, victims: Iterable[Victim]) -> bool:
-        """Whether a candidate is worth what it evicts.
+        """Return whether a candidate is worth more than the parts that it would evict.
 
         Args:
-            key: Of the candidate.
-            size: Bytes of the candidate on disk.
-            free: Bytes that can be had without evicting anything.
-            victims: What would be evicted, in that order. If it ends too soon there is no space.
+            key: Index key of the candidate.
+            size: Size of the candidate on disk in bytes.
+            free: Bytes that are available without eviction.
+            victims: Parts that would be evicted, in order. The candidate is rejected if they free too little.
         """
         if self.sketch.estimate(key) < 2 and size > free * self.free_share:
             return False
@@ -147,14 +153,14 @@
         return self._outweighs(self.value(key, size), size - free, victims)
 
     def _outweighs(self, value: float, needed: int, victims: Iterable[Victim]) -> bool:
-        cost = 0.0
-        for compared, victim in enumerate(victims, 1):
-            cost += self.value(victim.key, victim.size)
+        victims_value = 0.0
+        for count, victim in enumerate(victims, 1):
+            victims_value += self.value(victim.key, victim.size)
             needed -= victim.size
-            if cost >= value:
+            if victims_value >= value:
                 return False
             if needed <= 0:
                 return True
-            if compared >= self.max_victims:
+            if count >= self.max_victims:
                 return False
         return False
--- a/brookhinge/store/cleaner.py
+++ b/brookhinge/store/cleaner.py
@@ -1,4 +1,4 @@
-"""Frees segments by copying their live records to the end of the log, and verifies damaged ones."""
+"""Cleans segments by copying their live records to the end of the log, and verifies damaged segments."""
 
 from typing import NamedTuple
 
@@ -12,21 +12,21 @@
 
 
 class VerifiedSegment(NamedTuple):
-    """A segment that was read through, and how many records of it were dropped."""
+    """Number of a segment that was verified, and how many of its records were dropped."""
 
     number: int
     dropped: int
 
 
 class Cleaner:
-    """Cleaning of a disk tier."""
+    """Segment cleaner of a disk tier."""
 
     def __init__(self, state: TierState, writer: SegmentWriter) -> None:
         self._state = state
         self._writer = writer
 
     def clean_if_needed(self) -> bool:
-        """Free one segment if there is no space for two more. False if there was nothing to do."""
+        """Free one segment if there is no space for two more; return whether one was freed."""
         state = self._state
         with state.write_lock:
             with state.lock:
@@ -45,14 +45,14 @@
             return True
 
     def clean_segment(self, segment: Segment) -> None:
-        """Copy the live records of a segment to the end of the log, and remove it."""
+        """Copy the live records of a segment to the end of the log, and remove the segment."""
         state = self._state
         with state.write_lock:
             if state.index.live_bytes.get(segment.number, 0):
                 for record in SegmentScan(state.files, state.store_id, segment):
                     self._copy_if_live(segment, record)
                 if self._writer.active is not None:
-                    self._writer.sync()  # the copies must be durable before the originals go
+                    self._writer.sync()  # copies must be durable before the originals are removed
             self._remove_segment(segment)
             state.counters.cleaned += 1
 
@@ -65,7 +65,7 @@
             entry = index.entry_at(key, segment.number, record.offset)
             if entry is None:
                 return
-            # without a tag the date in the record stands for the version
+            # Without a tag, the version is derived from the date in the record, which must not change.
             dated = index.dated[entry] if header.tag else header.dated
             rank = index.rank[entry]
             if state.ledger.is_purged(header.object, header.group, dated):
@@ -92,14 +92,15 @@
         offset = self._writer.append(target, buffers, header.record_bytes)
         state.counters.copied_bytes += header.record_bytes
         with state.lock:
-            entry = index.entry_at(key, segment.number, record.offset)  # dropped or replaced meanwhile?
+            # The record may have been dropped or replaced during the write.
+            entry = index.entry_at(key, segment.number, record.offset)
             if entry is not None:
                 index.move(entry, target.number, offset)
 
     def _remove_segment(self, segment: Segment) -> None:
         state = self._state
         with state.lock:
-            if state.index.live_bytes.get(segment.number):  # damaged records, which could not be copied
+            if state.index.live_bytes.get(segment.number):  # records that were damaged and not copied
                 state.counters.damaged += self._drop_entries(
                     segment, state.index.entries_of_segment(segment.number)
                 )
@@ -114,7 +115,7 @@
         state.files.remove(segment_name(segment.number))
 
     def _drop_entries(self, segment: Segment, entries: list[int]) -> int:
-        """Drop entries of a segment; return how many were still there when their turn came."""
+        """Drop entries of a segment that are still in use; return how many were dropped."""
         index = self._state.index
         dropped = 0
         for entry in entries:
@@ -124,7 +125,11 @@
         return dropped
 
     def verify_suspect(self) -> VerifiedSegment | None:
-        """Read through one segment in which damage was met, and drop the records that are not whole."""
+        """Verify one segment in which damage was found, and drop its damaged records from the index.
+
+        Returns:
+            The result, or None if there is no segment to verify.
+        """
         state = self._state
         with state.write_lock:
             with state.lock:
@@ -136,13 +141,15 @@
                     return VerifiedSegment(number, 0)
                 segment.readers += 1
             try:
-                whole = {record.offset for record in SegmentScan(state.files, state.store_id, segment)}
+                intact_offsets = {
+                    record.offset for record in SegmentScan(state.files, state.store_id, segment)
+                }
             finally:
                 with state.lock:
                     state.release(segment)
             with state.lock:
                 entries = state.index.entries_of_segment(number)
-                damaged = [entry for entry in entries if state.index.byte_offset(entry) not in whole]
+                damaged = [entry for entry in entries if state.index.byte_offset(entry) not in intact_offsets]
                 self._drop_entries(segment, damaged)
-            state.log_event("looked over", segment=number, good=len(whole), dropped=len(damaged))
+            state.log_event("looked over", segment=number, good=len(intact_offsets), dropped=len(damaged))
             return VerifiedSegment(number, len(damaged))
--- a/brookhinge/store/cleaning.py
+++ b/brookhinge/store/cleaning.py
@@ -1,18 +1,18 @@
-"""Which segment is cleaned, and how much may be live. No I/O.
+"""Cleaning policy: which segment is cleaned, and how many bytes may be live. No I/O.
 
-Records are never overwritten: what is dropped leaves dead bytes in its segment, and a segment is freed by
-copying its live records to the end of the log (LFS: Rosenblum, Ousterhout, 1992). Copying a segment of which
-a share u is live writes u / (1 - u) bytes for each byte it frees. No more than MAX_LIVE_SHARE of the sealed
-segments may be live, so the emptiest of them has that share at most: whatever is written, cleaning writes
-four times as much at the worst.
+Records are never overwritten. A dropped record leaves dead bytes in its segment, and a segment is freed by
+copying its live records to the end of the log (LFS: Rosenblum, Ousterhout, 1992). Cleaning a segment with a
+share u of live bytes writes u / (1 - u) bytes for each byte that it frees. At most MAX_LIVE_SHARE of the
+bytes in sealed segments may be live, so the segment with the fewest live bytes has at most that share.
+Cleaning therefore writes at most four times as many bytes as are newly written.
 """
 
 MAX_LIVE_SHARE = 0.8
-RESERVED_SEGMENTS = 3  # the one written to, the one cleaning copies to, the one being freed
+RESERVED_SEGMENTS = 3  # the active one, the target of cleaning, and the one being freed
 
 
 def max_live_bytes(limit_bytes: int, segment_bytes: int) -> int:
-    """Bytes that may be live on a disk of `limit_bytes`."""
+    """Return the limit for live bytes in a tier of `limit_bytes`."""
     return max(0, int(MAX_LIVE_SHARE * (limit_bytes - RESERVED_SEGMENTS * segment_bytes)))
 
 
@@ -23,14 +23,14 @@
     limit_bytes: int,
     segment_bytes: int,
 ) -> int | None:
-    """The segment to clean, or None while there is space for two more.
+    """Return the number of the segment to clean, or None while there is space for two more segments.
 
     Args:
-        sizes: Bytes of each segment.
+        sizes: Size of each segment in bytes.
         live_bytes: Bytes of the records in use, by segment.
-        active: The segment that is written to, which is never chosen.
-        limit_bytes: Bytes that all segments may take.
-        segment_bytes: Bytes of a full segment.
+        active: Number of the active segment, which is never chosen, or None without one.
+        limit_bytes: Maximum size of all segments together.
+        segment_bytes: Maximum size of a segment.
     """
     if sum(sizes.values()) + 2 * segment_bytes <= limit_bytes:
         return None
--- a/brookhinge/store/disk_supervisor.py
+++ b/brookhinge/store/disk_supervisor.py
@@ -1,7 +1,7 @@
-"""Runs a disk tier on threads: turns it off when it fails or stalls, probes it, and maintains it.
+"""Runs a disk tier on threads: turns it off when it fails or stalls, probes it and maintains it.
 
-Reads have a pool of threads; one thread writes, syncs, cleans and takes snapshots. Whatever the disk does,
-the loop waits for a read no longer than the stall limit.
+Reads use a pool of threads. A single writer thread writes, syncs, cleans and takes snapshots. The event loop
+waits for a read no longer than the stall limit, whatever the disk does.
 """
 
 import asyncio
@@ -23,34 +23,34 @@
 _MAX_WAITING_WRITES = 256
 _MAX_QUEUED_BYTES = 32 * 1024 * 1024
 _MAINTENANCE_INTERVAL_S = 0.05
-_WRITE_STALL_FACTOR = 8  # no response waits for a write, so it may take longer than a read
+_WRITE_STALL_FACTOR = 8  # writes may take longer than reads, because no response waits for them
 _DISK_FULL_ERRORS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
 
 
 @dataclass(slots=True)
 class StoreCounters:
-    """Counts since the start. The names stand in logs and metrics."""
+    """Counters since startup. The field names appear in logs and metrics."""
 
     memory_hits: int = 0
     disk_hits: int = 0
     misses: int = 0
-    late: int = 0  # reads that did not end in time
-    busy: int = 0  # reads that found the queue full
-    unwritten: int = 0  # writes that found the queue full
-    aside: int = 0  # reads of copies that need revalidation
+    late: int = 0  # reads that timed out
+    busy: int = 0  # reads rejected because the queue was full
+    unwritten: int = 0  # writes rejected because the queue was full
+    aside: int = 0  # disk reads that returned a copy that needs revalidation
 
 
 @dataclass(frozen=True, slots=True)
 class DiskTimings:
     """Durations of the disk tier in seconds."""
 
-    stall_s: float = 0.25  # a read that takes longer turns the disk off
-    sync_s: float = 0.5  # between syncs while something was written
-    snapshot_s: float = 30.0  # between snapshots while something was written
+    stall_s: float = 0.25  # a read that takes longer than this turns the disk off
+    sync_s: float = 0.5  # interval between syncs while there are writes
+    snapshot_s: float = 30.0  # interval between index snapshots while there are writes
 
 
 class DiskSupervisor:
-    """Owns a disk tier, its threads and its health."""
+    """Owns a disk tier, its threads and its health state."""
 
     def __init__(
         self,
@@ -63,23 +63,23 @@
         log_event: LogEvent,
         now: Callable[[], float],
     ) -> None:
-        """Make a supervisor that has not started.
+        """Create a supervisor. `start` starts it.
 
         Args:
-            disk: The tier, not open yet.
-            purges: The purges that memory knows, also those from before the disk was open.
-            counters: Where reads and writes are counted.
-            timings: See `DiskTimings`.
+            disk: A tier that is not open yet.
+            purges: All purges known in memory, including those received before the disk is open.
+            counters: Counters of reads and writes to update.
+            timings: Durations of the disk tier.
             health: Decides when the disk is used.
-            log_event: Called with the event's name and its values as keywords.
-            now: The clock of the health's pauses.
+            log_event: Called with the name of an event and its values as keyword arguments.
+            now: Clock for the pauses between probes, in seconds.
         """
         self.disk = disk
         self.health = health
         self.stall_s = timings.stall_s
         self.sync_s = timings.sync_s
         self.snapshot_s = timings.snapshot_s
-        self.opened: asyncio.Task | None = None  # done when the first attempt to open has ended
+        self.opened: asyncio.Task | None = None  # done when the first attempt to open the disk has ended
         self.is_open = False
         self._purges = purges
         self._counters = counters
@@ -90,26 +90,26 @@
         self._maintenance: asyncio.Task | None = None
         self._purges_awaiting_probe: list[asyncio.Future] = []
 
-    # Start and end
+    # Startup and shutdown
 
     def start(self) -> None:
-        """Begin to open the disk and to maintain it."""
+        """Start opening and maintaining the disk."""
         self._readers = IOWorkers(_READ_THREADS, _MAX_WAITING_READS, _MAX_QUEUED_BYTES, "store-read")
         self._writer = IOWorkers(1, _MAX_WAITING_WRITES, _MAX_QUEUED_BYTES, "store-write")
         self.opened = asyncio.ensure_future(self._probe())
         self._maintenance = asyncio.ensure_future(self._maintain())
 
-    async def close(self, within_s: float) -> None:
-        """Write a last snapshot if the disk takes it in time, and end the threads."""
+    async def close(self, timeout_s: float) -> None:
+        """Close the disk with a last index snapshot, if this ends in time, and stop the threads."""
         if self._writer is None:
             return
         self._maintenance.cancel()
         closing = self._writer.submit(self.disk.close, urgent=not self.health.is_on)
         if closing is not None:
             try:
-                await asyncio.wait_for(asyncio.shield(closing), within_s)
+                await asyncio.wait_for(asyncio.shield(closing), timeout_s)
             except TimeoutError:
-                self._log_event("store left open", why=f"the disk did not answer in {within_s:g} s")
+                self._log_event("store left open", why=f"the disk did not finish within {timeout_s:g} s")
             except OSError as error:
                 self._log_event("store closed without a picture", why=str(error))
         self._readers.stop()
@@ -124,65 +124,67 @@
             self._log_event("disk off", why=self.health.reason, again_s=round(self.health.pause_s, 2))
 
     async def _probe(self) -> None:
-        """Open the store if it is not open, or find out whether the disk works again.
+        """Open the store if it is not open; otherwise test whether the disk works again.
 
-        Purges that come meanwhile are durable if it goes well.
+        Purges received during the probe are durable if the probe succeeds.
         """
         self.health.begin_probe()
         try:
             await self._open_or_probe()
         finally:
-            waiting = self._purges_awaiting_probe
+            purge_futures = self._purges_awaiting_probe
             self._purges_awaiting_probe = []
-            for done in waiting:
+            for done in purge_futures:
                 if not done.done():
                     done.set_result(self.health.is_on)
 
     async def _open_or_probe(self) -> None:
         is_opening = not self.is_open
         fault_kind = FaultKind.CLOSED if is_opening else FaultKind.WRITE
-        known_serial = self._purges.serial
+        copied_serial = self._purges.serial
         try:
-            found = await self._writer.submit(self._open if is_opening else self.disk.probe, urgent=True)
+            recovery_values = await self._writer.submit(
+                self._open if is_opening else self.disk.probe, urgent=True
+            )
             self.is_open = True
-            # purges that came meanwhile: the disk must know them before it is used
-            while known_serial != self._purges.serial:
-                known_serial = self._purges.serial
-                await self._writer.submit(self._pass_purges, urgent=True)
+            # Purges received meanwhile must reach the disk before it is used.
+            while copied_serial != self._purges.serial:
+                copied_serial = self._purges.serial
+                await self._writer.submit(self._copy_purges_to_disk, urgent=True)
         except (OSError, StoreUnusableError) as error:
             self._record_fault(fault_kind, error)
             return
-        except Exception as error:  # a fault of the program must not end the server either
+        except Exception as error:  # a bug must not stop the server
             self._record_fault(fault_kind, f"{type(error).__name__}: {error}")
             return
-        if self.health.state == DiskState.OFF:  # it stalled meanwhile
+        if self.health.state == DiskState.OFF:  # a stall turned it off meanwhile
             return
         self.health.record_recovery(self._now())
-        self._log_event("disk on", **(found or {}))
+        self._log_event("disk on", **(recovery_values or {}))
 
     def _open(self) -> dict[str, float]:
-        """Open the store and pass on the purges from before. Runs on the writer.
+        """Open the store and add the purges received before. Runs on the writer thread.
 
         Returns:
-            Values of the log line `disk on`.
+            The values of the log event `disk on`.
         """
-        began = time.monotonic()
+        started_at = time.monotonic()
         report = self.disk.open()
-        self._pass_purges()
-        return {**report.log_values(), "open_s": round(time.monotonic() - began, 3)}
+        self._copy_purges_to_disk()
+        return {**report.log_values(), "open_s": round(time.monotonic() - started_at, 3)}
 
-    def _pass_purges(self) -> None:
-        """Add all purges that memory knows to the ledger of the disk. Runs on the writer."""
+    def _copy_purges_to_disk(self) -> None:
+        """Add all purges known in memory to the ledger on disk. Runs on the writer thread."""
         purges = self._purges.purges()
         for purge in purges:
-            self.disk.note_purge(purge)
+            self.disk.add_purge(purge)
         if purges:
             self.disk.rewrite_ledger()
 
     # Maintenance
 
     async def _maintain(self) -> None:
-        """Sync, take snapshots, verify damaged segments, and probe a disk that is off."""
+        """Run a loop that syncs, takes snapshots, verifies damaged segments and probes a disk that is off."""
         synced_at = time.monotonic()
         snapshot_at = synced_at
         changes_in_snapshot = -1
@@ -212,38 +214,38 @@
             self._record_fault(FaultKind.STALL, f"a write has taken {duration_s:.2f} s")
 
     async def _run_maintenance(self, kind: FaultKind, work: Callable[[], object]) -> None:
-        """Run one piece of maintenance on the writer; a failure of it counts as a fault of that kind."""
+        """Run a maintenance task on the writer thread; an OSError is recorded as a fault of this kind."""
         try:
-            await self._finish_or_stall(self._writer.submit(work, urgent=True))
+            await self._wait_and_check_stall(self._writer.submit(work, urgent=True))
         except OSError as error:
             self._record_fault(kind, error)
-        except Exception as error:  # a fault of the program must not end the maintenance
+        except Exception as error:  # a bug must not stop the maintenance loop
             self._record_fault(FaultKind.WRITE, f"{type(error).__name__}: {error}")
 
-    async def _finish_or_stall(self, running: asyncio.Future) -> None:
-        """Wait for maintenance; turn the disk off while it takes too long."""
+    async def _wait_and_check_stall(self, running: asyncio.Future) -> None:
+        """Wait for a maintenance task; turn the disk off if the task takes too long."""
         while not running.done():
             await asyncio.wait([running], timeout=_WRITE_STALL_FACTOR * self.stall_s)
             if not running.done() and self.health.is_on:
                 duration_s = self._writer.longest_call_s()
-                self._record_fault(FaultKind.STALL, f"care has taken {duration_s:.2f} s")
+                self._record_fault(FaultKind.STALL, f"maintenance has taken {duration_s:.2f} s")
         running.result()
 
     # Reads, writes, purges
 
-    async def read(self, object_: bytes, part: int, within_s: float) -> ReadResult | None:
-        """A whole part, or None if it is not stored or not read within `within_s` and the stall limit."""
-        if not self.health.is_on or within_s <= 0 or self.disk.lookup(object_, part) is None:
+    async def read(self, object_: bytes, part: int, timeout_s: float) -> ReadResult | None:
+        """Return a whole part; None if not stored or not read within `timeout_s` and the stall limit."""
+        if not self.health.is_on or timeout_s <= 0 or self.disk.lookup(object_, part) is None:
             self._counters.misses += 1
             return None
         reading = self._readers.submit(self.disk.read, object_, part)
         if reading is None:
             self._counters.busy += 1
             return None
-        done, _ = await asyncio.wait([reading], timeout=min(self.stall_s, within_s))
+        done, _ = await asyncio.wait([reading], timeout=min(self.stall_s, timeout_s))
         if not done:
             self._counters.late += 1
-            if within_s >= self.stall_s:
+            if timeout_s >= self.stall_s:
                 self._record_fault(FaultKind.STALL, f"a read has taken {self.stall_s:g} s")
             return None
         try:
@@ -258,7 +260,7 @@
         return copy
 
     def write(self, copy: Copy) -> None:
-        """Queue a copy for the disk, if the disk is on and the queue has space."""
+        """Queue a copy to be written, if the disk is on and the queue has space."""
         if not self.health.is_on:
             return
         writing = self._writer.submit(self.disk.write, copy, size=len(copy.body))
@@ -272,22 +274,23 @@
             self._record_fault(FaultKind.WRITE, writing.exception())
 
     def purge(self, purge: Purge) -> asyncio.Future:
-        """Take a purge that memory knows already to the disk.
+        """Write a purge, which is already known in memory, to the disk.
 
         Returns:
-            A future: True when the purge is durable, False while the disk is off. It is then written when the
-            disk comes back; until then a restart revalidates everything in any case.
+            A future whose result is True once the purge is durable, or False if the disk is off or fails. The
+            purge is then written when the disk is on again. If the server restarts before, all copies need
+            revalidation in any case.
         """
         done = asyncio.get_running_loop().create_future()
         if self.health.state == DiskState.PROBING:
             if self.is_open:
-                self.disk.note_purge(purge)
+                self.disk.add_purge(purge)
             self._purges_awaiting_probe.append(done)
             return done
         if not self.is_open:
             done.set_result(False)
             return done
-        record = self.disk.note_purge(purge)
+        record = self.disk.add_purge(purge)
         writing = None
         if self.health.is_on:
             writing = self._writer.submit(self.disk.write_purge, record, urgent=True)
@@ -305,12 +308,12 @@
         writing.add_done_callback(on_written)
         return done
 
-    # Load
+    # Queue lengths
 
     def waiting_reads(self) -> int:
-        """Reads that wait for a thread."""
+        """Return the number of reads that wait for a thread."""
         return 0 if self._readers is None else self._readers.waiting()
 
     def waiting_writes(self) -> int:
-        """Writes that wait for the writer."""
+        """Return the number of calls that wait for the writer thread."""
         return 0 if self._writer is None else self._writer.waiting()
--- a/brookhinge/store/disk_tier.py
+++ b/brookhinge/store/disk_tier.py
@@ -1,7 +1,7 @@
-"""The disk tier: one folder with segments, an index, a purge ledger and snapshots.
+"""Disk tier: a folder with segments, a purge ledger and index snapshots, and the index in memory.
 
-Calls may come from any thread. On an event loop only those may be made that touch memory alone: `lookup`,
-`drop`, `mark_revalidated`, `note_purge`, `limit_purge_dates`, `require_revalidation` and `stats`.
+All methods may be called from any thread. An event loop may call only those that do no disk I/O: `lookup`,
+`drop`, `mark_revalidated`, `add_purge`, `limit_purge_dates`, `require_revalidation` and `stats`.
 """
 
 import contextlib
@@ -25,11 +25,11 @@
 
 
 def _ignore_event(event: str, **values: object) -> None:
-    """Log nothing."""
+    """Ignore a log event."""
 
 
 class DiskTier:
-    """A tier of at most `limit_bytes` on disk, in segments of `segment_bytes`."""
+    """Disk tier of at most `limit_bytes`, in segments of at most `segment_bytes`."""
 
     def __init__(
         self,
@@ -41,15 +41,16 @@
         admits: AdmissionCheck | None = None,
         max_purged_objects: int = DEFAULT_MAX_OBJECTS,
     ) -> None:
-        """Make a tier that is not open yet.
+        """Create a tier. `open` opens its folder.
 
         Args:
-            files: The file layer of its folder.
-            limit_bytes: Bytes of all segments.
-            segment_bytes: Bytes of a full segment.
-            log_event: Called with the event's name and its values as keywords.
-            admits: Decides on copies that do not bypass admission; without it all are admitted.
-            max_purged_objects: Beyond so many the ledger folds the older half into its floor.
+            files: File access layer for the folder.
+            limit_bytes: Maximum size of all segments together.
+            segment_bytes: Maximum size of a segment.
+            log_event: Called with the name of an event and its values as keyword arguments.
+            admits: Admission check for copies that do not bypass admission; None admits all of them.
+            max_purged_objects: Number of object purges beyond which the ledger replaces the older half by a
+                floor.
         """
         self._state = TierState(files, int(limit_bytes), int(segment_bytes), log_event, max_purged_objects)
         self._state.reset()
@@ -60,46 +61,46 @@
         self._part_reader = PartReader(self._state)
         self._ledger_file = PurgeLedgerFile(self._state)
 
-    # What is inside, for tools and tests
+    # Internal state, for tools and tests
 
     @property
     def files(self) -> Files:
-        """The file layer."""
+        """File access layer of the folder."""
         return self._state.files
 
     @property
     def limit_bytes(self) -> int:
-        """Bytes that all segments may take."""
+        """Maximum size of all segments together."""
         return self._state.limit_bytes
 
     @property
     def index(self) -> Index:
-        """The index of what is stored."""
+        """Index of the stored records."""
         return self._state.index
 
     @property
     def ledger(self) -> PurgeLedger:
-        """The purges that are known."""
+        """Ledger of all known purges."""
         return self._state.ledger
 
     @property
     def segments(self) -> dict[int, Segment]:
-        """The open segments by number."""
+        """Open segments by number."""
         return self._state.segments
 
     @property
     def suspects(self) -> set[int]:
-        """Numbers of the segments that are to be verified."""
+        """Numbers of the segments that need verification."""
         return self._state.suspects
 
     @property
     def counters(self) -> DiskCounters:
-        """Counts since the tier was made."""
+        """Counters since the tier was created."""
         return self._state.counters
 
     @property
     def store_id(self) -> int:
-        """The random number that all files of this store carry."""
+        """Random id in the header of every file of this store."""
         return self._state.store_id
 
     @property
@@ -110,11 +111,11 @@
     # Opening and closing
 
     def open(self) -> RecoveryReport:
-        """Lock the folder and recover what is in it; all of it needs revalidation.
+        """Lock the folder and recover its content; all recovered copies need revalidation.
 
         Raises:
             StoreUnusableError: The folder can't be used as a store.
-            FolderInUseError: Another process uses it.
+            FolderInUseError: Another process has locked the folder.
             OSError: The disk failed.
         """
         state = self._state
@@ -129,7 +130,7 @@
                 raise
 
     def close(self) -> None:
-        """Write a last snapshot and free the folder."""
+        """Write a last index snapshot and release the folder."""
         with self._state.write_lock:
             try:
                 if self._lock_handle is not None:
@@ -138,7 +139,7 @@
                 self.abandon()
 
     def abandon(self) -> None:
-        """Free the folder without writing anything."""
+        """Release the folder without writing anything."""
         state = self._state
         with state.lock:
             handles = [segment.handle for segment in state.segments.values()]
@@ -155,11 +156,11 @@
     # Copies
 
     def lookup(self, object_: bytes, part: int) -> LookupResult | None:
-        """What the index knows of a part, from memory alone; None if it is not stored or was purged."""
+        """Return the metadata of a part without disk I/O; None if it is not stored or was purged."""
         return self._part_reader.lookup(object_, part)
 
     def read(self, object_: bytes, part: int, start: int = 0, stop: int | None = None) -> ReadResult | None:
-        """The verified bytes [start, stop) of a part, or None if not all of them are stored.
+        """Return the verified bytes [start, stop) of a part, or None if not all of them are stored.
 
         Raises:
             OSError: The disk failed.
@@ -167,20 +168,20 @@
         return self._part_reader.read(object_, part, start, stop)
 
     def write(self, copy: Copy, bypass_admission: bool = False) -> bool:
-        """Store a copy if it is worth its place; True if it was written.
+        """Store a copy if it is admitted and space can be made for it; return whether it was written.
 
         Raises:
-            ValueError: The copy can't be stored at all.
-            OSError: The disk failed; what was half written is never served.
+            ValueError: A field of the copy is out of range.
+            OSError: The disk failed. An incomplete record is never served.
         """
         return self._part_writer.write(copy, bypass_admission)
 
     def set_admission(self, admits: AdmissionCheck) -> None:
-        """Set what decides on copies that do not bypass admission."""
+        """Set the admission check for copies that do not bypass admission."""
         self._part_writer.admits = admits
 
     def drop(self, object_: bytes, part: int) -> None:
-        """Forget a part if it is stored."""
+        """Drop a part if it is stored."""
         state = self._state
         with state.lock:
             entry = state.index.find(key_of(object_, part))
@@ -195,10 +196,18 @@
             self._state.epoch += 1
 
     def mark_revalidated(self, object_: bytes, part: int, tag: bytes, size: int, dated: float) -> bool:
-        """Note that the source has called a copy unchanged and issued its own at `dated`.
+        """Record that the source of a part has confirmed a copy as unchanged.
+
+        Args:
+            object_: Name of the object.
+            part: Number of the part.
+            tag: Entity tag of the confirmed copy.
+            size: Bytes in the whole part.
+            dated: Date of the copy that the source has, a Unix timestamp in seconds.
 
         Returns:
-            Whether the copy may be served again. One from before a known purge may not.
+            Whether the stored copy may be served. It may not if it is another version, is dated later than
+            `dated`, or has been purged.
         """
         state = self._state
         with state.lock:
@@ -217,74 +226,74 @@
     # Purges
 
     def purge(self, purge: Purge) -> None:
-        """Take a purge, durable on return; what it hits is not served from the moment of the call on.
+        """Add a purge, which is durable on return. Copies that it matches are no longer served.
 
         Raises:
-            OSError: It is known, but not durable.
+            OSError: The purge is in effect, but not durable.
         """
-        self.write_purge(self.note_purge(purge))
+        self.write_purge(self.add_purge(purge))
 
-    def note_purge(self, purge: Purge) -> bytes:
-        """Take a purge into memory, so that nothing it hits is served.
+    def add_purge(self, purge: Purge) -> bytes:
+        """Add a purge to the ledger in memory. Copies that it matches are no longer served.
 
         Returns:
-            Its record for `write_purge`.
+            The encoded record of the purge for `write_purge`.
         """
         with self._state.lock:
             self._state.counters.purges += 1
             return self._state.ledger.add(purge)
 
     def write_purge(self, record: bytes) -> None:
-        """Make a noted purge durable.
+        """Write the record of a purge to the ledger file; it is durable on return.
 
         Raises:
-            OSError: It is not durable until `rewrite_ledger` succeeds.
+            OSError: The purge is not durable until `rewrite_ledger` succeeds.
         """
         self._ledger_file.append(record)
 
     def rewrite_ledger(self) -> None:
-        """Write the ledger's file anew from memory, in the fewest records."""
+        """Replace the ledger file with the smallest set of records that is equivalent to the ledger."""
         self._ledger_file.rewrite()
 
     def limit_purge_dates(self, now: float) -> None:
-        """Take purges that are dated later than `now` for purges of `now`."""
+        """Set the date of each purge that is dated later than `now` to `now`."""
         with self._state.lock:
             self._state.ledger.limit_dates(now)
 
     # Maintenance
 
     def sync(self) -> None:
-        """Make all that was written durable.
+        """Make all written records durable.
 
         Raises:
-            OSError: What was not durable is forgotten.
+            OSError: A sync failed, and the unsynced records of that segment were dropped.
         """
         self._writer.sync()
 
     def snapshot(self) -> None:
-        """Write a snapshot of the index, so that the next start need not scan what it covers."""
+        """Write an index snapshot, so that the next startup need not scan the segments that it covers."""
         write_snapshot(self._state, self._writer)
 
     def clean_segment(self, segment: Segment) -> None:
-        """Copy the live records of a segment to the end of the log, and remove it."""
+        """Copy the live records of a segment to the end of the log, and remove the segment."""
         self._cleaner.clean_segment(segment)
 
     def verify_suspect(self) -> VerifiedSegment | None:
-        """Read through one segment in which damage was met, and drop the records that are not whole."""
+        """Verify one segment in which damage was found, if there is one, and drop its damaged records."""
         return self._cleaner.verify_suspect()
 
     def probe(self) -> None:
-        """Find out whether the disk works again, and write down the purges that memory knows.
+        """Test whether the disk works again, and write all purges known in memory to it.
 
         Raises:
-            OSError: It does not.
+            OSError: The disk still fails.
         """
         with self._state.write_lock:
             probe_disk(self._state.files)
             self.rewrite_ledger()
 
     def stats(self) -> dict[str, int]:
-        """Counts since the tier was made and what it holds, for logs and metrics."""
+        """Return counters and current sizes, for logs and metrics."""
         state = self._state
         with state.lock:
             return {
--- a/brookhinge/store/health.py
+++ b/brookhinge/store/health.py
@@ -1,17 +1,17 @@
-"""Whether the disk is used: on, off after a fault, back on after a probe. No I/O, no clock.
+"""Circuit breaker for the disk: off after a fault, on again after a successful probe. No I/O, no clock.
 
-Guards against a disk that fails, fills up, lies or stalls: no response waits for it, and no write is tried on
-it again and again. A single slow or rotten read is no fault of the disk; such minor faults turn it off only
-when several come together.
+It protects against a disk that fails, fills up, returns wrong data or stalls: no response waits for such a
+disk, and writes are not retried on it repeatedly. A single failed read is a minor fault; minor faults turn
+the disk off only if several occur within a short time.
 """
 
 from enum import StrEnum
 
-_RECENT_PAUSES = 4  # a fault within so many pauses of the last recovery counts as the same outage
+_RECENT_PAUSES = 4  # a fault within this many pauses after a recovery belongs to the same outage
 
 
 class DiskState(StrEnum):
-    """Whether the disk tier is used. The values stand in logs and metrics."""
+    """Whether the disk tier is in use. The values appear in logs and metrics."""
 
     ON = "on"
     OFF = "off"
@@ -19,7 +19,7 @@
 
 
 class FaultKind(StrEnum):
-    """What failed. The values stand in logs."""
+    """Operation or condition that failed. The values appear in logs."""
 
     READ = "read"
     WRITE = "write"
@@ -35,7 +35,7 @@
 
 
 class DiskHealth:
-    """The state of one disk. `now` is a time in seconds that comes with each call."""
+    """Health state of one disk. The caller passes the current time in seconds as `now`."""
 
     def __init__(
         self,
@@ -44,20 +44,20 @@
         minor_fault_limit: int = 3,
         minor_fault_window_s: float = 10.0,
     ) -> None:
-        """Start in the state off, with a probe due at once.
+        """Start in state `OFF`, with a probe due immediately.
 
         Args:
-            first_pause_s: From a first fault to the probe that follows it.
-            longest_pause_s: The pause doubles up to this one while faults go on.
-            minor_fault_limit: So many minor faults in the window turn the disk off.
-            minor_fault_window_s: Length of that window.
+            first_pause_s: Pause between the first fault of an outage and the next probe.
+            longest_pause_s: Maximum pause; the pause doubles up to it while faults continue.
+            minor_fault_limit: Number of minor faults within the window that turns the disk off.
+            minor_fault_window_s: Length of the window for minor faults.
         """
         self.first_pause_s = first_pause_s
         self.longest_pause_s = longest_pause_s
         self.minor_fault_limit = minor_fault_limit
         self.minor_fault_window_s = minor_fault_window_s
         self.state = DiskState.OFF
-        self.reason = "not opened"
+        self.reason = "not opened yet"
         self.pause_s = first_pause_s
         self.outages = 0
         self._probe_at = 0.0
@@ -66,11 +66,11 @@
 
     @property
     def is_on(self) -> bool:
-        """Whether the disk may be used."""
+        """Return whether the disk may be used."""
         return self.state is DiskState.ON
 
     def record_fault(self, now: float, kind: FaultKind, reason: str) -> bool:
-        """Note a fault; True if the disk was turned off by it."""
+        """Record a fault; return whether it turned the disk off."""
         if kind in _MINOR_FAULTS and self.state != DiskState.PROBING and not self._too_many_minor_faults(now):
             return False
         turned_off = self.state != DiskState.OFF
@@ -98,17 +98,17 @@
             self.pause_s = self.first_pause_s
 
     def is_probe_due(self, now: float) -> bool:
-        """Whether a probe may begin. A clock that stepped back does not keep the disk off for longer."""
+        """Return whether a probe is due. A clock that stepped back does not delay the probe indefinitely."""
         if self.state != DiskState.OFF:
             return False
         return now >= self._probe_at or self._probe_at - now > self.longest_pause_s
 
     def begin_probe(self) -> None:
-        """Note that a probe is under way."""
+        """Record that a probe has started."""
         self.state = DiskState.PROBING
 
     def record_recovery(self, now: float) -> None:
-        """Note that the probe went well."""
+        """Record that the probe succeeded."""
         self.state = DiskState.ON
         self.reason = ""
         self._recovered_at = now
--- a/brookhinge/store/io_workers.py
+++ b/brookhinge/store/io_workers.py
@@ -1,4 +1,4 @@
-"""Threads for work that an event loop must not wait for. A call that finds the queue full is refused."""
+"""Thread pool with a bounded queue for blocking calls that an event loop must not wait for."""
 
 import asyncio
 import collections
@@ -18,22 +18,22 @@
 
 
 class IOWorkers:
-    """Daemon threads on one queue. Results come back on the event loop of the caller."""
+    """Daemon threads that serve one queue. Results are delivered on the event loop of the caller."""
 
     def __init__(self, threads: int, max_calls: int, max_bytes: int, name: str) -> None:
         """Start the threads.
 
         Args:
-            threads: How many.
-            max_calls: Calls that may wait.
-            max_bytes: Bytes that calls may hold that wait or run, by the `size` they state.
-            name: Prefix of the threads' names.
+            threads: Number of threads.
+            max_calls: Maximum number of queued calls.
+            max_bytes: Maximum sum of the `size` of all queued and running calls.
+            name: Prefix of the thread names.
         """
         self._max_calls = max_calls
         self._max_bytes = max_bytes
         self._queue: collections.deque[_Call] = collections.deque()
-        self._held_bytes = 0
-        self._started_at: dict[int, float] = {}  # of the call under way, by thread
+        self._pending_bytes = 0
+        self._started_at: dict[int, float] = {}  # start time of the running call, by thread id
         self._stopped = False
         self._changed = threading.Condition()
         for number in range(threads):
@@ -42,23 +42,23 @@
     def submit(
         self, work: Callable[..., object], *args: object, size: int = 0, urgent: bool = False
     ) -> asyncio.Future | None:
-        """Queue work(*args).
+        """Queue the call work(*args).
 
         Args:
-            work: Called on a thread.
-            *args: Its arguments.
-            size: Bytes that the arguments hold.
-            urgent: Put before all that waits, and never refused for a full queue.
+            work: Function to call on a thread.
+            *args: Arguments of the call.
+            size: Size of the arguments in bytes.
+            urgent: Whether to put the call at the front of the queue, even if the queue is full.
 
         Returns:
-            A future of the result, or None if the queue is full or the workers have been stopped.
+            A future for the result, or None if the queue is full or the workers are stopped.
         """
         loop = asyncio.get_running_loop()
         future = loop.create_future()
         with self._changed:
             if self._stopped or (not urgent and self._is_full(size)):
                 return None
-            self._held_bytes += size
+            self._pending_bytes += size
             call = _Call(loop, future, work, args, size)
             if urgent:
                 self._queue.appendleft(call)
@@ -68,7 +68,7 @@
         return future
 
     def _is_full(self, size: int) -> bool:
-        return len(self._queue) >= self._max_calls or self._held_bytes + size > self._max_bytes
+        return len(self._queue) >= self._max_calls or self._pending_bytes + size > self._max_bytes
 
     def _run(self) -> None:
         thread = threading.get_ident()
@@ -77,13 +77,13 @@
             error = None
             try:
                 result = call.work(*call.args)
-            except BaseException as raised:  # handed to who waits for the future
+            except BaseException as raised:  # passed on to the caller through the future
                 error = raised
             with self._changed:
-                self._held_bytes -= call.size
+                self._pending_bytes -= call.size
                 del self._started_at[thread]
-            with contextlib.suppress(RuntimeError):  # the loop is closed: nobody waits any more
-                call.loop.call_soon_threadsafe(_settle, call.future, result, error)
+            with contextlib.suppress(RuntimeError):  # the event loop is closed
+                call.loop.call_soon_threadsafe(_complete_future, call.future, result, error)
 
     def _next_call(self, thread: int) -> _Call | None:
         with self._changed:
@@ -96,31 +96,31 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether a call is under way."""
+        """Return whether a call is running."""
         return bool(self._started_at)
 
     def longest_call_s(self) -> float:
-        """How long the call that began first has been under way; 0 if there is none."""
+        """Return how long the longest-running call has taken so far in seconds; 0 if none is running."""
         with self._changed:
             return time.monotonic() - min(self._started_at.values()) if self._started_at else 0.0
 
     def waiting(self) -> int:
-        """Calls that wait for a thread."""
+        """Return the number of queued calls."""
         with self._changed:
             return len(self._queue)
 
     def stop(self) -> None:
-        """Take no more calls; the threads end when the queue is empty."""
+        """Accept no more calls; the threads end when the queue is empty."""
         with self._changed:
             self._stopped = True
             self._changed.notify_all()
 
 
-def _settle(future: asyncio.Future, result: object, error: BaseException | None) -> None:
+def _complete_future(future: asyncio.Future, result: object, error: BaseException | None) -> None:
     if future.done():
         return
     if error is None:
         future.set_result(result)
     else:
         future.set_exception(error)
-        future.exception()  # an error that nobody waits for is not logged by asyncio
+        future.exception()  # marks it as retrieved, so that asyncio does not log it
--- a/brookhinge/store/part_reader.py
+++ b/brookhinge/store/part_reader.py
@@ -1,4 +1,4 @@
-"""Looks parts up in the index and reads their verified bytes from the segments."""
+"""Looks up parts in the index, and reads and verifies their bytes from the segments."""
 
 from typing import NamedTuple
 
@@ -14,11 +14,11 @@
 from brookhinge.store.segment import Segment
 from brookhinge.store.tier_state import TierState
 
-_HEADER_READ_BYTES = 4096  # holds the header of any record with fewer than some 300 chunks
+_HEADER_READ_BYTES = 4096  # enough for the header of any record with up to about 300 chunks
 
 
 class _ExtentRange(NamedTuple):
-    """The bytes [start, stop) of a record's body that a read wants."""
+    """Range [start, stop) of the body of a record that a read needs."""
 
     segment: Segment
     offset: int
@@ -30,7 +30,7 @@
 class _ExtentBytes(NamedTuple):
     header: RecordHeader
     body: bytes | memoryview
-    start: int  # of `body` in the record's body
+    start: int  # offset of `body` in the body of the record
 
 
 class _ReadPlan(NamedTuple):
@@ -43,13 +43,13 @@
 
 
 class PartReader:
-    """Reads of a disk tier; safe to call from any thread."""
+    """Read path of a disk tier. All methods are thread-safe."""
 
     def __init__(self, state: TierState) -> None:
         self._state = state
 
     def lookup(self, object_: bytes, part: int) -> LookupResult | None:
-        """What the index knows of a part, from memory alone; None if it is not stored or was purged."""
+        """Return the metadata of a part without disk I/O; None if it is not stored or was purged."""
         state = self._state
         with state.lock:
             entry = self._find_unpurged(object_, part)
@@ -66,10 +66,10 @@
             )
 
     def read(self, object_: bytes, part: int, start: int = 0, stop: int | None = None) -> ReadResult | None:
-        """The verified bytes [start, stop) of a part, or None if not all of them are stored.
+        """Return the verified bytes [start, stop) of a part, or None if not all of them are stored.
 
-        Damaged bytes are a miss: they are counted and logged, the part is dropped, and its segments are to be
-        verified.
+        Damaged bytes are a miss: the damage is counted and logged, the part is dropped, and the segments read
+        are marked for verification.
 
         Raises:
             OSError: The disk failed.
@@ -88,7 +88,7 @@
                     self._state.release(extent.segment)
 
     def _find_unpurged(self, object_: bytes, part: int) -> int | None:
-        """The entry of a part; one that was purged is dropped. The caller holds the lock."""
+        """Return the first entry of a part; drops a purged part. The caller holds the lock."""
         index = self._state.index
         entry = index.find(key_of(object_, part))
         if entry is None:
@@ -99,7 +99,7 @@
         return entry
 
     def _plan_read(self, object_: bytes, part: int, start: int, stop: int | None) -> _ReadPlan | None:
-        """Find the extents that hold a range and keep their segments open until the read has ended."""
+        """Find the records that hold a range, and keep their segments open until the read has ended."""
         state = self._state
         with state.lock:
             index = state.index
@@ -153,37 +153,37 @@
         return ranges
 
     def _read_planned(self, object_: bytes, part: int, start: int, plan: _ReadPlan) -> ReadResult:
-        pieces = []
+        slices = []
         tag = None
         for extent in plan.ranges:
             header, body, body_start = self._read_extent(extent)
             if (header.object, header.part, header.size) != (object_, part, plan.size):
-                raise DamagedError("a record of something else")
+                raise DamagedError("record: object, part or size does not match the index")
             if tag not in (None, header.tag):
-                raise DamagedError("a record of something else")
+                raise DamagedError("record: tag differs from the other records of the part")
             tag = header.tag
-            pieces.append(body[extent.start - body_start : extent.stop - body_start])
+            slices.append(body[extent.start - body_start : extent.stop - body_start])
         return ReadResult(
             tag,
             plan.dated,
             plan.group,
             plan.rank,
             plan.size,
-            b"".join(pieces),
+            b"".join(slices),
             plan.needs_revalidation,
             start,
         )
 
     def _read_extent(self, extent: _ExtentRange) -> _ExtentBytes:
-        """The verified chunks around a range of a record's body."""
+        """Read and verify the chunks that contain a range of the body of a record."""
         state = self._state
         files = state.files
         first_chunk = extent.start // CHUNK_BYTES
         end_chunk = chunk_count(extent.stop)
         body_start = first_chunk * CHUNK_BYTES
-        wanted_bytes = (end_chunk - first_chunk) * CHUNK_BYTES
-        # one read where little is wasted, else one for the header and one for the chunks
-        reads_whole = extent.record_bytes <= 2 * CHUNK_BYTES or wanted_bytes * 2 >= extent.record_bytes
+        needed_bytes = (end_chunk - first_chunk) * CHUNK_BYTES
+        # Read the whole record if it is small or mostly needed; otherwise read header and chunks separately.
+        reads_whole = extent.record_bytes <= 2 * CHUNK_BYTES or needed_bytes * 2 >= extent.record_bytes
         data = files.read(
             extent.segment.handle, extent.offset, extent.record_bytes if reads_whole else _HEADER_READ_BYTES
         )
@@ -191,7 +191,7 @@
             data, location_seed(state.store_id, extent.segment.number, extent.offset)
         )
         if header.record_bytes != extent.record_bytes or end_chunk > len(header.checksums):
-            raise DamagedError("a record of another length")
+            raise DamagedError("record header: size does not match the index")
         at = header.body_offset + body_start
         size = min(end_chunk * CHUNK_BYTES, header.body_bytes) - body_start
         if reads_whole:
@@ -199,7 +199,7 @@
         else:
             body = files.read(extent.segment.handle, extent.offset + at, size)
         if len(body) < size:
-            raise DamagedError("a record that is cut off")
+            raise DamagedError("record body: truncated")
         verify_chunks(header.checksums, body, first_chunk)
         return _ExtentBytes(header, body, body_start)
 
--- a/brookhinge/store/purge_ledger_file.py
+++ b/brookhinge/store/purge_ledger_file.py
@@ -51,7 +51,7 @@
         """Append the record of one purge; the record is durable on return.
 
         Raises:
-            OSError: The write failed, or the file is closed after an earlier failure until `rewrite`
+            OSError: The write failed, or the file is not open. A failed write closes it until `rewrite`
                 succeeds.
         """
         state = self._state
--- a/brookhinge/store/recovery.py
+++ b/brookhinge/store/recovery.py
@@ -1,4 +1,4 @@
-"""Reads a folder at the start: the ledger, the newest usable index snapshot, and the records after it."""
+"""Startup recovery: reads the ledger, the latest usable index snapshot, and the records written after it."""
 
 import secrets
 import struct
@@ -31,23 +31,23 @@
 
 @dataclass(slots=True)
 class RecoveryReport:
-    """What a start found. The names stand in the log line `disk on`."""
+    """Result of a recovery. The field names appear in the log event `disk on`."""
 
-    pictures: int = 0  # number of the snapshot that was taken, 0 without one
+    pictures: int = 0  # number of the index snapshot that was loaded, 0 if none
     segments: int = 0
     scanned_bytes: int = 0
-    damaged: int = 0  # places and files
+    damaged: int = 0  # damaged places in segments, and skipped files
     purges: int = 0
     parts: int = 0
-    bytes: int = 0  # of live records
+    bytes: int = 0  # size of the live records
 
     def log_values(self) -> dict[str, int]:
-        """The report as values of a log line."""
+        """Return the report as the values of a log event."""
         return asdict(self)
 
 
 class Recovery:
-    """Fills the state of a tier from its folder. One object serves one start."""
+    """Restores the state of a tier from its folder. Each instance is used for one recovery."""
 
     def __init__(self, state: TierState, ledger_file: PurgeLedgerFile) -> None:
         self._state = state
@@ -55,10 +55,10 @@
         self._report = RecoveryReport()
 
     def run(self) -> RecoveryReport:
-        """Recover everything; nothing that was found is served before its source has revalidated it.
+        """Recover the state. All recovered copies need revalidation before they are served.
 
         Raises:
-            StoreUnusableError: The folder is no store, or one of another version.
+            StoreUnusableError: The folder is not a store, or is in an unsupported version of the format.
         """
         state = self._state
         names = state.files.names()
@@ -71,7 +71,7 @@
         covered_bytes = self._read_snapshot(names)
         self._read_segments(names, covered_bytes)
         state.epoch += 1
-        if ledger_is_damaged:  # the lost bytes may have been purges of anything
+        if ledger_is_damaged:  # any copy may have been purged by the unreadable records
             state.index.drop_all()
         self._ledger_file.rewrite()
         self._report.parts = state.index.parts
@@ -83,19 +83,19 @@
         if STORE_FILE not in names:
             if segment_numbers(names):
                 raise StoreUnusableError(
-                    "segments without the file 'store': which store they belong to is not known"
+                    "segments without the file 'store': can't tell which store they belong to"
                 )
             header = encode_file_header(FileKind.STORE, secrets.randbits(63), 0)
             write_file_atomically(state.files, STORE_FILE, [header])
         try:
             state.store_id = decode_file_header(FileKind.STORE, read_file(state.files, STORE_FILE)).store_id
         except UnsupportedVersionError as error:
-            raise StoreUnusableError(f"a store of {error}") from None
+            raise StoreUnusableError(f"file 'store': {error}") from None
         except DamagedError as error:
-            raise StoreUnusableError(f"the file 'store': {error}") from None
+            raise StoreUnusableError(f"file 'store': {error}") from None
 
     def _read_ledger(self, names: list[str]) -> bool:
-        """Replay the ledger; True if bytes of it can't be read."""
+        """Replay the ledger; return whether it has unreadable bytes."""
         if LEDGER_FILE not in names:
             return False
         result = self._ledger_file.replay()
@@ -105,7 +105,7 @@
         return result.unreadable_bytes > 0
 
     def _read_snapshot(self, names: list[str]) -> dict[int, int]:
-        """Take the index of the newest usable snapshot; return the bytes it covers of each segment."""
+        """Load the index from the latest usable snapshot; return how many bytes of each segment it covers."""
         state = self._state
         numbers = snapshot_numbers(names)
         state.next_snapshot = max(numbers, default=0) + 1
@@ -131,12 +131,12 @@
         state.next_segment = max([*numbers, *covered_bytes], default=0) + 1
         for number in numbers:
             self._open_segment(number)
-        shrunk = {
+        truncated = {
             number
             for number, segment in state.segments.items()
             if covered_bytes.get(number, 0) > segment.size
         }
-        lost = {number for number in covered_bytes if number not in state.segments} | shrunk
+        lost = {number for number in covered_bytes if number not in state.segments} | truncated
         if lost:
             state.index.drop_segments(lost)
         for number, segment in state.segments.items():
@@ -151,11 +151,11 @@
         except (DamagedError, UnsupportedVersionError) as error:
             state.log_event("segment skipped", name=name, why=str(error))
             self._report.damaged += 1
-            # without a header nothing in it was ever acknowledged
+            # Without a valid file header no record in it was ever acknowledged.
             state.files.remove(name)
 
     def _scan_uncovered(self, segment: Segment, covered: int) -> None:
-        """Index the records behind the bytes that the snapshot covers."""
+        """Add the records after the first `covered` bytes of a segment to the index."""
         state = self._state
         start = max(covered, FILE_HEADER_BYTES)
         if segment.size <= start:
--- a/brookhinge/store/snapshotting.py
+++ b/brookhinge/store/snapshotting.py
@@ -1,4 +1,4 @@
-"""Writes snapshots of the index, so that the next start need not scan the segments that they cover."""
+"""Writes index snapshots, so that the next startup need not scan the segments that they cover."""
 
 from brookhinge.store.files import write_file_atomically
 from brookhinge.store.folder_layout import snapshot_name, snapshot_numbers
@@ -10,7 +10,7 @@
 
 
 def write_snapshot(state: TierState, writer: SegmentWriter) -> None:
-    """Sync the segments, write a snapshot of the index and remove the ones that are no longer kept."""
+    """Sync the segments, write an index snapshot and remove outdated snapshots."""
     with state.write_lock:
         writer.sync()
         with state.lock:
--- a/brookhinge/store/store.py
+++ b/brookhinge/store/store.py
@@ -1,7 +1,7 @@
-"""The memory tier and the disk tier together, on an event loop: memory first, then disk.
+"""Two-tier store on an event loop: lookups try the memory tier first, then the disk tier.
 
-Whatever the disk does, a response from here is never later than the stall limit: the disk is turned off,
-which is logged, memory alone serves, and the disk comes back after a probe.
+A lookup never takes longer than the stall limit, whatever the disk does. If the disk stalls or fails, it is
+turned off, which is logged, and memory alone serves until a probe of the disk succeeds.
 """
 
 import asyncio
@@ -18,21 +18,21 @@
 from brookhinge.store.purge_ledger import Purge, PurgeKind, PurgeLedger
 from brookhinge.store.tier_state import LogEvent
 
-_TYPICAL_PART_BYTES = 32768  # sizes the sketch of the admission policy
+_TYPICAL_PART_BYTES = 32768  # determines the sketch size of the default admission policy
 _FREE_SHARE_FOR_NEW_PARTS = 0.5
-_USES_OFFERED_TO_DISK = (2, 8)  # uses at which a part in memory is offered to the disk again
+_USES_OFFERED_TO_DISK = (2, 8)  # use counts at which a part in memory is offered to the disk again
 DEFAULT_READ_TIMEOUT_S = 60.0
 
 
 def _ignore_event(event: str, **values: object) -> None:
-    """Log nothing."""
+    """Ignore a log event."""
 
 
 class Store:
     """A two-tier store of whole parts.
 
-    A `ReadResult` that `needs_revalidation` may not be served before its source has called it unchanged
-    (`mark_revalidated`).
+    A `ReadResult` with `needs_revalidation` set must not be served until its source has confirmed that it is
+    unchanged; see `mark_revalidated`.
     """
 
     def __init__(
@@ -46,16 +46,16 @@
         now: Callable[[], float] = time.monotonic,
         health: DiskHealth | None = None,
     ) -> None:
-        """Make a store that has not started.
+        """Create a store. `start` starts it.
 
         Args:
-            memory_bytes: Limit of the memory tier.
-            disk: A tier that is not open yet; None for memory alone.
-            log_event: Called with the event's name and its values as keywords.
-            timings: Durations of the disk tier.
-            admission: Decides what the disk admits.
-            now: The clock of the pauses between probes.
-            health: Decides when the disk is used.
+            memory_bytes: Size limit of the memory tier in bytes.
+            disk: A tier that is not open yet; None for a store in memory only.
+            log_event: Called with the name of an event and its values as keyword arguments.
+            timings: Durations of the disk tier; None for the defaults.
+            admission: Admission policy of the disk tier; None for the default policy.
+            now: Clock for the pauses between probes, in seconds.
+            health: Decides when the disk is used; None for the default settings.
         """
         self.memory = MemoryTier(memory_bytes)
         self.disk = disk
@@ -80,26 +80,26 @@
             )
 
     async def start(self) -> None:
-        """Begin to open the disk; what it holds is there when `opened` is done. Memory serves meanwhile."""
+        """Start opening the disk. Until `opened` is done, only the memory tier serves."""
         if self.supervisor is not None:
             self.supervisor.start()
 
-    async def close(self, within_s: float = 2.0) -> None:
-        """Write a last snapshot of the index if the disk takes it in time."""
+    async def close(self, timeout_s: float = 2.0) -> None:
+        """Close the disk tier with a last index snapshot, if this ends within `timeout_s`."""
         if self.supervisor is not None:
-            await self.supervisor.close(within_s)
+            await self.supervisor.close(timeout_s)
 
     @property
     def opened(self) -> asyncio.Task | None:
-        """Done when the first attempt to open the disk has ended; None without a disk or before `start`."""
+        """Task of the first attempt to open the disk; None without a disk or before `start`."""
         return None if self.supervisor is None else self.supervisor.opened
 
     # Copies
 
     async def get(
-        self, object_: bytes, part: int, within_s: float = DEFAULT_READ_TIMEOUT_S
+        self, object_: bytes, part: int, timeout_s: float = DEFAULT_READ_TIMEOUT_S
     ) -> ReadResult | None:
-        """A whole part, or None. Never later than `within_s` or the stall limit, whichever is less."""
+        """Return a whole part, or None if it is not available within `timeout_s` and the stall limit."""
         key = (object_, part)
         index_key = key_of(object_, part)
         self.admission.record_use(index_key)
@@ -113,7 +113,7 @@
         if self.supervisor is None:
             self.counters.misses += 1
             return None
-        copy = await self.supervisor.read(object_, part, within_s)
+        copy = await self.supervisor.read(object_, part, timeout_s)
         if copy is None:
             return None
         if copy.needs_revalidation:
@@ -124,7 +124,7 @@
         return copy
 
     def _offer_to_disk(self, object_: bytes, part: int, index_key: int, copy: ReadResult) -> None:
-        """Queue a part that is used again and was not admitted before."""
+        """Queue a part for the disk if it is not stored there and its use count is one of the thresholds."""
         if self.supervisor is None or not self.supervisor.health.is_on:
             return
         if self.admission.sketch.estimate(index_key) not in _USES_OFFERED_TO_DISK:
@@ -136,13 +136,13 @@
         )
 
     def put(self, copy: Copy) -> bool:
-        """Store a whole part: in memory at once, on disk if it is worth it.
+        """Store a whole part in memory, and queue it for the disk, which may not admit it.
 
         Returns:
-            False if a purge has hit it already.
+            False if the copy has already been purged, else True.
 
         Raises:
-            ValueError: The copy can't be stored, or is not a whole part.
+            ValueError: A field of the copy is out of range, or the copy is not a whole part.
         """
         validate_copy(copy)
         if len(copy.body) != copy.size:
@@ -155,7 +155,7 @@
         return True
 
     def drop(self, object_: bytes, part: int) -> None:
-        """Forget a part in both tiers."""
+        """Drop a part from both tiers."""
         self.memory.drop((object_, part))
         if self._disk_is_open():
             self.disk.drop(object_, part)
@@ -165,10 +165,11 @@
     def mark_revalidated(
         self, object_: bytes, part: int, copy: ReadResult, dated: float
     ) -> ReadResult | None:
-        """Note that the source has called a copy unchanged as of `dated`.
+        """Record that the source of a part has confirmed a copy as unchanged, with the date `dated`.
 
         Returns:
-            The copy as it may be served now, or None if a purge has hit it.
+            The copy with its new date, which may be served; None if the copy has been purged or is dated
+            later than `dated`.
         """
         if dated < copy.dated or self.purges.is_purged(object_, copy.group, dated):
             return None
@@ -188,10 +189,10 @@
     # Purges
 
     def purge(self, purge: Purge) -> asyncio.Future:
-        """Take a purge; from now on nothing that it hits is served.
+        """Add a purge. Copies that it matches are no longer served.
 
         Returns:
-            A future: True when the purge is durable, False while there is no disk that works.
+            A future whose result is True once the purge is durable, or False without a working disk.
         """
         self.purges.add(purge)
         if self.supervisor is not None:
@@ -209,30 +210,31 @@
         return self.purge(Purge(PurgeKind.GROUP, group, when))
 
     def limit_purge_dates(self, now: float) -> None:
-        """Take purges that are dated later than `now`, by the wall clock, for purges of `now`.
+        """Set the date of each purge that is dated later than `now` to `now`, a time of the wall clock.
 
-        Such a purge was dated before the clock was set back. What it hits needs revalidation by then; with
-        its date as it was, it would hit every copy until the clock has caught up.
+        Such a purge was dated before the clock was set back. The copies that it matches already need
+        revalidation at that point. With its old date it would match every new copy until the clock has caught
+        up.
         """
         self.purges.limit_dates(now)
         if self._disk_is_open():
             self.disk.limit_purge_dates(now)
 
-    # Figures
+    # Statistics
 
     def _disk_is_open(self) -> bool:
         return self.supervisor is not None and self.supervisor.is_open
 
     def disk_state(self) -> DiskState:
-        """Whether the disk tier is used."""
+        """Return whether the disk tier is in use."""
         return DiskState.OFF if self.supervisor is None else self.supervisor.health.state
 
     def waiting_reads(self) -> int:
-        """Reads that wait for a thread."""
+        """Return the number of disk reads that wait for a thread."""
         return 0 if self.supervisor is None else self.supervisor.waiting_reads()
 
     def stats(self) -> dict[str, int | str]:
-        """Counts since the start and what is held, for logs and metrics."""
+        """Return counters since startup and current sizes, for logs and metrics."""
         stats = asdict(self.counters)
         stats["memory_bytes"] = self.memory.used_bytes
         stats["disk"] = self.disk_state().value
--- a/brookhinge/store/verification.py
+++ b/brookhinge/store/verification.py
@@ -1,4 +1,4 @@
-"""Reads all files of an open disk tier and names every place that is not what was written."""
+"""Verifies all files of an open disk tier and lists the damaged places."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 
 
 class DamagedPlace(NamedTuple):
-    """One place that can't be read. `place` is an offset, or "" where none is known."""
+    """A damaged place in a file. `place` is a byte offset, or "" if the offset is unknown."""
 
     file: str
     place: int | str
@@ -21,7 +21,7 @@
 
 
 class VerificationReport(NamedTuple):
-    """The number of whole records, and the places that are not whole."""
+    """Number of intact records, and the damaged places."""
 
     whole_records: int
     damaged: list[DamagedPlace]
@@ -32,15 +32,17 @@
 ) -> VerificationReport:
     """Verify every segment and snapshot.
 
-    What was appended last and never synced may be torn without any fault; it is named as well.
+    Records at the end of the log that were never synced may be torn without any disk fault. They are reported
+    as well.
 
     Args:
         tier: An open tier.
-        ledger_unreadable_bytes: What the tier logged of damage to its ledger as it opened.
-        on_progress: Called with the bytes of each segment that was read.
+        ledger_unreadable_bytes: Byte counts of the ledger damage events that the tier logged when it was
+            opened.
+        on_progress: Called after each segment with its size in bytes.
     """
     damaged = [
-        DamagedPlace(LEDGER_FILE, "", f"{unreadable} bytes cannot be read")
+        DamagedPlace(LEDGER_FILE, "", f"{unreadable} unreadable bytes")
         for unreadable in ledger_unreadable_bytes
     ]
     whole_records = 0
@@ -48,7 +50,9 @@
         scan = SegmentScan(tier.files, tier.store_id, segment)
         places = _gaps(scan, segment)
         whole_records += scan.whole_records
-        damaged += [DamagedPlace(segment_name(number), place, "no whole record") for place in places]
+        damaged += [
+            DamagedPlace(segment_name(number), place, "no intact record at this offset") for place in places
+        ]
         on_progress(segment.size)
     for number in snapshot_numbers(tier.files.names()):
         name = snapshot_name(number)
@@ -60,7 +64,7 @@
 
 
 def _gaps(scan: SegmentScan, segment: Segment) -> list[int]:
-    """Offsets at which a record should begin and none does."""
+    """Return the offsets at which an intact record was expected but not found."""
     places = []
     expected = FILE_HEADER_BYTES
     for record in scan:
