--- a/tests/store/test_stored_data.py
+++ b/tests/store/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Files of earlier versions are read as they were written, and the same scene still writes the same bytes."""
+"""Tests that files of earlier versions can be read, and that the same operations write the same bytes."""
 
 import json
 import shutil
@@ -33,7 +33,7 @@
 ]
 
 
-def tier_in(folder):
+def make_tier(folder):
     return DiskTier(Files(folder), LIMIT_BYTES, SEGMENT_BYTES, max_purged_objects=MAX_PURGED_OBJECTS)
 
 
@@ -43,51 +43,60 @@
 
 
 def check_copies(tier, without_snapshot=False):
-    """Every copy, field by field; a date that a revalidation moved is kept by the snapshot alone."""
+    """Check every copy field by field. Only the snapshot holds a date that was changed by a revalidation."""
     for copy in EXPECTED["copies"]:
         name, part = copy["object"].encode(), copy["part"]
-        held = tier.lookup(name, part)
+        indexed = tier.lookup(name, part)
         if copy["held"] is None:
-            assert held is None and tier.read(name, part) is None, name
+            assert indexed is None and tier.read(name, part) is None, name
             continue
-        dated, group, rank, size, aside, chunks = copy["held"]
+        dated, group, rank, size, needs_revalidation, chunks = copy["held"]
         if without_snapshot and name == b"old-05":
             dated = 105.0
-        assert held == (dated, group, rank, size, aside, chunks), name
+        assert indexed == (dated, group, rank, size, needs_revalidation, chunks), name
         start = CHUNK_BYTES if chunks == 2 else 0
         found = tier.read(name, part, start, size)
         body = body_of(name, copy["found"]["body_bytes"])
-        assert found == (copy["found"]["tag"].encode(), dated, group, rank, size, body, aside, start), name
-
-
-def check_purges(tier, opened=1):
-    """The ledger; each start writes it anew with serials that go on rising, one for each record it keeps."""
+        assert found == (
+            copy["found"]["tag"].encode(),
+            dated,
+            group,
+            rank,
+            size,
+            body,
+            needs_revalidation,
+            start,
+        ), name
+
+
+def check_purges(tier, startups=1):
+    """Check the ledger. Each startup rewrites it and gives each record it keeps the next serial number."""
     purges = EXPECTED["purges"]
     ledger = tier.ledger
     assert {name.decode(): when for name, when in ledger.objects.items()} == purges["objects"]
     assert {str(group): when for group, when in ledger.groups.items()} == purges["groups"]
     assert (ledger.floor, ledger.latest_group_purge) == (purges["floor"], purges["last_group"])
-    kept = 1 + len(purges["groups"]) + len(purges["objects"])
-    assert ledger.serial == purges["serial"] + (opened - 1) * kept
+    kept_records = 1 + len(purges["groups"]) + len(purges["objects"])
+    assert ledger.serial == purges["serial"] + (startups - 1) * kept_records
 
 
-def test_a_folder_of_version_1_is_read_whole(folder):
-    tier = tier_in(folder)
+def test_folder_of_version_1_is_read_completely(folder):
+    tier = make_tier(folder)
     assert tier.open().log_values() == EXPECTED["opened"]
     check_copies(tier)
     check_purges(tier)
     assert tier.stats() == EXPECTED["figures"]
     tier.close()
-    again = tier_in(folder)
-    assert again.open().parts == EXPECTED["figures"]["parts"]
-    check_copies(again)
-    check_purges(again, opened=2)
-    again.abandon()
+    reopened = make_tier(folder)
+    assert reopened.open().parts == EXPECTED["figures"]["parts"]
+    check_copies(reopened)
+    check_purges(reopened, startups=2)
+    reopened.abandon()
 
 
-def test_a_folder_of_version_1_is_read_from_its_older_snapshot(folder):
+def test_folder_of_version_1_with_damaged_latest_snapshot_is_read_from_the_older_one(folder):
     (folder / "index-00000002.snap").write_bytes(b"damaged")
-    tier = tier_in(folder)
+    tier = make_tier(folder)
     report = tier.open()
     assert (report.pictures, report.damaged) == (1, 1)
     check_copies(tier, without_snapshot=True)
@@ -95,10 +104,10 @@
     tier.abandon()
 
 
-def test_a_folder_of_version_1_is_read_without_snapshots(folder):
+def test_folder_of_version_1_is_read_without_snapshots(folder):
     for path in folder.glob("*.snap"):
         path.unlink()
-    tier = tier_in(folder)
+    tier = make_tier(folder)
     report = tier.open()
     assert (report.pictures, report.segments, report.damaged) == (0, 3, 0)
     check_copies(tier, without_snapshot=True)
@@ -106,8 +115,8 @@
     tier.abandon()
 
 
-def test_the_same_scene_writes_the_bytes_of_version_1(tmp_path):
-    tier = tier_in(tmp_path / "store")
+def test_same_operations_write_the_bytes_of_version_1(tmp_path):
+    tier = make_tier(tmp_path / "store")
     with mock.patch("secrets.randbits", return_value=STORE_ID):
         tier.open()
     write_scene(
--- a/tests/store/test_tools.py
+++ b/tests/store/test_tools.py
@@ -1,4 +1,4 @@
-"""brookhinge store inspect|verify|compact: each planted damage is named; a store in use, or none, is refused."""
+"""Tests of `brookhinge store inspect|verify|compact`: damage is reported, and unusable folders are rejected."""
 
 import json
 import random
@@ -13,14 +13,14 @@
 from brookhinge.store.purge_ledger import Purge, PurgeKind
 
 
-def run(*args):
-    done = subprocess.run(
+def run_store_command(*args):
+    process = subprocess.run(
         [sys.executable, "-m", "brookhinge", "store", *args], capture_output=True, text=True, timeout=30
     )
-    return done.returncode, done.stdout, done.stderr
+    return process.returncode, process.stdout, process.stderr
 
 
-def made(folder, count=40):
+def make_store(folder, count=40):
     tier = DiskTier(Files(folder), 64 << 20, 1 << 20)
     tier.open()
     for n in range(count):
@@ -33,31 +33,31 @@
 
 @pytest.fixture
 def store(tmp_path):
-    return made(tmp_path / "s")
+    return make_store(tmp_path / "s")
 
 
 @pytest.mark.parametrize(
-    "name, place, what",
+    "name, offset, damaged",
     [
-        ("s-00000001.seg", 40, "a head"),
-        ("s-00000001.seg", 25_000, "bytes"),
-        ("s-00000002.seg", 700_000, "bytes"),
-        ("s-00000002.seg", 10, "the file's head"),
-        ("purges.log", 50, "a purge"),
-        ("index-00000001.snap", 3000, "a picture"),
+        ("s-00000001.seg", 40, "record header"),
+        ("s-00000001.seg", 25_000, "record body"),
+        ("s-00000002.seg", 700_000, "record body"),
+        ("s-00000002.seg", 10, "file header"),
+        ("purges.log", 50, "purge record"),
+        ("index-00000001.snap", 3000, "index snapshot"),
     ],
 )
-def test_each_planted_damage_is_found(store, name, place, what):
-    assert run("verify", str(store), "--json") == (0, "[]\n", "")
+def test_verify_reports_the_damaged_file(store, name, offset, damaged):
+    assert run_store_command("verify", str(store), "--json") == (0, "[]\n", "")
     path = store / name
     data = bytearray(path.read_bytes())
-    data[place] ^= 4
+    data[offset] ^= 4
     path.write_bytes(data)
-    code, out, err = run("verify", str(store), "--json")
-    assert (code, err) == (1, "") and name in {row["file"] for row in json.loads(out)}, what
+    code, out, err = run_store_command("verify", str(store), "--json")
+    assert (code, err) == (1, "") and name in {row["file"] for row in json.loads(out)}, damaged
 
 
-def test_torn_and_exchanged_records_are_found(store):
+def test_verify_reports_truncated_and_swapped_records(store):
     path = store / "s-00000001.seg"
     data = path.read_bytes()
     length = (len(data) - 32) // 20
@@ -67,32 +67,32 @@
         + data[32 : 32 + length]
         + data[32 + 2 * length : -100]
     )
-    assert {row["place"] for row in json.loads(run("verify", str(store), "--json")[1])} >= {32}
+    assert {row["place"] for row in json.loads(run_store_command("verify", str(store), "--json")[1])} >= {32}
 
 
-def test_inspect_and_compact(store):
-    code, out, _ = run("inspect", str(store))
+def test_compact_shrinks_a_store_and_inspect_shows_its_size(store):
+    code, out, _ = run_store_command("inspect", str(store))
     assert code == 0 and out.endswith("40 parts, 1 purges\n")
     tier = DiskTier(Files(store), 64 << 20, 1 << 20)
     tier.open()
     for n in range(0, 40, 2):
         tier.drop(b"%016x" % n, 0)
     tier.close()
-    code, out, err = run("compact", str(store))
+    code, out, err = run_store_command("compact", str(store))
     before, after = (int(word) for word in out.split() if word.isdigit())
     assert code == 0 and after < 0.6 * before
-    assert run("verify", str(store), "--json")[:2] == (0, "[]\n")
-    assert json.loads(run("inspect", str(store), "--json")[1])[-1]["bytes"] == after
+    assert run_store_command("verify", str(store), "--json")[:2] == (0, "[]\n")
+    assert json.loads(run_store_command("inspect", str(store), "--json")[1])[-1]["bytes"] == after
 
 
-def test_what_is_in_use_or_no_store_is_refused(store, tmp_path):
+def test_folder_in_use_or_without_store_is_rejected(store, tmp_path):
     tier = DiskTier(Files(store), 64 << 20, 1 << 20)
     tier.open()
-    for verb in ("inspect", "verify", "compact"):
-        code, out, err = run(verb, str(store))
+    for subcommand in ("inspect", "verify", "compact"):
+        code, out, err = run_store_command(subcommand, str(store))
         assert (code, out) == (1, "") and "in use by process" in err and err.count("\n") == 1
     tier.close()
     for folder in (tmp_path, tmp_path / "none"):
-        code, _, err = run("inspect", str(folder))
+        code, _, err = run_store_command("inspect", str(folder))
         assert code == 2 and "expected a folder with a store" in err
     assert not (tmp_path / "none").exists()
