--- a/brookhinge/store/admission.py
+++ b/brookhinge/store/admission.py
@@ -35,19 +35,19 @@
 
     ROWS = 4
 
-    def __init__(self, width: int, sample: int | None = None) -> None:
+    def __init__(self, width: int, sample_size: int | None = None) -> None:
         """Create an empty sketch.
 
         Args:
             width: Counters per row, rounded up to a power of two.
-            sample: Number of counts before the sketch ages; ten times the rounded width by default.
+            sample_size: Number of counts before the sketch ages; ten times the rounded width by default.
         """
         self.width = 1 << max(6, (int(width) - 1).bit_length())
         self.rows = [bytearray(self.width // 2) for _ in range(self.ROWS)]
         self.doorkeeper = bytearray(self.width * _DOORKEEPER_BITS_PER_COUNTER // 8)
         self.mask = self.width - 1
         self.counted = 0
-        self.sample = sample or 10 * self.width
+        self.sample_size = sample_size or 10 * self.width
 
     def _positions(self, key: int) -> list[int]:
         # Double hashing: any number of hashes from the two halves of the key (Kirsch, Mitzenmacher, 2006).
@@ -72,7 +72,7 @@
     def count(self, key: int) -> None:
         """Count one use of a key."""
         self.counted += 1
-        if self.counted >= self.sample:
+        if self.counted >= self.sample_size:
             self.age()
         if not self._is_in_doorkeeper(key):
             for bit in self._doorkeeper_bits(key):
@@ -118,8 +118,7 @@
 
         Args:
             entries: Approximate number of parts that the tier holds.
-            size_exponent: Exponent of the part size in its value: 0 weighs all parts equally, 1 by their
-                bytes.
+            size_exponent: Exponent of the size in the value of a part: 0 ignores size, 1 counts every byte.
             free_share: Share of the free space that a part requested only once may take, from 0 to 1.
             max_victims: Maximum number of victims compared with one candidate.
         """
--- a/brookhinge/store/disk_tier.py
+++ b/brookhinge/store/disk_tier.py
@@ -49,8 +49,8 @@
             segment_bytes: Maximum size of a segment.
             log_event: Called with the name of an event and its values as keyword arguments.
             admits: Admission check for copies that do not bypass admission; None admits all of them.
-            max_purged_objects: Number of object purges beyond which the ledger replaces the older half by a
-                floor.
+            max_purged_objects: Maximum number of object purges before the ledger replaces the older half by
+                a floor.
         """
         self._state = TierState(files, int(limit_bytes), int(segment_bytes), log_event, max_purged_objects)
         self._state.reset()
@@ -191,7 +191,7 @@
     # Revalidation
 
     def require_revalidation(self) -> None:
-        """Mark everything stored as needing revalidation, because purges may have been missed."""
+        """Mark all stored copies as needing revalidation, because purges may have been missed."""
         with self._state.lock:
             self._state.epoch += 1
 
--- a/brookhinge/store/files.py
+++ b/brookhinge/store/files.py
@@ -82,7 +82,7 @@
             os.close(handle)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, replacing any file that has the new name."""
+        """Rename a file, replacing any existing file of the new name."""
         os.replace(self.path(old), self.path(new))
 
     def remove(self, name: str) -> None:
--- a/brookhinge/store/health.py
+++ b/brookhinge/store/health.py
@@ -1,8 +1,8 @@
 """Circuit breaker for the disk: off after a fault, on again after a successful probe. No I/O, no clock.
 
 It protects against a disk that fails, fills up, returns wrong data or stalls: no response waits for such a
-disk, and writes are not retried on it repeatedly. A single failed read is a minor fault; minor faults turn
-the disk off only if several occur within a short time.
+disk, and writes are not retried on it repeatedly. A single failed read does not mean that the disk is
+faulty, so such minor faults turn it off only if several occur within a short time.
 """
 
 from enum import StrEnum
@@ -57,7 +57,7 @@
         self.minor_fault_limit = minor_fault_limit
         self.minor_fault_window_s = minor_fault_window_s
         self.state = DiskState.OFF
-        self.reason = "not opened yet"
+        self.reason = "not opened"
         self.pause_s = first_pause_s
         self.outages = 0
         self._probe_at = 0.0
--- a/brookhinge/store/io_workers.py
+++ b/brookhinge/store/io_workers.py
@@ -35,7 +35,7 @@
         self._pending_bytes = 0
         self._started_at: dict[int, float] = {}  # start time of the running call, by thread id
         self._stopped = False
-        self._changed = threading.Condition()
+        self._queue_changed = threading.Condition()
         for number in range(threads):
             threading.Thread(target=self._run, name=f"{name}-{number}", daemon=True).start()
 
@@ -55,7 +55,7 @@
         """
         loop = asyncio.get_running_loop()
         future = loop.create_future()
-        with self._changed:
+        with self._queue_changed:
             if self._stopped or (not urgent and self._is_full(size)):
                 return None
             self._pending_bytes += size
@@ -64,7 +64,7 @@
                 self._queue.appendleft(call)
             else:
                 self._queue.append(call)
-            self._changed.notify()
+            self._queue_changed.notify()
         return future
 
     def _is_full(self, size: int) -> bool:
@@ -79,18 +79,18 @@
                 result = call.work(*call.args)
             except BaseException as raised:  # passed on to the caller through the future
                 error = raised
-            with self._changed:
+            with self._queue_changed:
                 self._pending_bytes -= call.size
                 del self._started_at[thread]
             with contextlib.suppress(RuntimeError):  # the event loop is closed
                 call.loop.call_soon_threadsafe(_complete_future, call.future, result, error)
 
     def _next_call(self, thread: int) -> _Call | None:
-        with self._changed:
+        with self._queue_changed:
             while not self._queue:
                 if self._stopped:
                     return None
-                self._changed.wait()
+                self._queue_changed.wait()
             self._started_at[thread] = time.monotonic()
             return self._queue.popleft()
 
@@ -101,19 +101,19 @@
 
     def longest_call_s(self) -> float:
         """Return how long the longest-running call has taken so far in seconds; 0 if none is running."""
-        with self._changed:
+        with self._queue_changed:
             return time.monotonic() - min(self._started_at.values()) if self._started_at else 0.0
 
     def waiting(self) -> int:
         """Return the number of queued calls."""
-        with self._changed:
+        with self._queue_changed:
             return len(self._queue)
 
     def stop(self) -> None:
         """Accept no more calls; the threads end when the queue is empty."""
-        with self._changed:
+        with self._queue_changed:
             self._stopped = True
-            self._changed.notify_all()
+            self._queue_changed.notify_all()
 
 
 def _complete_future(future: asyncio.Future, result: object, error: BaseException | None) -> None:
--- a/brookhinge/store/record_format.py
+++ b/brookhinge/store/record_format.py
@@ -149,7 +149,7 @@
 
 
 def declared_record_bytes(data: bytes | memoryview, at: int) -> int:
-    """The length of a record as its unverified header states it; 0 where no record begins."""
+    """Return the record size that an unverified header declares, or 0 if no record header begins at `at`."""
     if data[at : at + 4] != RECORD_MAGIC:
         return 0
     fixed = _FixedFields._make(_HEADER.unpack_from(data, at))
--- a/brookhinge/store/store.py
+++ b/brookhinge/store/store.py
@@ -180,7 +180,7 @@
         return fresh
 
     def require_revalidation(self) -> None:
-        """Mark everything stored as needing revalidation, because purges may have been missed."""
+        """Mark all stored copies as needing revalidation, because purges may have been missed."""
         for key, copy in self.memory.items():
             self.memory.replace(key, copy._replace(needs_revalidation=True))
         if self._disk_is_open():
--- a/brookhinge/store/verification.py
+++ b/brookhinge/store/verification.py
@@ -48,7 +48,7 @@
     whole_records = 0
     for number, segment in sorted(tier.segments.items()):
         scan = SegmentScan(tier.files, tier.store_id, segment)
-        places = _gaps(scan, segment)
+        places = _damaged_offsets(scan, segment)
         whole_records += scan.whole_records
         damaged += [
             DamagedPlace(segment_name(number), place, "no intact record at this offset") for place in places
@@ -63,7 +63,7 @@
     return VerificationReport(whole_records, damaged)
 
 
-def _gaps(scan: SegmentScan, segment: Segment) -> list[int]:
+def _damaged_offsets(scan: SegmentScan, segment: Segment) -> list[int]:
     """Return the offsets at which an intact record was expected but not found."""
     places = []
     expected = FILE_HEADER_BYTES
