--- a/brookhinge/purgelog/backfill.py
+++ b/brookhinge/purgelog/backfill.py
@@ -1,6 +1,6 @@
-"""What a router missed while no control machine could lead it on. No I/O, no clock.
+"""Backfill of the purges that a router missed while it was cut off. No I/O, no clock.
 
-It is fetched as fingerprints of the purges, one datagram at a time.
+They are fetched as fingerprints, one datagram at a time.
 """
 
 from collections import deque
@@ -10,37 +10,42 @@
 from brookhinge.purgelog.messages import BackfillRequest, Horizon, Segment
 from brookhinge.purgelog.positions import Position
 
-PACE_S = 1.0  # between two requests: a segment of 256 entries takes 1.1 KB
-TRIES = 2  # requests without an answer, then another machine is asked
+REQUEST_INTERVAL_S = 1.0  # between two requests; a segment of 256 entries takes 1.1 KB
+MAX_UNANSWERED = 2  # consecutive requests without an answer before the next machine is asked
 
 
 class PurgeSet:
     """Fingerprints of purged objects and groups.
 
-    An object that was purged is always found; one that was not is found by chance, once in 4 billion for each
-    fingerprint.
+    There are no false negatives. The probability of a false positive is 1 in 4 billion per fingerprint.
     """
 
     def __init__(self, pieces: list[bytes]):
         joined = b"".join(pieces)
-        self.prints = {joined[k : k + FINGERPRINT_BYTES] for k in range(0, len(joined), FINGERPRINT_BYTES)}
+        self.fingerprints = {
+            joined[k : k + FINGERPRINT_BYTES] for k in range(0, len(joined), FINGERPRINT_BYTES)
+        }
 
     def covers(self, key: str, group: int) -> bool:
-        """Whether an object may be among the purged ones, by its key or its group."""
+        """Whether an object may have been purged, by its key or its group."""
         return any(
-            value.to_bytes(FINGERPRINT_BYTES, "big") in self.prints
+            value.to_bytes(FINGERPRINT_BYTES, "big") in self.fingerprints
             for value in (object_fingerprint(key), group_fingerprint(group))
         )
 
 
 class Backfill:
-    """The missed ranges of all sources, fetched from one control machine after another.
+    """Fetches the missed ranges of all sources from one control machine after another.
 
     Attributes:
         order: numbers of the control machines by preference.
-        choice: index in `order` of the machine that is asked.
-        ranges: [source, position reached, end] each.
-        lost: no machine holds what is missing any more.
+        choice: index in `order` of the current machine.
+        due_at: time of the next request.
+        ranges: ranges still to fetch, as [source, position reached, end].
+        pieces: fingerprints fetched so far.
+        unanswered: number of consecutive requests without an answer.
+        refusals: numbers of the machines that no longer hold the next entries.
+        lost: whether no machine holds the missing entries any more.
     """
 
     def __init__(self, order: list[int], choice: int, now: float):
@@ -55,7 +60,7 @@
         self.lost = False
 
     def extend(self, missed: Iterable[tuple[int, Position, Position]]) -> None:
-        """Add ranges to fetch: (source, position held, position to reach) each."""
+        """Add ranges to fetch, as (source, position held, position to reach)."""
         self.ranges.extend([source, held, end] for source, held, end in missed)
 
     def done(self) -> bool:
@@ -63,34 +68,34 @@
         return not self.ranges
 
     def fingerprints(self) -> PurgeSet:
-        """Return what was fetched."""
+        """Return the fingerprints fetched so far."""
         return PurgeSet(self.pieces)
 
     def tick(self, now: float) -> tuple[int, BackfillRequest | None]:
-        """Return the machine to ask and the request that is due, or None."""
+        """Return the current machine and the request to send to it, or None if none is due."""
         if now < self.due_at or not self.ranges:
             return self.order[self.choice], None
-        if self.unanswered == TRIES:
-            self.ask_next()
+        if self.unanswered == MAX_UNANSWERED:
+            self.select_next_machine()
         machine = self.order[self.choice]
-        self.due_at = now + PACE_S
+        self.due_at = now + REQUEST_INTERVAL_S
         self.unanswered += 1
         self.number += 1
         source, held, _ = self.ranges[0]
         return machine, BackfillRequest(self.number, source, *held)
 
     def receive(self, now: float, message: Segment | Horizon) -> None:
-        """Take an answer; one to an earlier request does not count."""
+        """Handle an answer; answers to earlier requests are ignored."""
         if message.number != self.number or not self.ranges:
             return
         self.unanswered = 0
         if isinstance(message, Segment):
-            self.take(message)
+            self.receive_segment(message)
         else:
-            self.refuse(now)
+            self.receive_horizon(now)
 
-    def take(self, segment: Segment) -> None:
-        """Take a segment of the first range."""
+    def receive_segment(self, segment: Segment) -> None:
+        """Store a segment of the first range."""
         source, held, end = self.ranges[0]
         through = Position(segment.epoch, segment.index)
         if segment.source != source or through <= held:
@@ -102,14 +107,14 @@
         else:
             self.ranges[0][1] = through
 
-    def refuse(self, now: float) -> None:
-        """Ask another machine: this one no longer holds the entries."""
+    def receive_horizon(self, now: float) -> None:
+        """Ask the next machine, since this one no longer holds the entries."""
         self.refusals.add(self.order[self.choice])
-        self.ask_next()
+        self.select_next_machine()
         self.due_at = now
         self.lost = len(self.refusals) == len(self.order)
 
-    def ask_next(self) -> None:
-        """Turn to the next machine."""
+    def select_next_machine(self) -> None:
+        """Make the next machine in the order the current one."""
         self.choice = (self.choice + 1) % len(self.order)
         self.unanswered = 0
--- a/brookhinge/purgelog/batching.py
+++ b/brookhinge/purgelog/batching.py
@@ -1,32 +1,36 @@
-"""Batches cut to the size of datagrams."""
+"""Division of batches into datagrams of limited size."""
 
 from brookhinge.purgelog.messages import Batch, Entry
 
-ENTRY_BYTES = 24  # of an entry beside its text, and of a batch beside its entries, at most
-BATCH_BYTES = 40
+ENTRY_OVERHEAD_BYTES = 24  # upper bound for an encoded entry without its text
+BATCH_OVERHEAD_BYTES = 40  # upper bound for an encoded batch without its entries
 
 
 def entry_bytes(entry: Entry) -> int:
     """Return an upper bound of an entry's encoded size in bytes."""
-    return ENTRY_BYTES + 4 * len(entry.text) if not entry.text.isascii() else ENTRY_BYTES + len(entry.text)
+    return (
+        ENTRY_OVERHEAD_BYTES + 4 * len(entry.text)
+        if not entry.text.isascii()
+        else ENTRY_OVERHEAD_BYTES + len(entry.text)
+    )
 
 
-def split(batches: list[Batch], room: int) -> list[list[Batch]]:
-    """Divide batches into datagrams of at most `room` encoded bytes, in order.
+def split(batches: list[Batch], max_bytes: int) -> list[list[Batch]]:
+    """Divide batches into datagrams of at most `max_bytes` encoded bytes, in order.
 
-    An entry longer than that goes by itself.
+    An entry that is longer is put into a separate datagram.
     """
     datagrams = []
     current = []
-    left = room
+    remaining_bytes = max_bytes
     for batch in batches:
         entries = []
         index = batch.after_index
         epoch_before = batch.after_epoch
-        left -= BATCH_BYTES
+        remaining_bytes -= BATCH_OVERHEAD_BYTES
         for entry in batch.entries:
             size = entry_bytes(entry)
-            if size > left and (entries or current):
+            if size > remaining_bytes and (entries or current):
                 if entries:
                     current.append(Batch(batch.source, batch.epoch, epoch_before, index, entries))
                     index = index + len(entries)
@@ -34,9 +38,9 @@
                 datagrams.append(current)
                 entries = []
                 current = []
-                left = room - BATCH_BYTES
+                remaining_bytes = max_bytes - BATCH_OVERHEAD_BYTES
             entries.append(entry)
-            left -= size
+            remaining_bytes -= size
         if entries or not batch.entries:
             current.append(Batch(batch.source, batch.epoch, epoch_before, index, entries))
     if current:
--- a/brookhinge/purgelog/client.py
+++ b/brookhinge/purgelog/client.py
@@ -1,4 +1,4 @@
-"""The router's end of the purge log: joins a Subscriber to UDP and to the router's engine."""
+"""Router end of the purge log: connects a Subscriber to UDP and to the router's engine."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     from brookhinge.purgelog.interfaces import Address, LogFunction
     from brookhinge.purgelog.messages import Entry, Message
 
-PROCESS_BITS = 31  # five bytes in a datagram
+PROCESS_BITS = 31  # a process id takes five bytes in a datagram
 
 
 def machines_of(controls: dict[str, Control]) -> list[Machine]:
-    """Return the control machines of an operator's file, as every process numbers them."""
+    """Return the control machines of an operator's file, in the order by which every process numbers them."""
     return [
         Machine(name, block.advertise or block.listen, block.region, block.serves)
         for name, block in sorted(controls.items())
@@ -33,35 +33,35 @@
 
 
 class LogClient(Endpoint):
-    """A router's reader of the purge log."""
+    """Purge log client of one router."""
 
     def __init__(
         self, block: Fleet, controls: dict[str, Control], event: Callable[..., None], log: LogFunction
     ):
-        """Prepare a client.
+        """Create a client that is not connected yet.
 
         Args:
-            block: the block `fleet` of the operator's file.
-            controls: its blocks `control` by name.
-            event: takes PurgeLogEntryRead and CopyRuleChanged for the router's next round.
+            block: `fleet` block of the operator's file.
+            controls: `control` blocks of that file by name.
+            event: posts PurgeLogEntryRead and CopyRuleChanged to the router's next round.
             log: called as log(event, **values).
         """
         super().__init__(block.site, block.key, 1 + secrets.randbits(PROCESS_BITS), log)
         self.block, self.event, self.machines = block, event, machines_of(controls)
         self.proof_s = min(control.proof_s for control in controls.values())
-        self.fed = any(control.channel for control in controls.values())
+        self.has_channel = any(control.channel for control in controls.values())
         self.subscriber = None
         self.machine = None
 
     async def start(self) -> Address:
-        """Bind the socket and begin to read; return its address."""
+        """Bind the socket and start reading; return the bound address."""
         address = await self.open(self.block.log_listen or (self.block.listen[0], 0))
-        chance = random.Random(self.process)
+        rng = random.Random(self.process)
         self.subscriber = Subscriber(
             self.block.name,
             self.machines,
             self.proof_s,
-            chance,
+            rng,
             steady(),
             self.block.region,
             self.block.log_advertise,
@@ -71,48 +71,51 @@
         return address
 
     def receive(self, now: float, sender: int, address: Address, message: Message) -> None:
-        """Hand a message to the subscriber."""
+        """Pass a message to the subscriber."""
         self.subscriber.receive(now, message, self)
 
     def tick(self, now: float) -> None:
-        """Let the subscriber do what is due, and log a change of machine."""
+        """Run the due actions of the subscriber and log a change of control machine."""
         self.subscriber.tick(now, self)
         if self.subscriber.subscribed and self.machine != self.subscriber.machine():
             self.machine = self.subscriber.machine()
             self.log("purge log", change="reads at", machine=self.machines[self.machine].name)
 
     def next_at(self, now: float) -> float:
-        """Return when a tick is due."""
+        """Return the time of the next tick."""
         return self.subscriber.next_at()
 
     def replaces_notices(self) -> bool:
-        """Whether peers need not be notified of purges: all read them in the log, proven complete."""
-        if self.block.purge_notices or not self.fed or self.subscriber is None:
+        """Whether purge notices between peers are unnecessary.
+
+        They are while a command channel feeds the log and this router has a valid proof.
+        """
+        if self.block.purge_notices or not self.has_channel or self.subscriber is None:
             return False
         return not self.subscriber.stale
 
     def stop(self) -> None:
-        """Tell the control machine that this router ends, and close."""
+        """Unsubscribe and close the socket."""
         if self.subscriber is not None:
             self.subscriber.leave(self)
         self.close()
 
-    # the subscriber's writer, beside send
+    # SubscriberOutput, except send
 
     def entry(self, entry: Entry) -> None:
         """Post a new entry to the engine."""
         self.event(PurgeLogEntryRead(entry.kind, entry.text, entry.number, entry.stamp_ms))
 
     def copies(self, rule: CopyRule, purges: PurgeSet | None) -> None:
-        """Post a rule for the router's own copies to the engine."""
+        """Post a rule for the router's own copies to the engine and log it."""
         self.event(CopyRuleChanged(rule, purges))
         first = self.subscriber.proven_at == -math.inf
         if not (first and rule is CopyRule.RESET):
             self.log("purge log", change=rule.name.lower(), why=rule.value)
 
-    # before a round of the decisions
+    # called before each round
 
     def before(self) -> None:
-        """End an expired proof before the round that would use it."""
+        """Expire an outdated proof before the round that would use it."""
         if self.subscriber is not None and not self.closed():
-            self.subscriber.end_proof(steady(), self)
+            self.subscriber.expire_proof(steady(), self)
--- a/brookhinge/purgelog/codec.py
+++ b/brookhinge/purgelog/codec.py
@@ -1,11 +1,11 @@
-"""Datagrams of the purge log: bytes to messages and back. No I/O.
+"""Encoding and decoding of purge log datagrams. No I/O.
 
     datagram = checksum + MessagePack array
     checksum = 16 bytes of BLAKE2b keyed with the fleet's key, the site as its `person`
     array    = [sender, sequence, message]      message = [tag, fields ...], see messages.py
 
-Of each sender (a process) a sequence number is taken once. What cannot be read is counted by reason and
-dropped.
+Each sequence number of a sender (a process) is accepted once. Rejected datagrams are dropped and counted by
+reason.
 """
 
 import hashlib
@@ -16,14 +16,14 @@
 from brookhinge.membership.codec import ReplayGuard
 from brookhinge.purgelog import messages
 
-MOST_BYTES = 1400
-CHECKSUM = 16
-HEADER_BYTES = 28  # IPv4 and UDP, for whoever counts bytes on the wire
-MOST_TEXT = 64
+MAX_DATAGRAM_BYTES = 1400
+CHECKSUM_BYTES = 16
+HEADER_BYTES = 28  # IPv4 and UDP headers, included in the counted bytes
+MAX_TEXT_CHARS = 64
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """What a datagram carries beside its checksum."""
+    """Body of a datagram."""
 
     sender: int
     sequence: int
@@ -31,11 +31,15 @@
 
 
 class TooLongError(ValueError):
-    """A message that does not fit into a datagram."""
+    """The encoded message does not fit into a datagram."""
 
 
 class Codec:
-    """What one process writes and reads. counts: datagrams by what became of them."""
+    """Encoder and decoder of one process.
+
+    Attributes:
+        counts: number of datagrams by result, one of `REASONS`.
+    """
 
     REASONS = ("sent", "received", "torn", "forged", "repeated", "unreadable")
 
@@ -51,34 +55,38 @@
         self.bytes_sent = self.bytes_received = 0
 
     def write(self, message: messages.Message) -> bytes:
-        """The datagram of a message; TooLongError if there is none."""
+        """Return the datagram of a message.
+
+        Raises:
+            TooLongError: the datagram would exceed MAX_DATAGRAM_BYTES.
+        """
         body = self.encoder.encode(Envelope(self.sender, self.sequence + 1, message))
-        if len(body) + CHECKSUM > MOST_BYTES:
-            raise TooLongError(f"{type(message).__name__}: {len(body)} bytes")
+        if len(body) + CHECKSUM_BYTES > MAX_DATAGRAM_BYTES:
+            raise TooLongError(f"{type(message).__name__}: {len(body)} bytes with the envelope")
         self.sequence += 1
         self.counts["sent"] += 1
-        self.bytes_sent += len(body) + CHECKSUM + HEADER_BYTES
+        self.bytes_sent += len(body) + CHECKSUM_BYTES + HEADER_BYTES
         return self.checksum(body) + body
 
     def read(self, data: bytes) -> tuple[int, messages.Message] | None:
-        """(sender, message) of a datagram, or None."""
+        """Return sender and message of a datagram, or None if it is dropped."""
         self.bytes_received += len(data) + HEADER_BYTES
-        reason, envelope = self.look(data)
+        reason, envelope = self.decode_envelope(data)
         self.counts[reason] += 1
         return envelope and (envelope.sender, envelope.message)
 
-    def look(self, data: bytes) -> tuple[str, Envelope | None]:
-        """Return a datagram's fate, and its envelope if it is received."""
-        if not CHECKSUM < len(data) <= MOST_BYTES:
+    def decode_envelope(self, data: bytes) -> tuple[str, Envelope | None]:
+        """Return the result by which a datagram is counted, and its envelope if it is accepted."""
+        if not CHECKSUM_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
             return "torn", None
-        body = data[CHECKSUM:]
-        if not hmac.compare_digest(self.checksum(body), data[:CHECKSUM]):
+        body = data[CHECKSUM_BYTES:]
+        if not hmac.compare_digest(self.checksum(body), data[:CHECKSUM_BYTES]):
             return "forged", None
         try:
             envelope = self.decoder.decode(body)
         except (msgspec.DecodeError, msgspec.ValidationError):
             return "unreadable", None
-        if envelope.sender <= 0 or envelope.sequence <= 0 or not bounded(envelope.message):
+        if envelope.sender <= 0 or envelope.sequence <= 0 or not has_bounded_texts(envelope.message):
             return "unreadable", None
         if not self.guard.accept(envelope.sender, envelope.sequence):
             return "repeated", None
@@ -86,13 +94,13 @@
 
     def checksum(self, body: bytes) -> bytes:
         """Return the keyed checksum of a datagram's body."""
-        return hashlib.blake2b(body, digest_size=CHECKSUM, key=self.key, person=self.person).digest()
+        return hashlib.blake2b(body, digest_size=CHECKSUM_BYTES, key=self.key, person=self.person).digest()
 
 
-def bounded(message: messages.Message) -> bool:
-    """Whether the texts of a message are short enough to be kept."""
+def has_bounded_texts(message: messages.Message) -> bool:
+    """Whether the texts that the receiver stores are short enough."""
     if isinstance(message, messages.Subscribe):
-        return 0 < len(message.name) <= MOST_TEXT and len(message.host) <= MOST_TEXT
+        return 0 < len(message.name) <= MAX_TEXT_CHARS and len(message.host) <= MAX_TEXT_CHARS
     if isinstance(message, messages.Submit):
-        return len(message.entry.text) <= MOST_TEXT
+        return len(message.entry.text) <= MAX_TEXT_CHARS
     return True
--- a/brookhinge/purgelog/control.py
+++ b/brookhinge/purgelog/control.py
@@ -1,7 +1,7 @@
-"""One control machine: replication, its readers, and the progress of its entries. No I/O, no clock.
+"""Core of one control machine: replication, readers and progress of entries. No I/O, no clock.
 
 node.receive(now, sender, address, message, writer)
-node.tick(now, writer)          at node.next_at(now) at the latest
+node.tick(now, writer)          no later than node.next_at(now)
 """
 
 import collections
@@ -11,37 +11,37 @@
 from brookhinge.purgelog import messages
 from brookhinge.purgelog.distributor import Distributor
 from brookhinge.purgelog.interfaces import Address, MessageWriter
-from brookhinge.purgelog.log import RECENT
-from brookhinge.purgelog.positions import START, Position, covers, flatten, sound_vector
+from brookhinge.purgelog.log import RECENT_ENTRIES
+from brookhinge.purgelog.positions import START, Position, covers, flatten, is_valid_vector
 from brookhinge.purgelog.progress import MARGIN_S, Outcome, Progress, Tracker
 from brookhinge.purgelog.reader import Reader
 from brookhinge.purgelog.replication import Replication
 
-SYNC_S = 0.05  # between two syncs to each other machine
-SERVE_S = 0.02  # between two looks at what is due to the routers
-TOLD_KEPT = RECENT  # entries remembered, so that one that all machines read is appended once
+SYNC_INTERVAL_S = 0.05  # between two syncs to each peer
+SERVE_INTERVAL_S = 0.02  # between two checks for due pushes
+MAX_RECENT_ENTRIES = RECENT_ENTRIES  # for the detection of entries that another machine has appended already
 
 
 class Machine(NamedTuple):
-    """A control machine as the settings tell of it."""
+    """Settings of a control machine."""
 
     name: str
     address: Address
-    region: str = ""  # routers of the same region prefer it,
-    serves: tuple[str, ...] = ()  # and those of these regions
+    region: str = ""  # routers of this region prefer it
+    serves: tuple[str, ...] = ()  # further regions whose routers prefer it
 
 
 class ControlNode:
     """The core of one control machine."""
 
     def __init__(self, machine: int, machines: Sequence[Machine], boot: int, proof_s: float, now: float):
-        """Start a machine that holds nothing yet.
+        """Create a machine with empty logs.
 
         Args:
             machine: the number of this machine.
-            machines: all of them, in the same order everywhere.
-            boot: process id, drawn at the start.
-            proof_s: how long a router uses its own copies on one proof.
+            machines: all control machines, in the same order in every process.
+            boot: random id of this process.
+            proof_s: time for which one proof lets a router use its own copies.
             now: seconds of the caller's steady clock.
         """
         self.machine = machine
@@ -53,43 +53,43 @@
         self.sync_at = now
         self.serve_at = now
         self.serving = False
-        self.told: collections.OrderedDict[messages.Entry, None] = collections.OrderedDict()
+        self.recent_entries: collections.OrderedDict[messages.Entry, None] = collections.OrderedDict()
 
-    # what a program asks
+    # calls from the process
 
     def submit(self, now: float, entry: messages.Entry, writer: MessageWriter) -> Position | None:
-        """Append an entry and send it on; return its position, or None while no majority answers."""
+        """Append an entry and replicate it; return its position, or None while no epoch is open."""
         position = self.replication.submit(entry)
         if position is not None:
             self.remember(entry)
-            self.spread(now, writer)
+            self.replicate(now, writer)
         return position
 
     def progress(self, now: float, position: Position) -> Progress:
-        """Return how far an entry has got that this machine appended."""
+        """Return the progress of an entry that this machine appended."""
         if not self.replication.epoch:
             return Progress(Outcome.PENDING, [])
         self.tracker.receive(now, self.distributor.report(), True)
         return self.tracker.progress(now, position)
 
     def has(self, entry: messages.Entry) -> bool:
-        """Whether the log of any source held this entry lately."""
-        return entry in self.told
+        """Whether this entry is among the recent entries of any log."""
+        return entry in self.recent_entries
 
     # messages
 
     def receive(
         self, now: float, sender: int, address: Address, message: messages.Message, writer: MessageWriter
     ) -> None:
-        """Take a message and answer it."""
+        """Handle a message and send the responses."""
         match message:
             case messages.Sync():
                 self.receive_sync(now, sender, message)
             case messages.Append():
                 self.receive_append(now, message, writer)
             case messages.Subscribe() if self.serving:
-                reached = (message.host, message.port) if message.host else address
-                self.push(now, self.distributor.subscribe(now, sender, reached, message), writer)
+                reader_address = (message.host, message.port) if message.host else address
+                self.push(now, self.distributor.subscribe(now, sender, reader_address, message), writer)
             case messages.Poll() if self.serving:
                 self.push(now, self.distributor.poll(now, sender, address, message, writer), writer)
             case messages.Leave():
@@ -103,24 +103,24 @@
                 self.answer_status(now, address, message.number, position, writer)
 
     def receive_sync(self, now: float, sender: int, sync: messages.Sync) -> None:
-        """Take another machine's heartbeat with its reports."""
+        """Apply another machine's heartbeat and its reports."""
         if not self.replication.receive_sync(now, sender, sync):
             return
         for report in sync.reports:
-            if self.sound(report):
+            if self.has_valid_vectors(report):
                 self.tracker.receive(now, report, report.machine == sync.machine)
         for name, process, session in sync.moved:
-            self.distributor.gone_elsewhere(name, process, session)
+            self.distributor.remove_moved(name, process, session)
 
-    def sound(self, report: messages.Report) -> bool:
-        """Whether a report's vectors have the right lengths."""
+    def has_valid_vectors(self, report: messages.Report) -> bool:
+        """Whether the position vectors of a report are valid."""
         machines = len(self.machines)
-        return sound_vector(report.floors, machines) and (
-            not report.lost_floors or sound_vector(report.lost_floors, machines)
+        return is_valid_vector(report.floors, machines) and (
+            not report.lost_floors or is_valid_vector(report.lost_floors, machines)
         )
 
     def receive_append(self, now: float, message: messages.Append, writer: MessageWriter) -> None:
-        """Take entries from another machine and pass them on to the readers."""
+        """Append entries from another machine and push them to the readers."""
         new = self.replication.receive_append(message)
         for entry in new:
             self.remember(entry)
@@ -128,22 +128,22 @@
             self.serve(now, writer)
 
     def remember(self, entry: messages.Entry) -> None:
-        """Note an entry, so that it is not appended again."""
-        self.told[entry] = None
-        if len(self.told) > TOLD_KEPT:
-            self.told.popitem(last=False)
+        """Record an entry so that this machine does not append it again."""
+        self.recent_entries[entry] = None
+        if len(self.recent_entries) > MAX_RECENT_ENTRIES:
+            self.recent_entries.popitem(last=False)
 
     def answer_submit(
         self, now: float, address: Address, message: messages.Submit, writer: MessageWriter
     ) -> None:
-        """Append what a client submits and answer with its status."""
+        """Append the entry of a client and respond with its status."""
         position = self.submit(now, message.entry, writer)
         self.answer_status(now, address, message.number, position or START, writer)
 
     def answer_status(
         self, now: float, address: Address, number: int, position: Position, writer: MessageWriter
     ) -> None:
-        """Answer how far an entry has got."""
+        """Respond with the progress of an entry."""
         progress = Progress(Outcome.PENDING, []) if position == START else self.progress(now, position)
         missing = [(name, str(why)) for name, why in progress.missing[:8]]
         writer.send(address, messages.Status(number, self.machine, *position, int(progress.outcome), missing))
@@ -151,23 +151,23 @@
     # time
 
     def tick(self, now: float, writer: MessageWriter) -> None:
-        """Do what is due by time."""
+        """Run the actions that are due."""
         self.replication.recover(now)
         self.replication.open_epoch(now)
         if now >= self.serve_at:
             self.serve(now, writer)
         if now >= self.sync_at:
-            self.sync_at = now + SYNC_S
-            self.synchronise(now, writer)
-            self.spread(now, writer)
+            self.sync_at = now + SYNC_INTERVAL_S
+            self.send_syncs(now, writer)
+            self.replicate(now, writer)
 
     def next_at(self, now: float) -> float:
-        """Return when a tick is due though no message comes."""
+        """Return the time of the next tick if no message arrives."""
         return min(self.sync_at, self.serve_at)
 
     def serve(self, now: float, writer: MessageWriter) -> None:
-        """Push to the routers, once this machine has held all that a majority held at some moment."""
-        self.serve_at = now + SERVE_S
+        """Push to the routers, once this machine holds everything that some quorum read returned."""
+        self.serve_at = now + SERVE_INTERVAL_S
         quorum = self.replication.quorum(now)
         if not self.serving and quorum is not None:
             self.serving = covers(self.replication.positions(), quorum.heads)
@@ -175,15 +175,15 @@
             self.distributor.tick(now, quorum, writer)
 
     def push(self, now: float, reader: Reader | None, writer: MessageWriter) -> None:
-        """Send one reader what is due to it."""
+        """Push to one reader, if there is one."""
         if reader is not None:
             self.distributor.push(now, reader, self.replication.quorum(now), writer)
 
-    def synchronise(self, now: float, writer: MessageWriter) -> None:
-        """Send every other machine a heartbeat with reports."""
+    def send_syncs(self, now: float, writer: MessageWriter) -> None:
+        """Send a heartbeat with reports to every peer."""
         own = self.distributor.report()
         self.tracker.receive(now, own, True)
-        reports = self.tracker.to_tell(now, own)
+        reports = self.tracker.reports_to_send(now, own)
         for m, peer in self.replication.peers.items():
             number = self.replication.next_number(now)
             sync = messages.Sync(
@@ -195,12 +195,12 @@
                 flatten(self.replication.positions()),
                 self.replication.silence_ms(now),
                 reports,
-                self.distributor.moved_lately(number),
+                self.distributor.recently_moved(number),
             )
             writer.send(self.machines[m].address, sync)
 
-    def spread(self, now: float, writer: MessageWriter) -> None:
-        """Send the other machines the entries that they lack."""
+    def replicate(self, now: float, writer: MessageWriter) -> None:
+        """Send the peers the entries that they lack."""
         for m, peer in self.replication.peers.items():
             for append in self.replication.appends(now, peer):
                 writer.send(self.machines[m].address, append)
--- a/brookhinge/purgelog/copies.py
+++ b/brookhinge/purgelog/copies.py
@@ -1,7 +1,7 @@
-"""The decisions where a router must prove that it knows all purges to use its own copies.
+"""Router that uses its own copies only while it can prove that it knows all purges. No I/O, no clock.
 
-The rule only takes away: without a proof no copy of its own is used, and of those set aside none until it is
-known that it was not purged. No I/O, no clock.
+The rules only add restrictions. Without a proof no own copy is used. A copy that was set aside is used again
+only once it is known not to be purged.
 """
 
 import math
@@ -16,16 +16,16 @@
 
 
 class ProvenCopiesMixin:
-    """Goes before Router: it also takes `CopyRuleChanged`. Times are the router's.
+    """Mixin, placed before Router among the bases, that also handles `CopyRuleChanged`.
 
     Attributes:
         proven: whether the router can prove that it knows all purges.
-        aside_until: copies made up to then are set aside.
-        readmitted: names of copies set aside that may be used again, and when each was made.
+        aside_until: copies made up to this time of the router's clock are set aside.
+        readmitted: creation time by name of the copies that may be used although set aside.
     """
 
     def __init__(self, *args: object, **named: object) -> None:
-        """As the router."""
+        """Pass all arguments to the router."""
         super().__init__(*args, **named)
         self.proven = False
         self.aside_until = -math.inf
@@ -39,7 +39,7 @@
             super().handle(message)
 
     def copy_rule(self, rule: CopyRule, missed_purges: PurgeSet | None) -> None:
-        """Take a rule; `missed_purges` comes with READMIT."""
+        """Apply a rule; `missed_purges` is None except with READMIT."""
         match rule:
             case CopyRule.STALE:
                 self.proven = False
@@ -57,7 +57,7 @@
                 self._drop_aside(lambda _: True)
 
     def respond_from_copy(self, request: RequestState) -> bool:
-        """Answer from memory, if a copy there may be used, will do and comes in time."""
+        """Respond from an own copy, if it may be used and the router accepts it."""
         name = request.class_index, request.object.code
         copy = self.local_cache.held.get(name)
         if copy is None or not self.proven or not self._is_admitted(name, copy.made_at):
@@ -70,7 +70,7 @@
         self.readmitted = {}
 
     def _drop_aside(self, is_purged: Callable[[ObjectState], bool]) -> None:
-        """Drop the copies set aside whose object was purged."""
+        """Drop the copies set aside for which `is_purged` returns true."""
         dropped = [
             name
             for name, copy in self.local_cache.held.items()
--- a/brookhinge/purgelog/distributor.py
+++ b/brookhinge/purgelog/distributor.py
@@ -1,7 +1,7 @@
-"""The routers that read the logs at one control machine. No I/O, no clock.
+"""Distribution of the logs from one control machine to the routers that read there. No I/O, no clock.
 
-A reader counts in the reported floors from its first message until it has left, has caught up at another
-machine, or its lease has ended; then it counts among the lost, by name, for a while longer.
+A reader counts in the reported floors from its first message until it leaves, catches up at another machine,
+or its lease ends. A reader whose lease has ended is reported by name for LOST_READER_RETENTION_S.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
     Unknown,
 )
 from brookhinge.purgelog.positions import (
-    FAR_AHEAD,
+    MAX_LEAD,
     START,
     Position,
     covers,
     flatten,
-    sound_vector,
+    is_valid_vector,
     unflatten,
 )
 from brookhinge.purgelog.reader import FIRST_RETRY_S, LostReader, Reader
@@ -39,21 +39,27 @@
 if TYPE_CHECKING:
     from brookhinge.purgelog.replication import Quorum
 
-PUSH_GAP_S = 0.05  # between two pushes to a reader of what is new
-FORGET_S = 60.0  # how long a lost reader is reported
-FROZEN_S = 1.0  # between two ticks: this process stood still, and leases did not run meanwhile
-MOST_BEHIND = (
-    512  # entries that a reader is led on over; one further behind goes on from the heads and backfills
-)
-PUSH_BYTES = 1100
-# names of each kind in a report
-NAMES_TOLD = 4
-NAME_BYTES_TOLD = 120
-MOVED_TOLD = 8  # readers told to the other machines in one sync
+PUSH_INTERVAL_S = 0.05  # minimum time between two pushes of new entries to a reader
+LOST_READER_RETENTION_S = 60.0  # a lost reader is reported for so long
+SUSPENDED_AFTER_S = 1.0  # longer gaps between ticks mean that this process was suspended; leases are extended
+# A reader that lacks more entries continues from the heads and backfills.
+MAX_CATCH_UP_ENTRIES = 512
+MAX_PUSH_BYTES = 1100
+# limits for the names of each kind in a report
+MAX_NAMES = 4
+MAX_NAMES_BYTES = 120
+MAX_MOVED_READERS = 8  # readers listed in one sync
 
 
 class Distributor:
-    """All readers of one control machine."""
+    """All readers of one control machine.
+
+    Attributes:
+        readers: readers with a lease, by process id.
+        lost: readers whose lease ended recently, by name.
+        moved: process id, session and time of readers that caught up here recently, by name.
+        implausible: number of messages rejected for their positions.
+    """
 
     def __init__(self, machine: int, boot: int, logs: list[SourceLog], lease_s: float, now: float):
         """Start without readers.
@@ -61,8 +67,8 @@
         Args:
             machine: the number of this control machine.
             boot: its process id.
-            logs: of all sources, shared with replication.
-            lease_s: a reader that is silent for so long is lost.
+            logs: logs of all sources, shared with replication.
+            lease_s: time without a message after which a reader is lost.
             now: seconds of the caller's steady clock.
         """
         self.machine = machine
@@ -83,12 +89,12 @@
     # messages of routers
 
     def subscribe(self, now: float, process: int, address: Address, message: Subscribe) -> Reader | None:
-        """Let a router begin to read; return its Reader, or None where the message does not count."""
+        """Subscribe a router and return its Reader, or None if the message is outdated or implausible."""
         if not self.plausible(message.positions):
             return None
         for other in [r for r in self.readers.values() if r.name == message.name and r.process != process]:
-            if other.heard_at < now - self.lease_s:
-                self.lose(now, other)
+            if other.last_message_at < now - self.lease_s:
+                self.mark_lost(now, other)
         reader = self.readers.get(process)
         if reader is not None and reader.session > message.session:
             return None
@@ -100,13 +106,13 @@
             lost = self.lost.get(message.name)
             if lost is not None and lost.process == process:
                 del self.lost[message.name]
-        self.heard(now, reader, message.number, True)
+        self.renew_lease(now, reader, message.number, True)
         return reader
 
     def poll(
         self, now: float, process: int, address: Address, message: Poll, writer: MessageWriter
     ) -> Reader | None:
-        """Take a router's acknowledgement; return its Reader, or None where it does not count."""
+        """Record a router's acknowledgement; return its Reader, or None if the message is rejected."""
         reader = self.readers.get(process)
         if reader is None or reader.session != message.session:
             writer.send(address, Unknown(message.session))
@@ -115,36 +121,36 @@
             return None
         if message.positions:
             reader.acknowledge(now, unflatten(message.positions), message.gap)
-        self.heard(now, reader, message.number, message.answer)
+        self.renew_lease(now, reader, message.number, message.answer)
         if not reader.caught_up and covers(reader.positions, self.heads()):
             reader.caught_up = True
             self.moved[reader.name] = reader.process, reader.session, now
         return reader
 
     def plausible(self, numbers: list[int]) -> bool:
-        """Whether positions can be those of a router: none runs far ahead of the logs."""
-        sound = not numbers or sound_vector(numbers, len(self.logs))
-        if sound and numbers:
+        """Whether positions have the right format and none is far ahead of the logs."""
+        valid = not numbers or is_valid_vector(numbers, len(self.logs))
+        if valid and numbers:
             ahead = (p.index - log.head.index for p, log in zip(unflatten(numbers), self.logs, strict=False))
-            sound = max(ahead) < FAR_AHEAD
-        self.implausible += not sound
-        return sound
+            valid = max(ahead) < MAX_LEAD
+        self.implausible += not valid
+        return valid
 
-    def heard(self, now: float, reader: Reader, number: int, answer: bool) -> None:
-        """Renew a reader's lease and note whether its message awaits an answer."""
-        reader.heard_at = now
+    def renew_lease(self, now: float, reader: Reader, number: int, answer: bool) -> None:
+        """Renew a reader's lease and record whether its message has to be answered."""
+        reader.last_message_at = now
         if number > reader.echo:
             reader.echo = number
-            reader.owed = reader.owed or answer
+            reader.answer_due = reader.answer_due or answer
 
     def leave(self, process: int, message: Leave) -> None:
-        """Take a router off that ends as planned."""
+        """Remove a router that shuts down as planned."""
         reader = self.readers.get(process)
         if reader is not None and reader.session <= message.session:
             del self.readers[process]
 
     def backfill(self, request: BackfillRequest, address: Address, writer: MessageWriter) -> None:
-        """Send fingerprints of what follows on a position, as far as they are held."""
+        """Send fingerprints of entries after a position, or Horizon if they are not held."""
         if not 0 <= request.source < len(self.logs):
             return
         position = Position(request.epoch, request.index)
@@ -158,8 +164,8 @@
 
     # messages of other machines
 
-    def gone_elsewhere(self, name: str, process: int, session: int) -> None:
-        """Take a router off that has caught up at another machine."""
+    def remove_moved(self, name: str, process: int, session: int) -> None:
+        """Remove a router that has caught up at another machine."""
         reader = self.readers.get(process)
         if reader is not None and reader.session < session:
             del self.readers[process]
@@ -176,49 +182,51 @@
             self.push(now, reader, quorum, writer)
 
     def end_leases(self, now: float) -> None:
-        """Take off readers whose lease ended; leases do not run while this process stands still."""
+        """Remove readers whose lease ended; a suspension of this process extends all leases."""
         gap = now - self.last_tick_at
         self.last_tick_at = now
-        if gap > FROZEN_S:
+        if gap > SUSPENDED_AFTER_S:
             for reader in self.readers.values():
-                reader.heard_at += gap
-        for reader in [r for r in self.readers.values() if now - r.heard_at > self.lease_s]:
-            self.lose(now, reader)
-        self.lost = {name: lost for name, lost in self.lost.items() if now - lost.at < FORGET_S}
+                reader.last_message_at += gap
+        for reader in [r for r in self.readers.values() if now - r.last_message_at > self.lease_s]:
+            self.mark_lost(now, reader)
+        self.lost = {
+            name: lost for name, lost in self.lost.items() if now - lost.at < LOST_READER_RETENTION_S
+        }
         self.moved = {name: moved for name, moved in self.moved.items() if now - moved[2] < self.lease_s}
 
-    def lose(self, now: float, reader: Reader) -> None:
-        """Count a reader among the lost."""
+    def mark_lost(self, now: float, reader: Reader) -> None:
+        """Move a reader to the lost readers."""
         del self.readers[reader.process]
         self.lost[reader.name] = LostReader(reader, now)
 
     def push(self, now: float, reader: Reader, quorum: Quorum | None, writer: MessageWriter) -> None:
-        """Send a reader what is new, what is overdue, or the answer that it awaits."""
-        reader.retry_late(now)
-        if not reader.owed and (now - reader.sent_at < PUSH_GAP_S or not self.has_new(reader)):
+        """Send a reader new entries, overdue entries, or the answer to its last message."""
+        reader.resend_overdue(now)
+        if not reader.answer_due and (now - reader.sent_at < PUSH_INTERVAL_S or not self.has_unsent(reader)):
             return
-        batches = self.lacking(reader)
+        batches = self.unsent_batches(reader)
         if batches is None:
             if quorum is not None:
                 self.restart(now, reader, quorum, writer)
             return
-        for part in split(batches, PUSH_BYTES) or [[]]:
+        for part in split(batches, MAX_PUSH_BYTES) or [[]]:
             writer.send(reader.address, self.message(now, reader, quorum, False, part))
         if batches:
-            reader.sending(now, batches)
-        reader.owed = False
+            reader.record_sent(now, batches)
+        reader.answer_due = False
 
-    def has_new(self, reader: Reader) -> bool:
-        """Whether something was not sent to a reader yet."""
+    def has_unsent(self, reader: Reader) -> bool:
+        """Whether a reader has just started or was not sent all entries yet."""
         return reader.fresh or any(log.head > sent for log, sent in zip(self.logs, reader.sent, strict=False))
 
-    def lacking(self, reader: Reader) -> list[Batch] | None:
-        """Return batches that a reader was not sent; None if it must go on from the heads."""
+    def unsent_batches(self, reader: Reader) -> list[Batch] | None:
+        """Return batches not sent to a reader yet; None if it must continue from the heads."""
         if reader.fresh:
             return None
         if (
             sum(log.head.index - sent.index for log, sent in zip(self.logs, reader.sent, strict=False))
-            > MOST_BEHIND
+            > MAX_CATCH_UP_ENTRIES
         ):
             return None
         batches = []
@@ -232,27 +240,27 @@
         return batches
 
     def restart(self, now: float, reader: Reader, quorum: Quorum | None, writer: MessageWriter) -> None:
-        """Let a reader go on from the heads, not more often than retries are due."""
-        if now - reader.sent_at < FIRST_RETRY_S and not reader.owed:
+        """Make a reader continue from the heads, at most once per FIRST_RETRY_S unless an answer is due."""
+        if now - reader.sent_at < FIRST_RETRY_S and not reader.answer_due:
             return
         reader.sent_at = now
-        reader.owed = False
+        reader.answer_due = False
         writer.send(reader.address, self.message(now, reader, quorum, True, []))
 
     def message(
         self, now: float, reader: Reader, quorum: Quorum | None, restart: bool, batches: list[Batch]
     ) -> Push:
-        """Return a push, with a proof while there is a quorum."""
+        """Return a push, with a proof if there is a quorum."""
         if quorum is None:
             return Push(reader.session, reader.echo, -1, [], [], False, batches)
         age_ms = math.ceil(1000 * (now - quorum.at))
         heads = flatten(quorum.heads)
         return Push(reader.session, reader.echo, age_ms, heads, quorum.boots, restart, batches)
 
-    # what is reported
+    # reports
 
     def report(self) -> Report:
-        """Return what this machine vouches for now."""
+        """Return the report of this machine."""
         self.number += 1
         heads = self.heads()
         floors = list(heads)
@@ -271,24 +279,24 @@
             flatten(floors),
             flatten(lost_floors),
             len(self.readers),
-            few(behind),
-            few(self.lost),
+            truncate_names(behind),
+            truncate_names(self.lost),
         )
 
-    def moved_lately(self, number: int) -> list[tuple[str, int, int]]:
-        """Return some readers that have caught up here lately, others with each number."""
+    def recently_moved(self, number: int) -> list[tuple[str, int, int]]:
+        """Return up to MAX_MOVED_READERS readers that caught up here recently; `number` rotates the list."""
         rows = [(name, process, session) for name, (process, session, _) in self.moved.items()]
-        first = number * MOVED_TOLD % max(1, len(rows))
-        return (rows[first:] + rows[:first])[:MOVED_TOLD]
+        first = number * MAX_MOVED_READERS % max(1, len(rows))
+        return (rows[first:] + rows[:first])[:MAX_MOVED_READERS]
 
 
-def few(names: Iterable[str]) -> list[str]:
-    """Return some names, few enough for a datagram."""
-    told = []
-    room = NAME_BYTES_TOLD
+def truncate_names(names: Iterable[str]) -> list[str]:
+    """Return the first names, limited so that a report fits into a datagram."""
+    kept = []
+    remaining_bytes = MAX_NAMES_BYTES
     for name in names:
-        room -= len(name.encode())
-        if len(told) == NAMES_TOLD or room < 0:
+        remaining_bytes -= len(name.encode())
+        if len(kept) == MAX_NAMES or remaining_bytes < 0:
             break
-        told.append(name)
-    return told
+        kept.append(name)
+    return kept
--- a/brookhinge/purgelog/endpoint.py
+++ b/brookhinge/purgelog/endpoint.py
@@ -1,4 +1,4 @@
-"""Runs a core of the purge log on UDP and an asyncio loop. Decides nothing."""
+"""Runs a core of the purge log on UDP and an asyncio loop."""
 
 import asyncio
 
@@ -7,15 +7,15 @@
 from brookhinge.purgelog.interfaces import Address, LogFunction
 from brookhinge.purgelog.messages import Message
 
-LOG_S = 10.0  # between two lines of datagrams that were dropped
-LEAST_WAIT_S = 0.001
+DROPPED_LOG_INTERVAL_S = 10.0  # between two log lines about dropped datagrams
+MIN_WAIT_S = 0.001
 
 
 class Endpoint(asyncio.DatagramProtocol):
-    """What router and control machine share.
+    """UDP socket and timer, common to routers and control machines.
 
-    A subclass has `receive(now, sender, address, message)`, `tick(now)` and `next_at(now)`; times are seconds
-    of a clock that goes on while the machine sleeps.
+    A subclass implements `receive(now, sender, address, message)`, `tick(now)` and `next_at(now)`. Times are
+    seconds of a clock that also advances while the computer sleeps.
     """
 
     def __init__(self, site: str, key: bytes, process: int, log: LogFunction):
@@ -24,7 +24,7 @@
         self.codec = Codec(site, key, process)
         self.transport = self.timer = None
         self.dropped = {}
-        self.log_at = 0.0
+        self.next_drop_log_at = 0.0
 
     async def open(self, listen: Address) -> Address:
         """Bind the socket and return its address."""
@@ -33,7 +33,7 @@
         return self.transport.get_extra_info("sockname")[:2]
 
     def datagram_received(self, data: bytes, address: Address) -> None:
-        """Hand a datagram's message to the core."""
+        """Pass the message of a datagram to the core."""
         received = self.codec.read(data)
         if received is not None and not self.closed():
             sender, message = received
@@ -41,10 +41,10 @@
             self.turn()
 
     def error_received(self, fault: Exception) -> None:
-        """Nobody listens there: silence says the same."""
+        """Ignore the error: an unreachable peer shows by its missing answers."""
 
     def turn(self) -> None:
-        """Do what is due now and set a timer for what is due next."""
+        """Run the due actions and set a timer for the next ones."""
         if self.closed():
             return
         now = steady()
@@ -52,14 +52,14 @@
         self.log_dropped(now)
         if self.timer is not None:
             self.timer.cancel()
-        wait = max(LEAST_WAIT_S, self.next_at(now) - now)
+        wait = max(MIN_WAIT_S, self.next_at(now) - now)
         self.timer = asyncio.get_running_loop().call_later(wait, self.turn)
 
     def log_dropped(self, now: float) -> None:
-        """Log at intervals how many datagrams could not be used."""
-        if now < self.log_at:
+        """Log the counts of dropped datagrams when they have changed, at intervals."""
+        if now < self.next_drop_log_at:
             return
-        self.log_at = now + LOG_S
+        self.next_drop_log_at = now + DROPPED_LOG_INTERVAL_S
         dropped = {
             reason: self.codec.counts[reason] for reason in ("torn", "forged", "repeated", "unreadable")
         }
@@ -68,7 +68,7 @@
         self.dropped = dropped
 
     def send(self, address: Address, message: Message) -> None:
-        """Send a message of the core."""
+        """Send a message; one that is too long is logged and dropped."""
         if self.closed():
             return
         try:
--- a/brookhinge/purgelog/intake.py
+++ b/brookhinge/purgelog/intake.py
@@ -1,8 +1,8 @@
-"""Purges that a command channel tells all control machines, appended by one of them. No I/O, no clock.
+"""Purges that all control machines receive on a command channel and one of them appends. No I/O, no clock.
 
-Each machine has a rank for each purge, by hash. The first appends at once, another one only if after STEP_S
-for each rank before it no log holds the purge. So the loss of any machine delays a purge and loses none; a
-purge that two append at once is applied twice, which does no harm.
+For each purge the machines are ranked by hash. The first appends it at once. A machine of rank n appends it
+after n * RANK_DELAY_S if no log contains it by then. A failed machine therefore delays purges but loses none.
+If two machines append the same purge, it is applied twice, which is harmless.
 """
 
 import collections
@@ -12,11 +12,15 @@
 
 from brookhinge.purgelog.messages import Entry
 
-STEP_S = 0.25
+RANK_DELAY_S = 0.25
 
 
 class Intake:
-    """The purges of one machine's channel that wait for their turn."""
+    """Purges of one machine's command channel that are not due yet.
+
+    Attributes:
+        waiting: due time of each entry.
+    """
 
     def __init__(self, name: str, names: Sequence[str]):
         self.name = name
@@ -24,23 +28,27 @@
         self.waiting = collections.OrderedDict()
 
     def receive(self, now: float, entry: Entry) -> None:
-        """Take an entry of the channel."""
-        self.waiting.setdefault(entry, now + self.rank(entry) * STEP_S)
+        """Queue an entry of the command channel."""
+        self.waiting.setdefault(entry, now + self.rank(entry) * RANK_DELAY_S)
 
     def rank(self, entry: Entry) -> int:
-        """Return this machine's rank for an entry, 0 for the one that appends at once."""
+        """Return this machine's rank for an entry; the machine of rank 0 appends at once."""
 
         def digest(name: str) -> int:
             return xxhash.xxh64_intdigest(f"{name} {entry.kind} {entry.text} {entry.number}".encode())
 
         return sorted(self.names, key=digest).index(self.name)
 
-    def due(self, now: float, has: Callable[[Entry], bool]) -> list[Entry]:
-        """Return entries to append now; `has` tells whether a log holds one.
+    def due(self, now: float, is_logged: Callable[[Entry], bool]) -> list[Entry]:
+        """Remove and return the entries to append now.
+
+        The caller must queue an entry again if it cannot append it.
 
-        An entry that could not be appended has to be received anew.
+        Args:
+            now: seconds of the caller's steady clock.
+            is_logged: returns whether a log already contains an entry.
         """
-        done = [entry for entry in self.waiting if has(entry)]
+        done = [entry for entry in self.waiting if is_logged(entry)]
         for entry in done:
             del self.waiting[entry]
         due = [entry for entry, at in self.waiting.items() if now >= at]
@@ -49,5 +57,5 @@
         return due
 
     def next_at(self, now: float) -> float:
-        """Return when an entry may be due."""
-        return min(self.waiting.values(), default=now + STEP_S)
+        """Return the time at which `due` must be called next."""
+        return min(self.waiting.values(), default=now + RANK_DELAY_S)
--- a/brookhinge/purgelog/interfaces.py
+++ b/brookhinge/purgelog/interfaces.py
@@ -1,4 +1,4 @@
-"""Types that the cores of the purge log share with whoever runs them. No I/O."""
+"""Types shared by the cores of the purge log and the code that runs them. No I/O."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -13,7 +13,7 @@
 
 
 class MessageWriter(Protocol):
-    """Sends what a core has to say."""
+    """Sends the messages of a core."""
 
     def send(self, address: Address, message: Message) -> None:
-        """Send a message; it may be lost, duplicated or reordered on the way."""
+        """Send a message; the network may lose, duplicate or reorder it."""
--- a/brookhinge/purgelog/log.py
+++ b/brookhinge/purgelog/log.py
@@ -1,4 +1,4 @@
-"""The bounded log of one source as a control machine holds it. No I/O, no clock.
+"""Bounded log of one source, held by a control machine. No I/O, no clock.
 
 Recent entries are held in full, older ones as fingerprints.
 """
@@ -11,9 +11,9 @@
 from brookhinge.purgelog.messages import Batch, Entry, Kind
 from brookhinge.purgelog.positions import START, Position
 
-RECENT = 4096  # entries held in full
-SEGMENT = 256  # entries whose fingerprints make one segment: with 4 bytes each it fits into a datagram
-SEGMENTS = 1024  # segments held: 262,144 entries, 14 hours at 5.1 purges a second
+RECENT_ENTRIES = 4096  # entries held in full
+SEGMENT_ENTRIES = 256  # entries per segment; at 4 bytes each their fingerprints fit into a datagram
+MAX_SEGMENTS = 1024  # segments held: 262,144 entries, 14 hours at 5.1 purges a second
 FINGERPRINT_BYTES = 4
 
 
@@ -26,7 +26,7 @@
 
 
 class EpochStart(NamedTuple):
-    """The first entry of an epoch follows on this position."""
+    """An epoch and the position before its first entry."""
 
     epoch: int
     after: Position
@@ -43,7 +43,7 @@
 
 
 def fingerprint(entry: Entry) -> bytes:
-    """Return four bytes that stand for what an entry purges; none for an entry that purges nothing."""
+    """Return the 4-byte fingerprint of the purged object or group; b"" if the entry is not a purge."""
     if entry.kind != Kind.PURGE:
         return b""
     value = object_fingerprint(entry.text) if entry.text else group_fingerprint(entry.number)
@@ -51,16 +51,18 @@
 
 
 class SourceLog:
-    """The log of one source. Indexes are contiguous.
+    """Log of one source. Indexes are contiguous.
 
     Attributes:
-        origin: nothing is held of what came before.
-        base: what came before is not held in full.
-        head: the last position.
-        chain: which epoch each index belongs to.
+        origin: position through which nothing is held.
+        base: position after which entries are held in full.
+        head: position of the last entry.
+        epoch_starts: epochs held, oldest first, each with the position before its first entry.
+        open_segment: fingerprints of the segment that is not complete yet.
+        open_segment_after: position before the first entry of that segment.
     """
 
-    def __init__(self, source: int, recent: int = RECENT, segments: int = SEGMENTS):
+    def __init__(self, source: int, recent: int = RECENT_ENTRIES, segments: int = MAX_SEGMENTS):
         self.source = source
         self.limit = recent
         self.segments = segments
@@ -69,19 +71,19 @@
         self.restart(START)
 
     def restart(self, position: Position) -> None:
-        """Go on from a position without any history."""
+        """Continue from a position without any history."""
         self.origin = self.base = self.head = position
-        self.chain = [EpochStart(position.epoch, position)]
+        self.epoch_starts = [EpochStart(position.epoch, position)]
         self.entries.clear()
         self.digests.clear()
-        self.gathering = []
-        self.gathered_after = position
+        self.open_segment = []
+        self.open_segment_after = position
 
     def append(self, batch: Batch) -> list[Entry] | None:
-        """Take what is new of a batch and return those entries.
+        """Append the new entries of a batch and return them.
 
-        None if the batch does not follow on what is held, or its epoch is over. Entries of an older epoch
-        that the new one does not follow on are dropped: no majority held them.
+        Returns None if the batch leaves a gap or belongs to an older epoch. When a new epoch begins, entries
+        after its start are dropped: no majority held them.
         """
         after = batch.after
         if batch.epoch < self.head.epoch:
@@ -92,7 +94,7 @@
                 return None
             new = batch.entries[skip:]
         else:
-            if self.on_chain(after) != after or after.index < self.base.index:
+            if self.common_position(after) != after or after.index < self.base.index:
                 return None
             new = batch.entries
             if new:
@@ -104,64 +106,69 @@
         return new
 
     def begin_epoch(self, epoch: int, after: Position) -> None:
-        """Drop what stands behind `after`: the new epoch does not contain it."""
+        """Drop the entries after `after`, which the new epoch does not contain, and begin it there."""
         for _ in range(self.head.index - after.index):
             self.entries.pop()
-        self.chain = [start for start in self.chain if start.after.index < after.index] or self.chain[:1]
-        self.chain.append(EpochStart(epoch, after))
+        self.epoch_starts = [
+            start for start in self.epoch_starts if start.after.index < after.index
+        ] or self.epoch_starts[:1]
+        self.epoch_starts.append(EpochStart(epoch, after))
         self.head = after
 
-    def on_chain(self, position: Position) -> Position | None:
-        """Return the last position that whoever stands at `position` surely holds, or None if unknown."""
-        for k, start in enumerate(self.chain):
+    def common_position(self, position: Position) -> Position | None:
+        """Return the last position that this log shares with a log whose head is `position`.
+
+        None if this log does not hold that part of the epoch of `position`.
+        """
+        for k, start in enumerate(self.epoch_starts):
             if start.epoch == position.epoch and position.index >= start.after.index:
                 return Position(position.epoch, min(position.index, self.end_of(k)))
         return None
 
     def end_of(self, k: int) -> int:
-        """Return the last index of the k-th epoch held."""
-        return self.chain[k + 1].after.index if k + 1 < len(self.chain) else self.head.index
+        """Return the last index of the epoch at `epoch_starts[k]`."""
+        return self.epoch_starts[k + 1].after.index if k + 1 < len(self.epoch_starts) else self.head.index
 
     def epoch_of(self, index: int) -> int:
         """Return the epoch of an index."""
-        return next(start.epoch for start in reversed(self.chain) if start.after.index < index)
+        return next(start.epoch for start in reversed(self.epoch_starts) if start.after.index < index)
 
     def trim(self) -> None:
-        """Turn entries beyond the limit into fingerprints, and forget fingerprints beyond theirs."""
+        """Reduce the oldest entries beyond `limit` to fingerprints; drop the oldest excess segments."""
         while len(self.entries) > self.limit:
             index = self.base.index + 1
             self.base = Position(self.epoch_of(index), index)
-            self.gathering.append(fingerprint(self.entries.popleft()))
-            if len(self.gathering) == SEGMENT:
-                self.digests.append(Digest(self.gathered_after, self.base, b"".join(self.gathering)))
-                self.gathering = []
-                self.gathered_after = self.base
+            self.open_segment.append(fingerprint(self.entries.popleft()))
+            if len(self.open_segment) == SEGMENT_ENTRIES:
+                self.digests.append(Digest(self.open_segment_after, self.base, b"".join(self.open_segment)))
+                self.open_segment = []
+                self.open_segment_after = self.base
         while len(self.digests) > self.segments:
             self.origin = self.digests.popleft().through
-            while len(self.chain) > 1 and self.chain[1].after.index < self.origin.index:
-                self.chain.pop(0)
-            self.chain[0] = EpochStart(self.origin.epoch, self.origin)
+            while len(self.epoch_starts) > 1 and self.epoch_starts[1].after.index < self.origin.index:
+                self.epoch_starts.pop(0)
+            self.epoch_starts[0] = EpochStart(self.origin.epoch, self.origin)
 
-    def since(self, position: Position, most: int = SEGMENT) -> list[Batch] | None:
-        """Return batches of up to `most` entries that follow on a position; None where they are not held."""
+    def since(self, position: Position, max_entries: int = SEGMENT_ENTRIES) -> list[Batch] | None:
+        """Return batches of up to `max_entries` entries after a position; None if not held in full."""
         if position == self.head:
             return []
-        known = self.on_chain(position)
-        if known is None or known.index < self.base.index:
+        common = self.common_position(position)
+        if common is None or common.index < self.base.index:
             return None
         batches = []
-        room = most
-        for k, start in enumerate(self.chain):
-            if start.epoch < known.epoch:
+        remaining = max_entries
+        for k, start in enumerate(self.epoch_starts):
+            if start.epoch < common.epoch:
                 continue
-            after = known if start.epoch == known.epoch else start.after
-            end = min(self.end_of(k), after.index + room)
+            after = common if start.epoch == common.epoch else start.after
+            end = min(self.end_of(k), after.index + remaining)
             if end > after.index:
                 batches.append(
                     Batch(self.source, start.epoch, *after, self.entries_between(after.index, end))
                 )
-                room -= end - after.index
-            if room <= 0:
+                remaining -= end - after.index
+            if remaining <= 0:
                 break
         return batches
 
@@ -171,21 +178,21 @@
         return [self.entries[k] for k in range(first, end - self.base.index)]
 
     def digest_after(self, position: Position) -> Digest | None:
-        """Return fingerprints that follow on a position; None if not held or nothing follows."""
-        known = self.on_chain(position)
-        if known is None or known == self.head:
+        """Return fingerprints of entries after a position; None if none are held."""
+        common = self.common_position(position)
+        if common is None or common == self.head:
             return None
-        if known.index >= self.base.index:
-            return self.digest_of_recent(position, known)
+        if common.index >= self.base.index:
+            return self.digest_of_recent(position, common)
         for digest in self.digests:
-            if digest.after.index <= known.index < digest.through.index:
+            if digest.after.index <= common.index < digest.through.index:
                 return digest
-        if self.gathering and known.index >= self.gathered_after.index:
-            return Digest(self.gathered_after, self.base, b"".join(self.gathering))
+        if self.open_segment and common.index >= self.open_segment_after.index:
+            return Digest(self.open_segment_after, self.base, b"".join(self.open_segment))
         return None
 
-    def digest_of_recent(self, position: Position, known: Position) -> Digest:
-        """Return fingerprints of entries held in full."""
-        end = min(self.head.index, known.index + SEGMENT)
-        prints = b"".join(fingerprint(entry) for entry in self.entries_between(known.index, end))
-        return Digest(position, Position(self.epoch_of(end), end), prints)
+    def digest_of_recent(self, position: Position, common: Position) -> Digest:
+        """Return fingerprints of entries held in full, from `common` on."""
+        end = min(self.head.index, common.index + SEGMENT_ENTRIES)
+        fingerprints = b"".join(fingerprint(entry) for entry in self.entries_between(common.index, end))
+        return Digest(position, Position(self.epoch_of(end), end), fingerprints)
--- a/brookhinge/purgelog/messages.py
+++ b/brookhinge/purgelog/messages.py
@@ -1,7 +1,7 @@
 """The messages between routers and control machines, and among control machines.
 
-Vectors of positions are flat lists of integers (`positions.flatten`); machines and sources are numbered by
-their place in the settings.
+Vectors of positions are flat lists of integers (`positions.flatten`). Machines and sources are numbered in
+the order of their names in the settings.
 """
 
 import enum
@@ -12,12 +12,12 @@
 
 
 class Kind(enum.IntEnum):
-    """What an entry says. Every kind tightens a rule; none loosens one."""
+    """Kind of an entry. Each kind only adds restrictions for routers; none lifts one."""
 
-    PURGE = 1  # text: the object's key, number: -1; or text "", number: the group
-    DRAINING = 2  # text: a server, number: its start in milliseconds of the Unix clock
-    GONE = 3  # the same
-    OPENED = 4  # a source has opened an epoch; number: the epoch. It says nothing to routers
+    PURGE = 1  # text: key of the object, number: -1; for a group text: "", number: the group
+    DRAINING = 2  # text: name of a server, number: its start time, Unix milliseconds
+    GONE = 3  # same fields as DRAINING
+    OPENED = 4  # a source opened an epoch; number: the epoch. Routers ignore it
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
@@ -26,13 +26,13 @@
     kind: int
     text: str
     number: int
-    stamp_ms: int  # Unix clock of whoever said it first; never compared with a clock of a reader
+    stamp_ms: int  # Unix clock of the sender of the purge; never compared with the clock of a reader
 
 
 class Batch(msgspec.Struct, array_like=True, frozen=True):
-    """Entries of one source and epoch that follow on a position.
+    """Consecutive entries of one source and epoch after a position.
 
-    Without entries it is the position to start from, sent where what came before is no longer held.
+    A batch without entries gives the position to continue from when earlier entries are no longer held.
     """
 
     source: int
@@ -43,66 +43,67 @@
 
     @property
     def after(self) -> Position:
-        """The position that the entries follow on."""
+        """Position before the first entry."""
         return Position(self.after_epoch, self.after_index)
 
     @property
     def end(self) -> Position:
-        """The position of the last entry; without entries it has none."""
+        """Position of the last entry; meaningless without entries."""
         return Position(self.epoch, self.after_index + len(self.entries))
 
 
 class Subscribe(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """A router begins to read at a control machine."""
+    """A router subscribes to a control machine."""
 
     name: str
-    session: int  # raised at each change of machine
-    number: int  # of this message: what a push echoes
-    previous: int  # the machine it read at before, or -1
-    positions: list[int]  # empty: it has just started
-    host: str  # where it is reached; "": where the datagram came from
+    session: int  # incremented at each change of machine
+    number: int  # of this message, echoed by a push
+    previous: int  # number of the machine subscribed to before, or -1
+    positions: list[int]  # acknowledged positions; empty after a start
+    host: str  # address for pushes; "": source address of the datagram
     port: int
 
 
 class Poll(msgspec.Struct, array_like=True, tag=2, frozen=True):
-    """Acknowledges positions and asks for what follows."""
+    """Acknowledges positions and requests the entries after them."""
 
     session: int
     number: int
-    answer: bool  # whether a push is expected though nothing is new
-    gap: bool  # entries came behind a gap: what follows on the positions is wanted again
+    answer: bool  # whether a push is expected even without new entries
+    gap: bool  # whether entries arrived after a gap: resend from the positions on
     positions: list[int]
 
 
 class Leave(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """A router ends as planned."""
+    """A router shuts down as planned."""
 
     session: int
 
 
 class Push(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """New entries, and the proof of what there is.
+    """New entries, and a proof of the log heads.
 
-    `heads` were all that a majority held `age_ms` before the echoed message was received, or later.
+    No entry accepted before the proven moment is after `heads`. That moment is at most `age_ms` before the
+    router's echoed message was received.
     """
 
-    session: int  # the router's, as it subscribed
-    echo: int  # number of the router's last message, 0: none
-    age_ms: int  # -1: this machine has no majority
+    session: int  # session of the router's subscription
+    echo: int  # number of the router's last message; 0: none
+    age_ms: int  # -1: no proof, since this machine has no majority
     heads: list[int]
-    boots: list[int]  # process ids of the machines in the majority, 0 for one that is not in it
-    restart: bool  # the router's positions cannot be continued here: it goes on from heads
+    boots: list[int]  # process ids of the machines in the majority; 0 for each other machine
+    restart: bool  # the entries after the router's positions are not sent; it continues from heads
     batches: list[Batch]
 
 
 class Unknown(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """The machine does not know this router, or another session of it."""
+    """The machine has no subscription of this router in this session."""
 
     session: int
 
 
 class BackfillRequest(msgspec.Struct, array_like=True, tag=6, frozen=True):
-    """A router asks for fingerprints of entries after a position."""
+    """A router requests fingerprints of entries after a position."""
 
     number: int
     source: int
@@ -111,7 +112,7 @@
 
 
 class Segment(msgspec.Struct, array_like=True, tag=7, frozen=True):
-    """Fingerprints of all purges after the asked position (at the latest) through another; 4 bytes each."""
+    """Fingerprints, 4 bytes each, of all purges from the requested position or earlier through `index`."""
 
     number: int
     source: int
@@ -121,56 +122,58 @@
 
 
 class Horizon(msgspec.Struct, array_like=True, tag=8, frozen=True):
-    """What was asked for is no longer held here."""
+    """The machine no longer holds the requested entries."""
 
     number: int
     source: int
 
 
 class Report(msgspec.Struct, array_like=True, frozen=True):
-    """What one control machine knows of its routers."""
+    """What one control machine knows about its routers."""
 
     machine: int
     boot: int
-    number: int  # of the sync in which it was first told: the later report holds
-    floors: list[int]  # every router that reads there has acknowledged these, and the machine holds them
-    lost_floors: list[int]  # so had those whose lease ended lately; empty: there are none
-    routers: int
-    behind: list[str]  # names of some that have not acknowledged all
-    lost: list[str]  # names of some whose lease ended
+    number: int  # incremented with each report of the process; the highest one is current
+    floors: list[int]  # positions held by the machine and acknowledged by all its routers
+    lost_floors: list[int]  # acknowledged by all routers whose lease ended recently; empty: none
+    routers: int  # number of subscribed routers
+    behind: list[str]  # names of some routers with unacknowledged entries
+    lost: list[str]  # names of some routers whose lease ended
 
 
 class Sync(msgspec.Struct, array_like=True, tag=9, frozen=True):
-    """Exchanged by control machines several times a second: heartbeat, quorum read and reports in one."""
+    """Heartbeat, quorum read and reports, exchanged by control machines several times a second."""
 
     machine: int
     number: int
     echo: int  # number of the receiver's last sync
-    recovered: bool  # it holds all that a majority held after its start: only then does it count in one
-    promises: list[int]  # for each source the epoch below which nothing is taken any more
+    recovered: (
+        bool  # whether it holds all that a majority held after its start; else it counts in no majority
+    )
+    promises: list[int]  # for each source the epoch below which the sender accepts no entries
     positions: list[int]
-    silence_ms: list[int]  # for each machine: since it was heard
+    silence_ms: list[int]  # for each machine the time since its last message
     reports: list[Report]
-    moved: list[tuple[str, int, int]]  # routers that read here now and are up to date: name, process, session
+    moved: list[tuple[str, int, int]]  # routers that have caught up at this machine: name, process, session
 
 
 class Append(msgspec.Struct, array_like=True, tag=13, frozen=True):
     """Entries from one control machine to another."""
 
     machine: int
-    epochs: list[int]  # of the sender's logs: what it sends belongs to them
+    epochs: list[int]  # of the sender's logs, one per source
     batches: list[Batch]
 
 
 class Submit(msgspec.Struct, array_like=True, tag=10, frozen=True):
-    """Asks a control machine to append an entry."""
+    """Requests that a control machine append an entry."""
 
     number: int
     entry: Entry
 
 
 class StatusRequest(msgspec.Struct, array_like=True, tag=11, frozen=True):
-    """Asks the source of an entry how far it has got."""
+    """Requests the progress of an entry from its source."""
 
     number: int
     epoch: int
@@ -178,14 +181,14 @@
 
 
 class Status(msgspec.Struct, array_like=True, tag=12, frozen=True):
-    """Answer to Submit and StatusRequest."""
+    """Response to Submit and StatusRequest."""
 
     number: int
     source: int
-    epoch: int  # 0: the entry could not be appended, this machine has no majority
+    epoch: int  # 0: not appended, since this machine has no open epoch
     index: int
     outcome: int  # progress.Outcome
-    missing: list[tuple[str, str]]  # name of a router or machine, and why
+    missing: list[tuple[str, str]]  # name of a router or machine, and the reason
 
 
 Message = (
--- a/brookhinge/purgelog/metrics.py
+++ b/brookhinge/purgelog/metrics.py
@@ -1,6 +1,6 @@
-"""Prometheus metrics of the purge log, of a router and of a control machine.
+"""Prometheus metrics of the purge log for routers and control machines.
 
-They are read from the thread that serves them: whole lists are copied, nothing is changed.
+The HTTP server's thread reads the state of the event loop: it copies whole lists and changes nothing.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 def gauge(name: str, text: str, value: float) -> GaugeMetricFamily:
-    """Return a gauge of the purge log."""
+    """Return a gauge with the name prefix of the purge log."""
     return GaugeMetricFamily(f"brookhinge_purgelog_{name}", text, value)
 
 
 def counters(name: str, text: str, label: str, counts: Mapping[str, int]) -> CounterMetricFamily:
-    """Return a counter with one label, from counts by that label."""
+    """Return a counter with one label from counts by label value."""
     family = CounterMetricFamily(f"brookhinge_purgelog_{name}", text, labels=[label])
     for kind, count in list(counts.items()):
         family.add_metric([kind], count)
@@ -33,41 +33,47 @@
 
 
 def datagrams(endpoint: Endpoint) -> CounterMetricFamily:
-    """Return the counter of an endpoint's datagrams."""
-    return counters("datagrams", "sent, received, or why one was dropped", "kind", endpoint.codec.counts)
+    """Return the counter of an endpoint's datagrams by result."""
+    return counters(
+        "datagrams", "Datagrams sent, received, or dropped by reason", "kind", endpoint.codec.counts
+    )
 
 
 def router_figures(client: LogClient) -> Iterator[Metric]:
-    """Yield the metrics of a router's client; none before it has started."""
+    """Yield the metrics of a router's client; none before it starts."""
     subscriber = client.subscriber
     if subscriber is None:
         return
     yield gauge(
-        "proof_age_seconds", "since the last moment to which all purges are known", proof_age(subscriber)
+        "proof_age_seconds",
+        "Time since the last moment up to which all purges are known",
+        proof_age(subscriber),
     )
-    yield gauge("stale", "1: no proof, own copies are not used", int(subscriber.stale))
+    yield gauge("stale", "1: no valid proof, own copies are not used", int(subscriber.stale))
     yield gauge(
-        "backfilling", "1: copies are set aside until it is known which were purged", backfilling(subscriber)
+        "backfilling", "1: copies are set aside until the missed purges are known", backfilling(subscriber)
     )
     yield datagrams(client)
     refused = {refusal.value: count for refusal, count in subscriber.refused.items()}
-    yield counters("refused", "messages and batches that could not be used", "why", refused)
+    yield counters("refused", "Messages and batches rejected, by reason", "why", refused)
     changes = {"machine": subscriber.changes_of_machine, "restart": subscriber.restarts}
-    yield counters("changes", "of control machine; goings on from the heads after a gap", "of", changes)
-    yield counters("entries", "applied", "what", {"entries": subscriber.entries})
+    yield counters(
+        "changes", "Changes of control machine, and restarts from the log heads after a gap", "of", changes
+    )
+    yield counters("entries", "Log entries applied", "what", {"entries": subscriber.entries})
 
 
 def proof_age(subscriber: Subscriber) -> float:
-    """Return the age of a router's proof in seconds, bounded for a router without one."""
+    """Return the age of a router's proof in seconds, 1e9 if it has none."""
     return min(1e9, subscriber.proof_age(steady()))
 
 
 def backfilling(subscriber: Subscriber) -> int:
-    """Return 1 while a backfill runs."""
+    """Return 1 while a backfill runs, else 0."""
     return int(subscriber.backfill is not None)
 
 
-class ControlFigures:
+class ControlMetricsCollector:
     """Collector of a control machine's metrics."""
 
     def __init__(self, server: ControlServer):
@@ -78,18 +84,18 @@
         node = self.server.node
         replication = node.replication
         distributor = node.distributor
-        yield gauge("serving", "1: routers are served", int(node.serving))
-        yield gauge("recovered", "1: counts in majorities", int(replication.recovered()))
-        yield gauge("epoch", "of the own log; 0: none is open", replication.epoch)
-        yield gauge("readers", "routers that read here", len(distributor.readers))
-        yield gauge("lost_readers", "routers whose lease ended lately", len(distributor.lost))
+        yield gauge("serving", "1: the machine serves routers", int(node.serving))
+        yield gauge("recovered", "1: the machine counts in majorities", int(replication.recovered()))
+        yield gauge("epoch", "Epoch of the own log; 0: none is open", replication.epoch)
+        yield gauge("readers", "Routers subscribed to this machine", len(distributor.readers))
+        yield gauge("lost_readers", "Routers whose lease ended recently", len(distributor.lost))
         heads = GaugeMetricFamily(
-            "brookhinge_purgelog_head", "last entry held of each source", labels=["source"]
+            "brookhinge_purgelog_head", "Index of the last entry held, by source", labels=["source"]
         )
         for machine, log in zip(node.machines, list(replication.logs), strict=False):
             heads.add_metric([machine.name], log.head.index)
         yield heads
         yield datagrams(self.server)
         yield counters(
-            "refused", "messages that could not be used", "why", {"implausible": distributor.implausible}
+            "refused", "Messages rejected, by reason", "why", {"implausible": distributor.implausible}
         )
--- a/brookhinge/purgelog/positions.py
+++ b/brookhinge/purgelog/positions.py
@@ -1,44 +1,45 @@
-"""Positions in the log of one source, and vectors with one position for each source.
+"""Positions in the log of one source, and vectors with one position per source.
 
-A position is (epoch, index). A source opens a higher epoch each time it starts; indexes go on where a
-majority of the control machines stood then. Positions compare as tuples: the higher epoch first.
+A position is (epoch, index). A source opens a higher epoch each time it starts; indexes continue from the
+position that a majority of the control machines held at that time. Positions compare as tuples, by epoch
+first.
 """
 
 from typing import NamedTuple
 
 
 class Position(NamedTuple):
-    """The place of an entry in the log of one source."""
+    """Position of an entry in the log of one source."""
 
     epoch: int
     index: int
 
 
 START = Position(0, 0)
-MOST_INDEX = 1 << 48  # larger numbers in a datagram are refused
-FAR_AHEAD = 10_000_000  # entries: no log runs so far ahead of what is known of it
+INDEX_LIMIT = 1 << 48  # numbers in a datagram must be smaller
+MAX_LEAD = 10_000_000  # a position this many entries or epochs ahead of the known one is rejected
 
 
 def flatten(positions: list[Position]) -> list[int]:
-    """A vector of positions as the flat list of integers that datagrams carry."""
+    """Return a vector of positions as the flat list of integers used in datagrams."""
     return [number for position in positions for number in position]
 
 
 def unflatten(numbers: list[int]) -> list[Position]:
-    """The vector of positions that a datagram carries; `sound_vector` must hold for it."""
+    """Return the vector of positions for a flat list that `is_valid_vector` accepts."""
     return [Position(epoch, index) for epoch, index in zip(numbers[::2], numbers[1::2], strict=False)]
 
 
-def sound_vector(numbers: list[int], sources: int) -> bool:
-    """Whether a datagram's list is a vector of that many positions."""
-    return len(numbers) == 2 * sources and all(0 <= number < MOST_INDEX for number in numbers)
+def is_valid_vector(numbers: list[int], sources: int) -> bool:
+    """Whether a flat list from a datagram encodes one position for each of `sources` sources."""
+    return len(numbers) == 2 * sources and all(0 <= number < INDEX_LIMIT for number in numbers)
 
 
-def merged(one: list[Position], other: list[Position]) -> list[Position]:
-    """For each source the later of two positions."""
+def elementwise_max(one: list[Position], other: list[Position]) -> list[Position]:
+    """Return the later of two positions for each source."""
     return [max(a, b) for a, b in zip(one, other, strict=False)]
 
 
 def covers(one: list[Position], other: list[Position]) -> bool:
-    """Whether a vector is at least another at every source."""
+    """Whether `one` is at or after `other` for every source."""
     return all(a >= b for a, b in zip(one, other, strict=False))
--- a/brookhinge/purgelog/progress.py
+++ b/brookhinge/purgelog/progress.py
@@ -1,7 +1,7 @@
-"""Whether an entry is in force at every router, or who is missing and why. No I/O, no clock.
+"""Progress of an entry: whether it is in force at every router, or what is missing. No I/O, no clock.
 
-In force at a router: it has applied the entry, or cannot use any copy from before it since its proof has
-ended.
+An entry is in force at a router that has applied it, or that can use no copy older than the entry because its
+proof has expired.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 from brookhinge.purgelog.positions import Position, unflatten
 from brookhinge.purgelog.replication import Replication
 
-# Beyond the bound of a proof: clocks run at rates up to 1% apart, and a message takes time to handle.
+# Added to the validity of a proof: clock rates differ by up to 1%, and handling a message takes time.
 MARGIN_S = 0.5
-UNHEARD_S = 1.0  # a machine that has not been heard for so long is known by what others tell of it
-FORGET_S = 60.0  # a machine out of reach for so long is no longer named
+SILENT_AFTER_S = 1.0  # after such a silence, relayed reports of a machine are used
+UNREACHABLE_RETENTION_S = 60.0  # a machine out of reach for longer is no longer listed
 
 
 class Outcome(enum.IntEnum):
-    """How far an entry has got; the values stand on the wire."""
+    """Progress of an entry; the values are used on the wire."""
 
-    PENDING = 0  # somebody has not acknowledged it yet
+    PENDING = 0  # some router or machine has not acknowledged it yet
     IN_FORCE = 1  # at every router
-    IN_FORCE_EXCEPT = 2  # at every router but those named, whose leases have ended
-    LOST = 3  # its source restarted before a majority held it: it is to be submitted again
+    IN_FORCE_EXCEPT = 2  # at every router except those listed, whose leases have ended
+    LOST = 3  # its source restarted before a majority held it; submit it again
 
 
-class Why(enum.StrEnum):
+class MissingReason(enum.StrEnum):
     """Why an entry waits for a router or machine; shown to operators."""
 
     NOT_ACCEPTED = "not held by a majority"
@@ -44,33 +44,33 @@
     """A router or machine that an entry waits for."""
 
     name: str
-    why: Why
+    why: MissingReason
 
 
 class Progress(NamedTuple):
-    """How far an entry has got, and who is missing."""
+    """Outcome of an entry so far, and the routers and machines that are missing."""
 
     outcome: Outcome
     missing: list[Missing]
 
 
-class Known(NamedTuple):
-    """The last report of a machine, and since when its process has been known."""
+class KnownReport(NamedTuple):
+    """Latest report of a machine, and the time since which its process is known."""
 
     report: Report
     since: float
 
 
 class Tracker:
-    """The latest reports of all machines, judged for one source."""
+    """Latest reports of all machines, evaluated for the own log of one machine."""
 
     def __init__(self, replication: Replication, names: Sequence[str], proof_s: float, now: float):
-        """Start without reports.
+        """Create a tracker without reports.
 
         Args:
-            replication: of this control machine.
-            names: of all machines, by number.
-            proof_s: how long a router may use copies on a proof.
+            replication: replication state of this control machine.
+            names: names of all machines, by number.
+            proof_s: time for which one proof lets a router use its own copies.
             now: seconds of the caller's steady clock.
         """
         self.replication = replication
@@ -81,32 +81,32 @@
         self.started_at = now
 
     def receive(self, now: float, report: Report, direct: bool) -> None:
-        """Take the later report of a machine.
+        """Record a report unless a newer one is known.
 
-        A direct one came from that machine itself and so tells which process it is; a relayed one can do so
-        only while the machine is not heard.
+        A direct report came from the machine itself and identifies its current process. A relayed report can
+        introduce a new process only while the machine is silent.
         """
         if not 0 <= report.machine < len(self.names):
             return
         known = self.known.get(report.machine)
         if known is None:
-            self.known[report.machine] = Known(report, now)
+            self.known[report.machine] = KnownReport(report, now)
         elif known.report.boot == report.boot:
             if report.number > known.report.number or direct:
-                self.known[report.machine] = Known(report, known.since)
+                self.known[report.machine] = KnownReport(report, known.since)
         elif direct or (
-            self.unheard(now, report.machine) and (report.machine, report.boot) not in self.retired
+            self.is_silent(now, report.machine) and (report.machine, report.boot) not in self.retired
         ):
             self.retired.add((report.machine, known.report.boot))
-            self.known[report.machine] = Known(report, now)
+            self.known[report.machine] = KnownReport(report, now)
 
-    def unheard(self, now: float, machine: int) -> bool:
-        """Whether a machine has not been heard for a while."""
+    def is_silent(self, now: float, machine: int) -> bool:
+        """Whether no message came from a machine for more than SILENT_AFTER_S."""
         peer = self.replication.peers.get(machine)
-        return peer is not None and now - peer.heard_at > UNHEARD_S
+        return peer is not None and now - peer.last_message_at > SILENT_AFTER_S
 
-    def to_tell(self, now: float, own: Report) -> list[Report]:
-        """Return reports for the other machines: the own one, and of machines heard lately without names."""
+    def reports_to_send(self, now: float, own: Report) -> list[Report]:
+        """Return the own report and, without router names, those of the machines that are not silent."""
         relayed = [
             known.report.__class__(
                 report.machine,
@@ -119,7 +119,7 @@
                 [],
             )
             for machine, known in self.known.items()
-            if machine != own.machine and not self.unheard(now, machine)
+            if machine != own.machine and not self.is_silent(now, machine)
             for report in [known.report]
         ]
         return [own, *relayed]
@@ -127,21 +127,21 @@
     def progress(self, now: float, position: Position) -> Progress:
         """Return the progress of an entry of the own log."""
         log = self.replication.logs[self.replication.machine]
-        if position.index > log.origin.index and log.on_chain(position) != position:
+        if position.index > log.origin.index and log.common_position(position) != position:
             return Progress(Outcome.LOST, [])
         if self.replication.accepted() < position:
             return Progress(
-                Outcome.PENDING, [Missing(self.names[self.replication.machine], Why.NOT_ACCEPTED)]
+                Outcome.PENDING, [Missing(self.names[self.replication.machine], MissingReason.NOT_ACCEPTED)]
             )
         pending = []
         excused = []
         for machine, name in enumerate(self.names):
-            self.look(now, machine, name, position, pending, excused)
+            self.classify_machine(now, machine, name, position, pending, excused)
         if pending:
             return Progress(Outcome.PENDING, pending + excused)
         return Progress(Outcome.IN_FORCE_EXCEPT if excused else Outcome.IN_FORCE, excused)
 
-    def look(
+    def classify_machine(
         self,
         now: float,
         machine: int,
@@ -150,36 +150,36 @@
         pending: list[Missing],
         excused: list[Missing],
     ) -> None:
-        """Add to `pending` or `excused` whom an entry waits for at one machine."""
+        """Add what is missing at one machine to `pending`, or to `excused` if it does not delay the entry."""
         known = self.known.get(machine)
         source = self.replication.machine
         lost_floors = known.report.lost_floors if known is not None else []
-        if lost_floors and not self.at_least(lost_floors, source, position):
-            excused += [Missing(router, Why.LEASE_ENDED) for router in known.report.lost or [name]]
-        if known is not None and self.at_least(known.report.floors, source, position):
+        if lost_floors and not self.reaches(lost_floors, source, position):
+            excused += [Missing(router, MissingReason.LEASE_ENDED) for router in known.report.lost or [name]]
+        if known is not None and self.reaches(known.report.floors, source, position):
             if now - max(known.since, self.started_at) < self.settle_s:
-                pending.append(Missing(name, Why.SETTLING))
+                pending.append(Missing(name, MissingReason.SETTLING))
             return
-        silent_s = self.out_of_reach_s(now, machine)
+        silent_s = self.unreachable_s(now, machine)
         if silent_s >= self.settle_s:
-            if silent_s < FORGET_S:
-                excused.append(Missing(name, Why.OUT_OF_REACH))
+            if silent_s < UNREACHABLE_RETENTION_S:
+                excused.append(Missing(name, MissingReason.OUT_OF_REACH))
         elif known is None or silent_s > 1.0 or not known.report.behind:
-            pending.append(Missing(name, Why.SILENT))
+            pending.append(Missing(name, MissingReason.SILENT))
         else:
-            pending += [Missing(router, Why.BEHIND) for router in known.report.behind]
+            pending += [Missing(router, MissingReason.BEHIND) for router in known.report.behind]
 
     @staticmethod
-    def at_least(numbers: list[int], source: int, position: Position) -> bool:
-        """Whether a vector reaches a position."""
+    def reaches(numbers: list[int], source: int, position: Position) -> bool:
+        """Whether a vector is at or after a position for one source."""
         return unflatten(numbers)[source] >= position
 
-    def out_of_reach_s(self, now: float, machine: int) -> float:
-        """Return for how long no majority can have held with a machine: the majority-th longest silence."""
+    def unreachable_s(self, now: float, machine: int) -> float:
+        """Return for how many seconds a majority of the machines has received nothing from a machine."""
         replication = self.replication
         if machine == replication.machine:
             return 0.0
-        silences = [min(now - replication.peers[machine].heard_at, now - self.started_at)]
+        silences = [min(now - replication.peers[machine].last_message_at, now - self.started_at)]
         silences += [peer.silence_s[machine] for m, peer in replication.peers.items() if m != machine]
         silences.sort(reverse=True)
         return silences[replication.majority - 1]
--- a/brookhinge/purgelog/replication.py
+++ b/brookhinge/purgelog/replication.py
@@ -1,15 +1,15 @@
-"""Quorum reads, epochs and replication among the control machines. No I/O, no clock, no chance.
-
-Every machine is the one writer of its own log and holds those of all others. An entry is accepted once a
-majority holds it. A read that a majority answered after it was asked has seen every entry accepted before it
-was asked: two majorities share a machine. A source opens an epoch at a majority before it appends; a majority
-takes nothing of an older epoch then, so a process that was frozen or cut off meanwhile can have nothing
-accepted (Lamport 1998; Ongaro and Ousterhout 2014).
-
-Nothing is kept on disk. A machine that starts counts in no majority until it has recovered: until it holds
-what so many others hold that each majority it may have been part of shares one with them (Liskov and Cowling
-2012). Where a majority has started anew there is nothing to recover from: they begin, and the routers, who
-see their process ids change, drop what they held (`subscriber.py`).
+"""Quorum reads, epochs and replication among control machines. No I/O, no clock, no randomness.
+
+Each machine is the only writer of its own log and holds a copy of every other log. An entry is accepted once
+a majority holds it. A read answered by a majority sees every entry accepted before the read was sent, since
+any two majorities share a machine. Before it appends, a source has a majority promise to accept nothing of an
+older epoch. A process that was suspended or partitioned meanwhile can therefore have no entry accepted
+(Lamport 1998; Ongaro and Ousterhout 2014).
+
+Nothing is stored on disk. A machine that starts counts in no majority until it has recovered, that is, until
+it holds everything held by a set of other machines that intersects every majority it may have been part of
+(Liskov and Cowling 2012). If a majority has restarted, there is nothing to recover from and the machines
+bootstrap. The routers detect this by the changed process ids and drop their copies (`subscriber.py`).
 """
 
 from __future__ import annotations
@@ -22,47 +22,46 @@
 from brookhinge.purgelog.log import SourceLog
 from brookhinge.purgelog.messages import Append, Batch, Entry, Kind, Sync
 from brookhinge.purgelog.positions import (
-    FAR_AHEAD,
-    MOST_INDEX,
+    INDEX_LIMIT,
+    MAX_LEAD,
     START,
     Position,
     covers,
-    merged,
-    sound_vector,
+    elementwise_max,
+    is_valid_vector,
     unflatten,
 )
 
-FRESH_S = 0.6  # answers to syncs sent within so long count in a quorum read
-BEHIND_S = (
-    0.3  # a peer that lacks entries for so long gets them from any machine, not from their source alone
-)
-BEGINNING_S = 1.0  # a machine that begins with others says so for so long: they have to see it too
-NUMBERS_KEPT = 256  # syncs whose sending time is remembered
-APPEND_BYTES = 1150
+RESPONSE_WINDOW_S = 0.6  # age limit of an echoed sync in a quorum read
+# A peer that lacks entries for longer gets them from any machine, not only from their source.
+RELAY_DELAY_S = 0.3
+BOOTSTRAP_S = 1.0  # delay before a bootstrapping machine counts as recovered: the others must bootstrap too
+MAX_TRACKED_SYNCS = 256  # syncs whose send time is kept
+MAX_APPEND_BYTES = 1150
 
 
 class Quorum(NamedTuple):
-    """What a majority held at least at some moment: no entry accepted before it stands behind `heads`."""
+    """Result of a quorum read: no entry accepted before the moment `at` is after `heads`."""
 
-    at: float  # that moment, by the clock of this machine
+    at: float  # by the clock of this machine
     heads: list[Position]
-    boots: list[int]  # process ids of the machines that answered; 0 for the others
+    boots: list[int]  # process ids of the machines that answered; 0 for each other machine
 
 
 class Opening(NamedTuple):
-    """An epoch that this source has asked a majority to promise."""
+    """An epoch that this source is opening and that a majority has to promise."""
 
     epoch: int
-    number: int  # of the last sync before it
+    number: int  # of the last sync sent before the request
 
 
 class PeerState:
-    """What one machine knows of another."""
+    """What one machine knows about another."""
 
     def __init__(self, machines: int, boot: int = 0, retired: Iterable[int] = ()):
         self.boot = boot
         self.number = 0
-        self.heard_at = -math.inf
+        self.last_message_at = -math.inf
         self.recovered = False
         self.echoed_number = 0
         self.echoed_at = -math.inf
@@ -70,10 +69,10 @@
         self.promises = [0] * machines
         self.silence_s = [0.0] * machines
         self.behind_since = [None] * machines
-        self.retired = frozenset(retired)  # process ids that stood here before
+        self.retired = frozenset(retired)  # ids of earlier processes of this machine
 
-    def succeeded_by(self, boot: int) -> PeerState:
-        """What is known once another process answers under this machine's name."""
+    def replaced_by(self, boot: int) -> PeerState:
+        """Return the initial state for a new process of the same machine."""
         return PeerState(len(self.positions), boot, self.retired | {self.boot})
 
 
@@ -85,14 +84,14 @@
         self.machines = machines
         self.boot = boot
         self.majority = machines // 2 + 1
-        self.others = machines - self.majority + 1  # so many others share a machine with every majority
+        # Any set of this many machines intersects every majority.
+        self.blocking_set_size = machines - self.majority + 1
         self.recovered_at = None
-        self.begun_at = None
+        self.bootstrap_started_at = None
         self.logs = [SourceLog(source) for source in range(machines)]
         self.promises = [0] * machines
         self.peers = {m: PeerState(machines) for m in range(machines) if m != machine}
-        # of the own log; 0: none is open
-        self.epoch = 0
+        self.epoch = 0  # open epoch of the own log; 0: none
         self.opening = None
         self.number = 0
         self.sent_at = {}
@@ -101,10 +100,10 @@
     # sending
 
     def next_number(self, now: float) -> int:
-        """The number of the next sync; its sending time is remembered for the echo."""
+        """Return the number of the next sync and record its send time for the echo."""
         self.number += 1
         self.sent_at[self.number] = now
-        self.sent_at.pop(self.number - NUMBERS_KEPT, None)
+        self.sent_at.pop(self.number - MAX_TRACKED_SYNCS, None)
         return self.number
 
     def positions(self) -> list[Position]:
@@ -112,12 +111,14 @@
         return [log.head for log in self.logs]
 
     def silence_ms(self, now: float) -> list[int]:
-        """For each machine the milliseconds since it was heard, at most since this process started."""
-        heard = [now if m == self.machine else self.peers[m].heard_at for m in range(self.machines)]
-        return [round(1000 * (now - max(self.started_at, at))) for at in heard]
+        """Return for each machine the time since its last message, at most since this process started."""
+        last_message_times = [
+            now if m == self.machine else self.peers[m].last_message_at for m in range(self.machines)
+        ]
+        return [round(1000 * (now - max(self.started_at, at))) for at in last_message_times]
 
     def appends(self, now: float, peer: PeerState) -> list[Append]:
-        """Append messages with what a peer lacks, as far as this machine is to send it."""
+        """Return Append messages with the entries that a peer lacks and this machine has to send."""
         batches = []
         for source, log in enumerate(self.logs):
             if log.head <= peer.positions[source]:
@@ -125,26 +126,26 @@
                 continue
             if peer.behind_since[source] is None:
                 peer.behind_since[source] = now
-            if source != self.machine and now - peer.behind_since[source] < BEHIND_S:
+            if source != self.machine and now - peer.behind_since[source] < RELAY_DELAY_S:
                 continue
             following = log.since(peer.positions[source])
             batches += [Batch(source, log.head.epoch, *log.head, [])] if following is None else following
         epochs = [log.head.epoch for log in self.logs]
-        return [Append(self.machine, epochs, part) for part in split(batches, APPEND_BYTES)]
+        return [Append(self.machine, epochs, part) for part in split(batches, MAX_APPEND_BYTES)]
 
     # receiving
 
     def receive_sync(self, now: float, sender: int, sync: Sync) -> bool:
-        """Takes a sync from another machine; whether it was the newest of a process that still counts."""
+        """Apply a sync from another machine; return False if it is invalid or outdated."""
         peer = self.peers.get(sync.machine)
-        if peer is None or sender in peer.retired or not self.sound(sync):
+        if peer is None or sender in peer.retired or not self.is_valid(sync):
             return False
         if sender != peer.boot:
-            peer = self.peers[sync.machine] = peer.succeeded_by(sender)
+            peer = self.peers[sync.machine] = peer.replaced_by(sender)
         if sync.number <= peer.number:
             return False
         peer.number = sync.number
-        peer.heard_at = now
+        peer.last_message_at = now
         peer.recovered = sync.recovered
         peer.positions = unflatten(sync.positions)
         peer.promises = list(sync.promises)
@@ -155,19 +156,19 @@
         self.promises = [max(pair) for pair in zip(self.promises, sync.promises, strict=False)]
         return True
 
-    def sound(self, sync: Sync) -> bool:
-        """Whether a sync's lists have the right lengths and signs."""
+    def is_valid(self, sync: Sync) -> bool:
+        """Whether the lists in a sync have the expected lengths and no negative numbers."""
         return (
             len(sync.promises) == len(sync.silence_ms) == self.machines
-            and sound_vector(sync.positions, self.machines)
+            and is_valid_vector(sync.positions, self.machines)
             and min(*sync.promises, *sync.silence_ms) >= 0
         )
 
     def receive_append(self, message: Append) -> list[Entry]:
-        """Take entries from another machine and return those that are new.
+        """Append entries from another machine and return the new ones.
 
-        What belongs to an epoch that was promised to be over is refused, but not by its source while that has
-        no epoch: the next one is to follow on it.
+        Entries of an epoch below the promised one are rejected. The source itself accepts them while it has
+        no open epoch, since its next epoch must continue from them.
         """
         new = []
         if len(message.epochs) != self.machines:
@@ -175,8 +176,8 @@
         for batch in message.batches:
             if not 0 <= batch.source < self.machines:
                 continue
-            over = message.epochs[batch.source] < self.promises[batch.source]
-            if over and (batch.source != self.machine or self.epoch):
+            epoch_over = message.epochs[batch.source] < self.promises[batch.source]
+            if epoch_over and (batch.source != self.machine or self.epoch):
                 continue
             log = self.logs[batch.source]
             after = batch.after
@@ -189,32 +190,32 @@
 
     @staticmethod
     def plausible(log: SourceLog, position: Position) -> bool:
-        """A log that holds something is not led on to a position far ahead of it."""
-        return position.index < (log.head.index + FAR_AHEAD if log.head != START else MOST_INDEX)
+        """Whether a log may continue from a position: an empty log from any, another from none far ahead."""
+        return position.index < (log.head.index + MAX_LEAD if log.head != START else INDEX_LIMIT)
 
     # recovery and quorum reads
 
-    def fresh(self, now: float) -> list[int]:
-        """Numbers of the machines that have answered lately."""
-        return [m for m, peer in self.peers.items() if now - peer.echoed_at < FRESH_S]
+    def responsive_peers(self, now: float) -> list[int]:
+        """Return the numbers of the machines that echoed a recent sync."""
+        return [m for m, peer in self.peers.items() if now - peer.echoed_at < RESPONSE_WINDOW_S]
 
     def recover(self, now: float) -> None:
-        """Looks whether this machine may count in a majority now."""
+        """Check whether this machine may count in majorities."""
         if self.recovered_at is not None:
             return
-        fresh = self.fresh(now)
-        recovered = [m for m in fresh if self.peers[m].recovered]
-        if self.begun_at is not None:
-            if now - self.begun_at >= BEGINNING_S:
+        responsive = self.responsive_peers(now)
+        recovered = [m for m in responsive if self.peers[m].recovered]
+        if self.bootstrap_started_at is not None:
+            if now - self.bootstrap_started_at >= BOOTSTRAP_S:
                 self.recovered_at = now
-        elif len(recovered) >= self.others:
-            if self.holds_all_of(recovered):
+        elif len(recovered) >= self.blocking_set_size:
+            if self.covers_peers(recovered):
                 self.recovered_at = now
-        elif len(fresh) - len(recovered) + 1 >= self.majority and self.holds_all_of(fresh):
-            self.begun_at = now
+        elif len(responsive) - len(recovered) + 1 >= self.majority and self.covers_peers(responsive):
+            self.bootstrap_started_at = now
 
-    def holds_all_of(self, machines: Iterable[int]) -> bool:
-        """Whether this machine holds all that these hold."""
+    def covers_peers(self, machines: Iterable[int]) -> bool:
+        """Whether this machine holds everything that the given machines hold."""
         return all(covers(self.positions(), self.peers[m].positions) for m in machines)
 
     def recovered(self) -> bool:
@@ -222,24 +223,24 @@
         return self.recovered_at is not None
 
     def quorum(self, now: float) -> Quorum | None:
-        """The newest Quorum, or None while no majority answers."""
-        fresh = [m for m in self.fresh(now) if self.peers[m].recovered]
-        if not self.recovered() or len(fresh) + 1 < self.majority:
+        """Return the current Quorum, or None while no majority answers."""
+        responsive = [m for m in self.responsive_peers(now) if self.peers[m].recovered]
+        if not self.recovered() or len(responsive) + 1 < self.majority:
             return None
         heads = self.positions()
         boots = [0] * self.machines
         boots[self.machine] = self.boot
-        for m in fresh:
-            heads = merged(heads, self.peers[m].positions)
+        for m in responsive:
+            heads = elementwise_max(heads, self.peers[m].positions)
             boots[m] = self.peers[m].boot
-        return Quorum(min([now, *(self.peers[m].echoed_at for m in fresh)]), heads, boots)
+        return Quorum(min([now, *(self.peers[m].echoed_at for m in responsive)]), heads, boots)
 
     # the own log
 
     def open_epoch(self, now: float) -> None:
-        """Open an epoch of the own log once enough others promise to take nothing older.
+        """Open an epoch of the own log once enough other machines promise to accept nothing older.
 
-        Enough: no majority is left for a process that had this machine's name before.
+        They are enough if an earlier process of this machine can no longer reach a majority.
         """
         if self.epoch and self.promises[self.machine] <= self.epoch:
             return
@@ -254,7 +255,10 @@
         self.finish_opening()
 
     def finish_opening(self) -> None:
-        """The epoch follows on all that those who promised hold; its first entry tells everybody so."""
+        """Open the epoch once this machine holds all entries of those that promised.
+
+        The first entry announces the epoch to the other machines.
+        """
         epoch, number = self.opening
         promised = [
             peer
@@ -262,14 +266,16 @@
             if peer.recovered and peer.echoed_number > number and peer.promises[self.machine] == epoch
         ]
         log = self.logs[self.machine]
-        if len(promised) < self.others or any(peer.positions[self.machine] > log.head for peer in promised):
+        if len(promised) < self.blocking_set_size or any(
+            peer.positions[self.machine] > log.head for peer in promised
+        ):
             return
         self.epoch = epoch
         self.opening = None
         self.submit(Entry(Kind.OPENED, "", epoch, 0))
 
     def submit(self, entry: Entry) -> Position | None:
-        """Appends to the own log; the entry's position, or None while no epoch is open."""
+        """Append an entry to the own log; return its position, or None while no epoch is open."""
         if not self.epoch or self.promises[self.machine] > self.epoch:
             return None
         log = self.logs[self.machine]
@@ -277,7 +283,7 @@
         return log.head
 
     def accepted(self) -> Position:
-        """The last position of the own log that a majority holds."""
+        """Return the last position of the own log that a majority holds."""
         peers = [peer for peer in self.peers.values() if peer.recovered]
         held = [peer.positions[self.machine] for peer in peers] + [START] * self.majority
         held.append(self.logs[self.machine].head)
--- a/brookhinge/purgelog/roundtrip.py
+++ b/brookhinge/purgelog/roundtrip.py
@@ -1,8 +1,11 @@
-"""Round trips, as both ends of the purge log estimate them."""
+"""Round trip estimate used at both ends of the purge log."""
 
-WEIGHT = 0.2  # of a new sample
+SAMPLE_WEIGHT = 0.2  # of a new sample in the moving average
 
 
 def smoothed(estimate_s: float | None, sample_s: float) -> float:
-    """The estimate after one more sample, in seconds; the first sample is the first estimate."""
-    return sample_s if estimate_s is None else estimate_s + WEIGHT * (sample_s - estimate_s)
+    """Return the exponentially weighted estimate in seconds after one more sample.
+
+    Without an estimate so far (None) it is the sample.
+    """
+    return sample_s if estimate_s is None else estimate_s + SAMPLE_WEIGHT * (sample_s - estimate_s)
--- a/brookhinge/purgelog/server.py
+++ b/brookhinge/purgelog/server.py
@@ -1,4 +1,4 @@
-"""A control machine as a process: joins a ControlNode to UDP and to a command channel."""
+"""Control machine process: runs a ControlNode on UDP and a command channel."""
 
 from __future__ import annotations
 
@@ -20,44 +20,49 @@
     from brookhinge.operator.settings import Control
     from brookhinge.purgelog.interfaces import Address, LogFunction
 
-RETRY_S = 0.1  # for an entry that could not be appended while no majority answered
+RETRY_S = 0.1  # until an entry that could not be appended for lack of a majority is tried again
 
 
 class ControlServer(Endpoint):
-    """One control machine, by its name among the blocks `control` of the operator's file."""
+    """One control machine.
+
+    Attributes:
+        epoch: epoch of the own log that was logged last; 0: none was open.
+        intake: purges of the command channel that are not appended yet.
+    """
 
     def __init__(self, name: str, controls: dict[str, Control], log: LogFunction):
         block = controls[name]
         super().__init__(block.site, block.key, 1 + secrets.randbits(PROCESS_BITS), log)
         self.block, self.machines = block, machines_of(controls)
         self.number = sorted(controls).index(name)
-        self.node = self.channel = self.following = None
-        self.figures = None  # the server of its figures
+        self.node = self.channel = self.channel_task = None
+        self.metrics_server = None
         self.intake = Intake(name, sorted(controls))
         self.started_at = time.time()
         self.serving = False
         self.epoch = 0
 
     async def start(self) -> Address:
-        """Binds and begins to serve; (host, port)."""
+        """Bind the socket and start serving; return the bound address."""
         address = await self.open(self.block.listen)
         self.node = ControlNode(self.number, self.machines, self.process, self.block.proof_s, steady())
         if self.block.channel:
             self.channel = CommandChannel(self.take_command, self.log, self.block.channel, 0, self.started_at)
-            self.following = asyncio.get_running_loop().create_task(self.channel.run())
+            self.channel_task = asyncio.get_running_loop().create_task(self.channel.run())
         if self.block.metrics:
             from brookhinge.metrics import publish
-            from brookhinge.purgelog.metrics import ControlFigures
+            from brookhinge.purgelog.metrics import ControlMetricsCollector
 
-            self.figures, _ = publish(ControlFigures(self), self.block.metrics)
+            self.metrics_server, _ = publish(ControlMetricsCollector(self), self.block.metrics)
         self.log("purge log", change="listening", address=f"{address[0]}:{address[1]}")
         self.turn()
         return address
 
     def take_command(self, command: Event) -> None:
-        """Take a command of the command channel; only purges count here.
+        """Queue a purge of the command channel; other commands are ignored.
 
-        What stood there before this process started is not appended again.
+        The channel does not send purges from before the first poll, so a restart appends none again.
         """
         if not isinstance(command, ObjectsPurged):
             return
@@ -68,19 +73,19 @@
         self.turn()
 
     def receive(self, now: float, sender: int, address: Address, message: Message) -> None:
-        """Hand a message to the node."""
+        """Pass a message to the node."""
         self.node.receive(now, sender, address, message, self)
 
     def tick(self, now: float) -> None:
-        """Let the node do what is due, and append purges of the channel."""
+        """Run the due actions of the node and append due purges of the command channel."""
         self.node.tick(now, self)
         for entry in self.intake.due(now, self.node.has):
             if self.node.submit(now, entry, self) is None:
                 self.intake.waiting[entry] = now + RETRY_S
-        self.say()
+        self.log_changes()
 
-    def say(self) -> None:
-        """Logs when this machine begins to serve, and each epoch of its log."""
+    def log_changes(self) -> None:
+        """Log the start of serving and each change of the own log's epoch."""
         epoch = self.node.replication.epoch
         if self.node.serving and not self.serving:
             self.serving = True
@@ -90,14 +95,14 @@
             self.log("purge log", change="epoch opened" if epoch else "epoch over", epoch=epoch)
 
     def next_at(self, now: float) -> float:
-        """Return when a tick is due."""
+        """Return the time of the next tick."""
         return min(self.node.next_at(now), self.intake.next_at(now))
 
     def stop(self) -> None:
-        """Stop following the channel and close."""
-        if self.following is not None:
-            self.following.cancel()
+        """Stop reading the command channel and close the socket."""
+        if self.channel_task is not None:
+            self.channel_task.cancel()
             self.channel.close()
-        if self.figures is not None:
-            self.figures.shutdown()
+        if self.metrics_server is not None:
+            self.metrics_server.shutdown()
         self.close()
--- a/brookhinge/purgelog/submit.py
+++ b/brookhinge/purgelog/submit.py
@@ -1,4 +1,4 @@
-"""Asks a control machine over UDP to append a purge, and how far it has got."""
+"""Client that submits a purge to a control machine over UDP and polls its status."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
     from brookhinge.operator.settings import Control
     from brookhinge.purgelog.interfaces import Address
 
-ANSWER_S = 0.5
-POLL_S = 0.05
+RETRY_S = 0.5  # until an unanswered request is sent again
+POLL_S = 0.05  # between two status requests
 
 
 class NotAppendedError(Exception):
-    """The control machine did not answer, or has no majority."""
+    """The control machine did not answer or has no majority, so the purge was not appended."""
 
 
-class Asker(asyncio.DatagramProtocol):
-    """One question at a time, asked again until it is answered."""
+class StatusClient(asyncio.DatagramProtocol):
+    """Sends one request at a time and repeats it until it is answered."""
 
     def __init__(self, block: Control):
         self.codec = Codec(block.site, block.key, 1 + secrets.randbits(31))
@@ -34,69 +34,71 @@
         self.transport = None
 
     def datagram_received(self, data: bytes, address: Address) -> None:
-        """Queue a status."""
+        """Queue a status response."""
         received = self.codec.read(data)
         if received is not None and isinstance(received[1], Status):
             self.answers.put_nowait(received[1])
 
     def error_received(self, fault: Exception) -> None:
-        """Nobody listens there: silence says the same."""
+        """Ignore the error: an unreachable machine shows by its missing answers."""
 
-    async def ask(self, question: Callable[[int], Submit | StatusRequest], until: float) -> Status:
-        """Return the Status that answers question(number).
+    async def ask(self, build_request: Callable[[int], Submit | StatusRequest], deadline: float) -> Status:
+        """Send `build_request(number)` until it is answered, and return the Status.
 
-        A question that is asked again has the same number, and a purge that is appended twice does no harm.
+        A repeated request keeps its number. A purge that is appended twice is harmless.
 
         Raises:
-            NotAppendedError: no answer came in time.
+            NotAppendedError: no answer arrived before the deadline.
         """
         self.number += 1
-        while time.monotonic() < until:
-            self.transport.sendto(self.codec.write(question(self.number)))
+        while time.monotonic() < deadline:
+            self.transport.sendto(self.codec.write(build_request(self.number)))
             try:
                 while True:
-                    status = await asyncio.wait_for(self.answers.get(), ANSWER_S)
+                    status = await asyncio.wait_for(self.answers.get(), RETRY_S)
                     if status.number == self.number:
                         return status
             except TimeoutError:
                 continue
-        raise NotAppendedError("no answer: not up, another key, or another site")
+        raise NotAppendedError("no answer: it is down or uses a different key or site")
 
-    async def ask_or(
-        self, status: Status, question: Callable[[int], Submit | StatusRequest], until: float
+    async def ask_or_keep(
+        self, status: Status, build_request: Callable[[int], Submit | StatusRequest], deadline: float
     ) -> Status:
-        """The answer, or the status known so far when none comes in time."""
+        """Return the answer, or `status` if none arrives before the deadline."""
         try:
-            return await self.ask(question, until)
+            return await self.ask(build_request, deadline)
         except NotAppendedError:
             return status
 
 
 async def submit(block: Control, key: str, group: int, wait_s: float) -> tuple[float, Status]:
-    """Append a purge and wait until it is in force or `wait_s` is over.
+    """Append a purge and wait up to `wait_s` seconds until it is in force.
 
     Returns:
-        Seconds taken and the last Status.
+        Elapsed seconds and the last Status.
 
     Raises:
         NotAppendedError: the control machine did not answer or has no majority.
     """
-    began = time.monotonic()
-    until = began + wait_s
-    asker = Asker(block)
+    started_at = time.monotonic()
+    deadline = started_at + wait_s
+    client = StatusClient(block)
     transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
-        lambda: asker, remote_addr=block.listen
+        lambda: client, remote_addr=block.listen
     )
-    asker.transport = transport
+    client.transport = transport
     entry = Entry(Kind.PURGE, key, group, round(1000 * time.time()))
     try:
-        status = await asker.ask(lambda number: Submit(number, entry), until)
+        status = await client.ask(lambda number: Submit(number, entry), deadline)
         if not status.epoch:
-            raise NotAppendedError("it has no majority of the control machines")
+            raise NotAppendedError("it cannot reach a majority of the control machines")
         position = status.epoch, status.index
-        while status.outcome == Outcome.PENDING and time.monotonic() < until:
+        while status.outcome == Outcome.PENDING and time.monotonic() < deadline:
             await asyncio.sleep(POLL_S)
-            status = await asker.ask_or(status, lambda number: StatusRequest(number, *position), until)
-        return time.monotonic() - began, status
+            status = await client.ask_or_keep(
+                status, lambda number: StatusRequest(number, *position), deadline
+            )
+        return time.monotonic() - started_at, status
     finally:
         transport.close()
--- a/brookhinge/purgelog/subscriber.py
+++ b/brookhinge/purgelog/subscriber.py
@@ -1,15 +1,16 @@
-"""One router as a reader of the purge log. No I/O, no clock.
+"""Core of one router that reads the purge log. No I/O, no clock.
 
-It keeps what it has applied, until when that is proven to be all, and where it reads.
+It tracks the applied positions, the moment up to which they are proven complete, and the control machine to
+read at.
 
     subscriber.receive(now, message, writer)
-    subscriber.tick(now, writer)                at subscriber.next_at() at the latest
+    subscriber.tick(now, writer)                no later than subscriber.next_at()
 
-Proof: a push echoes the number of a message that this router sent at a moment t, and names heads that were
-all there was `age` before the machine received it, or later. Once the router has applied everything up to
-these heads, it has applied every entry accepted before t - age, by its own clock alone (leases after Gray and
-Cheriton, SOSP 1989). A copy is used for `proof_s` after that moment. A purge that it has not applied by then
-was accepted later.
+A push is a proof: it echoes the number of a message that this router sent at a time t, and contains heads
+that include every entry accepted before a moment at most `age` earlier than the receipt of that message. Once
+the router has applied everything up to these heads, it has applied every entry accepted before t - age. This
+relies on its own clock alone (leases after Gray and Cheriton, SOSP 1989). Own copies may be used for
+`proof_s` after that moment. A purge that the router has not applied was accepted later.
 """
 
 from __future__ import annotations
@@ -34,11 +35,11 @@
     Unknown,
 )
 from brookhinge.purgelog.positions import (
-    FAR_AHEAD,
+    MAX_LEAD,
     Position,
     covers,
     flatten,
-    sound_vector,
+    is_valid_vector,
     unflatten,
 )
 from brookhinge.purgelog.roundtrip import smoothed
@@ -53,46 +54,67 @@
 if TYPE_CHECKING:
     from brookhinge.purgelog.control import Machine
 
-POLL_S = 0.3  # after the sending of what was echoed last the machine is asked for a newer proof
-# for an answer; after that a retry
+POLL_S = 0.3  # a new proof is requested this long after the last echoed message was sent
+# timeout for an answer
 FIRST_ANSWER_S = 0.4
-SHORTEST_ANSWER_S = 0.25
-LONGEST_ANSWER_S = 0.5
-CHANGES_REMEMBERED_S = 10.0  # each change of machine within so long doubles the wait for an answer,
-LONGEST_WAIT_S = 1.5  # up to this: machines that are all late are not to be changed all the time
-RETURN_S = 20.0  # between two tries of the preferred machine, on the mean
-NUMBERS_KEPT = 64  # messages whose sending time is remembered
+MIN_ANSWER_S = 0.25
+MAX_ANSWER_S = 0.5
+# Each change of machine within RECENT_CHANGE_S doubles the timeout, up to MAX_WAIT_S. Otherwise the router
+# would keep changing between machines that are all slow.
+RECENT_CHANGE_S = 10.0
+MAX_WAIT_S = 1.5
+MEAN_RETURN_S = 20.0  # mean time between two attempts to return to the preferred machine
+MAX_TRACKED_MESSAGES = 64  # messages whose send time is kept
 
 
 class Subscriber:
-    """The state of one router as a reader."""
+    """State of one router as a reader.
+
+    Attributes:
+        order: numbers of the control machines by preference.
+        choice: index in `order` of the machine read at.
+        previous: number of the machine read at before, or -1.
+        positions: position applied of each source, or None before the first proof.
+        boots: last known process id of each control machine.
+        sent_at: send time of recent messages by number.
+        last_echo: highest number of a message that was echoed.
+        echoed_at: send time of that message.
+        pending: proofs whose entries are not all applied yet.
+        proven_at: moment up to which all entries are known, -inf before the first proof.
+        stale: whether there is no valid proof.
+        subscribed: whether the machine read at has answered.
+        asked_at: send time of the message that awaits an answer, or None.
+        tries: timeouts since the last answer or subscription.
+        changed_at: times of recent changes of machine after a timeout.
+        refused: number of rejected messages and batches by reason.
+    """
 
     def __init__(
         self,
         name: str,
         machines: Sequence[Machine],
         proof_s: float,
-        chance: random.Random,
+        rng: random.Random,
         now: float,
         region: str = "",
-        reached: Address | None = None,
+        advertised: Address | None = None,
     ):
-        """Start without positions.
+        """Create a subscriber without positions.
 
         Args:
-            name: the router's.
-            machines: the control machines, in the settings' order.
-            proof_s: how long own copies are used on one proof.
-            chance: seeded, for the spread of polls.
+            name: name of the router.
+            machines: all control machines, in the same order in every process.
+            proof_s: time for which one proof lets the router use its own copies.
+            rng: random number generator for the jitter of timers.
             now: seconds of the caller's steady clock.
-            region: whose machines are preferred.
-            reached: address at which this router is reached, or None for where its datagrams come from.
+            region: region of the router, whose control machines are preferred.
+            advertised: address for pushes, or None for the source address of the router's datagrams.
         """
         self.name = name
         self.machines = machines
         self.proof_s = proof_s
-        self.chance = chance
-        self.reached = reached or ("", 0)
+        self.rng = rng
+        self.advertised = advertised or ("", 0)
         self.order = preference(name, region, machines)
         self.choice = 0
         self.previous = -1
@@ -101,37 +123,37 @@
         self.positions: list[Position] | None = None
         self.boots = [0] * len(machines)
         self.sent_at: dict[int, float] = {}
-        self.answered = 0
+        self.last_echo = 0
         self.echoed_at = -math.inf
         self.rtt_s: float | None = None
-        self.pending: list[Proof] = []  # whose entries have not all come
+        self.pending: list[Proof] = []
         self.proven_at = -math.inf
         self.stale = True
         self.backfill: Backfill | None = None
         self.subscribed = False
         self.asked_at: float | None = None
         self.tries = 0
-        self.changed_at: list[float] = []  # when it changed its machine lately, for want of an answer
-        self.due_at, self.return_at = now + 0.05 * chance.random(), now + self.pause()
+        self.changed_at: list[float] = []
+        self.due_at, self.return_at = now + 0.05 * rng.random(), now + self.return_delay()
         self.refused = dict.fromkeys(RefusalReason, 0)
         self.changes_of_machine = self.restarts = self.entries = 0
 
-    def pause(self) -> float:
-        """Draw a wait before the preferred machine is tried again."""
-        return RETURN_S * (0.5 + self.chance.random())
+    def return_delay(self) -> float:
+        """Return a random delay in seconds before the preferred machine is tried again."""
+        return MEAN_RETURN_S * (0.5 + self.rng.random())
 
     def machine(self) -> int:
-        """The number of the control machine that this router reads at."""
+        """Return the number of the control machine that this router reads at."""
         return self.order[self.choice]
 
     def proof_age(self, now: float) -> float:
-        """Seconds since the last proven moment."""
+        """Return the seconds since the last proven moment."""
         return now - self.proven_at
 
     # messages
 
     def receive(self, now: float, message: Message, writer: SubscriberOutput) -> None:
-        """Take a message of a control machine."""
+        """Handle a message of a control machine."""
         match message:
             case Push():
                 self.receive_push(now, message, writer)
@@ -142,14 +164,14 @@
                 self.end_backfill(now, writer)
 
     def receive_push(self, now: float, push: Push, writer: SubscriberOutput) -> None:
-        """Take a push: apply its entries and keep its proof."""
-        if not self.sound(push):
+        """Apply the entries of a push and evaluate its proof."""
+        if not self.is_valid(push):
             self.refused[RefusalReason.UNSOUND] += 1
             return
         proof = self.proof_of(now, push)
         if push.session == self.session:
-            self.answer_came(now, push.echo)
-            self.plan(now)
+            self.record_answer(now, push.echo)
+            self.schedule_tick(now)
         if push.restart and proof is not None:
             self.restart(now, proof, writer)
         if self.positions is None:
@@ -159,39 +181,39 @@
             self.append(batch, writer)
         if proof is not None:
             self.pending.append(proof)
-        self.prove(now, writer)
+        self.update_proof(now, writer)
         if push.batches or push.restart:
             self.poll(now, False, writer, gap=self.refused[RefusalReason.GAP] > gaps)
 
-    def answer_came(self, now: float, echo: int) -> None:
-        """The machine read at is there."""
+    def record_answer(self, now: float, echo: int) -> None:
+        """Record that the machine read at has answered."""
         if self.asked_at is not None and self.sent_at.get(echo) == self.asked_at:
             self.rtt_s = smoothed(self.rtt_s, now - self.asked_at)
         self.subscribed = True
         self.asked_at = None
         self.tries = 0
-        if echo > self.answered and echo in self.sent_at:
-            self.answered = echo
+        if echo > self.last_echo and echo in self.sent_at:
+            self.last_echo = echo
             self.echoed_at = self.sent_at[echo]
 
-    def answer_s(self) -> float:
-        """How long an answer is waited for."""
+    def answer_timeout_s(self) -> float:
+        """Return the timeout for an answer in seconds."""
         usual = FIRST_ANSWER_S
         if self.rtt_s is not None:
-            usual = min(LONGEST_ANSWER_S, max(SHORTEST_ANSWER_S, 1.5 * self.rtt_s + 0.05))
-        return min(LONGEST_WAIT_S, usual * 2 ** max(0, len(self.changed_at) - 1))
+            usual = min(MAX_ANSWER_S, max(MIN_ANSWER_S, 1.5 * self.rtt_s + 0.05))
+        return min(MAX_WAIT_S, usual * 2 ** max(0, len(self.changed_at) - 1))
 
-    def sound(self, push: Push) -> bool:
-        """Whether lengths and numbers of a push can be right."""
+    def is_valid(self, push: Push) -> bool:
+        """Whether the lengths and numbers in a push are valid."""
         machines = len(self.machines)
-        if push.age_ms >= 0 and not (len(push.boots) == machines and sound_vector(push.heads, machines)):
+        if push.age_ms >= 0 and not (len(push.boots) == machines and is_valid_vector(push.heads, machines)):
             return False
         if not all(0 <= batch.source < machines and batch.epoch > 0 for batch in push.batches):
             return False
         return self.positions is None or self.plausible(push)
 
     def plausible(self, push: Push) -> bool:
-        """Whether nothing in a push runs far ahead of what this router holds."""
+        """Whether no position in a push is far ahead of this router's positions."""
         ahead = [
             after.index - held.index
             for after, held in zip(unflatten(push.heads), self.positions, strict=False)
@@ -202,19 +224,19 @@
             after.epoch - held.epoch
             for after, held in zip(unflatten(push.heads), self.positions, strict=False)
         ]
-        return max([0, *ahead, *newer]) < FAR_AHEAD
+        return max([0, *ahead, *newer]) < MAX_LEAD
 
     def proof_of(self, now: float, push: Push) -> Proof | None:
-        """Return the proof in a push, or None where it proves nothing."""
+        """Return the proof in a push, or None if it contains none or echoes no recent message."""
         asked_at = self.sent_at.get(push.echo)
         if asked_at is None or push.age_ms < 0:
             return None
         return Proof(asked_at - push.age_ms / 1000.0, unflatten(push.heads), push.boots)
 
     def append(self, batch: Batch, writer: SubscriberOutput) -> None:
-        """Apply what is new of a batch.
+        """Apply the new entries of a batch.
 
-        Entries behind a gap are applied too, since they only tighten; the position stays.
+        Entries after a gap are applied too, since they only add restrictions, but the position stays.
         """
         held = self.positions[batch.source]
         after = batch.after
@@ -235,45 +257,44 @@
 
     # proof
 
-    def prove(self, now: float, writer: SubscriberOutput) -> None:
-        """Takes the newest proof whose entries have all been applied."""
+    def update_proof(self, now: float, writer: SubscriberOutput) -> None:
+        """Adopt the newest pending proof whose entries have all been applied."""
         held = [proof for proof in self.pending if covers(self.positions, proof.heads)]
         if not held:
-            del self.pending[:-NUMBERS_KEPT]
+            del self.pending[:-MAX_TRACKED_MESSAGES]
             return
         moment, _, boots = max(held, key=lambda proof: proof.moment)
         self.pending = [proof for proof in self.pending if proof.moment > moment and proof not in held]
         if moment <= self.proven_at:
             return
-        if self.proven_at > -math.inf and not self.continuous(boots):
-            self.forget(writer)
+        if self.proven_at > -math.inf and not self.has_common_majority(boots):
+            self.reset_copies(writer)
         self.boots = [boot or known for boot, known in zip(boots, self.boots, strict=False)]
         self.proven_at = moment
         if self.stale and self.proof_age(now) < self.proof_s:
             self.stale = False
             writer.copies(CopyRule.PROVEN, None)
 
-    def continuous(self, boots: list[int]) -> bool:
-        """Whether every entry accepted since the last proof stands behind this one too.
+    def has_common_majority(self, boots: list[int]) -> bool:
+        """Whether a majority of the machines has run without a restart since the last proof and answered now.
 
-        So it is if a majority of the machines has run since then and answered now: any majority that accepted
-        one shares a machine with it.
+        If so, no accepted entry was lost: any majority that accepted one shares a machine with this one.
         """
         same = sum(boot != 0 and boot == known for boot, known in zip(boots, self.boots, strict=False))
         return same > len(self.machines) // 2
 
-    def forget(self, writer: SubscriberOutput) -> None:
-        """Drop all copies made up to now: entries may be gone for good with the machines that held them."""
+    def reset_copies(self, writer: SubscriberOutput) -> None:
+        """Drop all copies made so far, since entries may be lost with the machines that held them."""
         self.backfill = None
         writer.copies(CopyRule.RESET, None)
 
     def restart(self, now: float, proof: Proof, writer: SubscriberOutput) -> None:
-        """Go on from the heads.
+        """Continue from the heads of a proof.
 
-        What was made before is set aside until it is known which of it was purged.
+        Copies made so far are set aside until the missed purges are known.
         """
         heads = proof.heads
-        if self.positions is None:  # what was kept since the start may have been purged before the heads
+        if self.positions is None:  # copies kept since the start may have been purged earlier
             self.positions = heads
             writer.copies(CopyRule.RESET, None)
             return
@@ -292,7 +313,7 @@
         self.backfill.extend(missed)
 
     def end_backfill(self, now: float, writer: SubscriberOutput) -> None:
-        """Follow the end of a backfill, if it has come to one."""
+        """End the backfill if it is complete or has failed."""
         if self.backfill.lost:
             writer.copies(CopyRule.DROP, None)
         elif self.backfill.done():
@@ -303,39 +324,39 @@
 
     # time
 
-    def end_proof(self, now: float, writer: SubscriberOutput) -> None:
-        """Ends the use of copies once the proof is too old."""
+    def expire_proof(self, now: float, writer: SubscriberOutput) -> None:
+        """End the use of own copies once the proof is too old."""
         if not self.stale and self.proof_age(now) >= self.proof_s:
             self.stale = True
             writer.copies(CopyRule.STALE, None)
 
     def tick(self, now: float, writer: SubscriberOutput) -> None:
-        """Do what is due by time."""
-        self.end_proof(now, writer)
+        """Run the actions that are due."""
+        self.expire_proof(now, writer)
         if now < self.due_at:
             return
-        self.changed_at = [at for at in self.changed_at if now - at < CHANGES_REMEMBERED_S]
-        if self.asked_at is not None and now - self.asked_at >= self.answer_s():
-            self.unanswered(now, writer)
+        self.changed_at = [at for at in self.changed_at if now - at < RECENT_CHANGE_S]
+        if self.asked_at is not None and now - self.asked_at >= self.answer_timeout_s():
+            self.handle_timeout(now, writer)
         elif self.choice and now >= self.return_at:
             self.change_machine(now, 0, writer)
         elif self.asked_at is None:
-            self.ask(now, writer)
+            self.request_proof(now, writer)
         if self.backfill is not None:
             self.request_backfill(now, writer)
-        self.plan(now)
+        self.schedule_tick(now)
 
     def request_backfill(self, now: float, writer: SubscriberOutput) -> None:
-        """Send the backfill request that is due."""
+        """Send the backfill request if one is due."""
         machine, request = self.backfill.tick(now)
         if request is not None:
             writer.send(self.machines[machine].address, request)
         self.end_backfill(now, writer)
 
-    def plan(self, now: float) -> None:
-        """Set when the next tick is due."""
+    def schedule_tick(self, now: float) -> None:
+        """Set the time of the next tick."""
         asked = self.asked_at is not None
-        times = [self.asked_at + self.answer_s() if asked else self.echoed_at + POLL_S]
+        times = [self.asked_at + self.answer_timeout_s() if asked else self.echoed_at + POLL_S]
         if not self.stale:
             times.append(self.proven_at + self.proof_s)
         if self.backfill is not None:
@@ -343,62 +364,62 @@
         self.due_at = max(now + 0.001, min(times))
 
     def next_at(self) -> float:
-        """Return when a tick is due."""
+        """Return the time of the next tick."""
         return self.due_at
 
-    def ask(self, now: float, writer: SubscriberOutput) -> None:
-        """For the first time, or where the newest proof has become old."""
+    def request_proof(self, now: float, writer: SubscriberOutput) -> None:
+        """Subscribe, or poll for a newer proof if POLL_S has passed."""
         if not self.subscribed:
             self.subscribe(now, writer)
         elif now - self.echoed_at >= POLL_S:
             self.poll(now, True, writer)
 
-    def unanswered(self, now: float, writer: SubscriberOutput) -> None:
-        """Asks once more, then another machine."""
+    def handle_timeout(self, now: float, writer: SubscriberOutput) -> None:
+        """Repeat the request once, then change to the next machine."""
         self.tries += 1
         if self.tries == 1 and self.subscribed:
             self.poll(now, True, writer)
         else:
-            if self.proven_at > -math.inf:  # while it starts, machines may be starting too
+            if self.proven_at > -math.inf:  # during the start, control machines may be starting too
                 self.changed_at.append(now)
             self.change_machine(now, (self.choice + 1) % len(self.order), writer)
 
     def change_machine(self, now: float, choice: int, writer: SubscriberOutput) -> None:
-        """Read at another machine."""
+        """Change to another control machine and subscribe there."""
         self.previous = self.machine()
         self.choice = choice
         self.session += 1
-        self.return_at = now + self.pause()
+        self.return_at = now + self.return_delay()
         self.changes_of_machine += 1
         self.subscribe(now, writer)
 
     def subscribe(self, now: float, writer: SubscriberOutput) -> None:
-        """Ask the chosen machine to be read at."""
+        """Send a subscription to the chosen machine."""
         self.subscribed = False
         self.tries = 0
         positions = [] if self.positions is None else flatten(self.positions)
-        number = self.stamp(now)
+        number = self.next_number(now)
         self.asked_at = now
-        message = Subscribe(self.name, self.session, number, self.previous, positions, *self.reached)
+        message = Subscribe(self.name, self.session, number, self.previous, positions, *self.advertised)
         writer.send(self.machines[self.machine()].address, message)
-        self.plan(now)
+        self.schedule_tick(now)
 
     def poll(self, now: float, answer: bool, writer: SubscriberOutput, gap: bool = False) -> None:
-        """Acknowledge positions and ask for what follows; with `answer` an answer is expected at once."""
+        """Acknowledge positions; with `answer`, request an immediate push, with `gap`, a resend."""
         positions = [] if self.positions is None else flatten(self.positions)
-        number = self.stamp(now)
+        number = self.next_number(now)
         if answer:
             self.asked_at = now
         writer.send(self.machines[self.machine()].address, Poll(self.session, number, answer, gap, positions))
 
-    def stamp(self, now: float) -> int:
-        """The number of the next message; its sending time is remembered for the echo."""
+    def next_number(self, now: float) -> int:
+        """Return the number of the next message and record its send time for the echo."""
         self.number += 1
         self.sent_at[self.number] = now
-        self.sent_at.pop(self.number - NUMBERS_KEPT, None)
+        self.sent_at.pop(self.number - MAX_TRACKED_MESSAGES, None)
         return self.number
 
     def leave(self, writer: SubscriberOutput) -> None:
-        """This router ends as planned: nobody waits for it."""
-        for _ in range(2):  # a datagram may get lost
+        """Unsubscribe at a planned shutdown, so that no entry waits for this router."""
+        for _ in range(2):  # sent twice, since a datagram may be lost
             writer.send(self.machines[self.machine()].address, Leave(self.session))
--- a/brookhinge/purgelog/subscription.py
+++ b/brookhinge/purgelog/subscription.py
@@ -1,4 +1,4 @@
-"""What a router's subscription to the purge log is made of: machines, proofs and rules for copies. No I/O."""
+"""Parts of a router's subscription: preference of machines, proofs and rules for copies. No I/O."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 
 class CopyRule(enum.Enum):
-    """What the router may do with copies of answers that it holds itself."""
+    """Rule for the copies of answers that the router holds itself. The value is logged as the reason."""
 
-    STALE = "no proof: none is used"
-    PROVEN = "used, but those set aside"
-    ASIDE = "those made up to now are set aside: purges may have been missed"
-    READMIT = "those set aside whose fingerprint is not among the missed are used again"
-    DROP = "those set aside are dropped"
-    RESET = "those made up to now are dropped"
+    STALE = "no valid proof: own copies are not used"
+    PROVEN = "valid proof: own copies are used, except those set aside"
+    ASIDE = "purges may have been missed: own copies made so far are set aside"
+    READMIT = "missed purges are known: copies set aside are used again unless purged"
+    DROP = "missed purges are not available: copies set aside are dropped"
+    RESET = "purges may be unknown: own copies made so far are dropped"
 
 
 class RefusalReason(enum.Enum):
-    """Why a message was dropped, as counted in `refused`."""
+    """Why a message or batch was rejected; a label of the counter `refused`."""
 
     UNSOUND = "unsound"
     GAP = "gap"
@@ -37,11 +37,12 @@
 
 
 class Proof(NamedTuple):
-    """That all entries accepted before `moment` stand at or before `heads`.
+    """Proof that every entry accepted before `moment` is at or before `heads`.
 
     Attributes:
-        moment: seconds of this router's own clock.
-        boots: process ids of the control machines that answered, 0 for the others.
+        moment: seconds of this router's steady clock.
+        heads: position for each source.
+        boots: process ids of the control machines that answered; 0 for each other machine.
     """
 
     moment: float
@@ -50,17 +51,20 @@
 
 
 class SubscriberOutput(MessageWriter, Protocol):
-    """Carries out what the subscriber decides."""
+    """Receives the messages, entries and rules that the subscriber puts out."""
 
     def entry(self, entry: Entry) -> None:
-        """Apply a new entry at once."""
+        """Apply a new entry immediately."""
 
     def copies(self, rule: CopyRule, purges: PurgeSet | None) -> None:
-        """Follow a rule for the router's own copies; `purges` comes with READMIT."""
+        """Apply a rule for the router's own copies; `purges` is None except with READMIT."""
 
 
 def preference(name: str, region: str, machines: Sequence[Machine]) -> list[int]:
-    """Return the control machines as a router prefers them: its region's first, the rest by hash."""
+    """Return control machine numbers by preference of a router.
+
+    Machines that serve its region come first; within each group the order is by hash.
+    """
 
     def rank(number: int) -> tuple[bool, int]:
         machine = machines[number]
--- a/tests/purgelog/test_command_channel.py
+++ b/tests/purgelog/test_command_channel.py
@@ -1,4 +1,4 @@
-"""A control machine follows a command channel: its purges go into the log."""
+"""A control machine queues the purges of its command channel for the log."""
 
 import asyncio
 
@@ -7,21 +7,21 @@
 from brookhinge.operator import read_text
 from brookhinge.purgelog.messages import Entry, Kind
 from brookhinge.purgelog.server import ControlServer
-from tests.purgelog.test_settings import control
+from tests.purgelog.test_settings import control_block
 
 WITHIN_S = 20.0
 
 
-def test_a_purge_told_by_the_command_channel_waits_for_its_turn_in_the_log():
+def test_purges_of_the_command_channel_are_queued_for_the_log():
     async def run():
         channel = CommandChannel()
         host, port = await channel.listen()
         controls = read_text(
-            control("c1", more=f'  channel = "{host}:{port}"\n').replace(
+            control_block("c1", more=f'  channel = "{host}:{port}"\n').replace(
                 '127.0.0.1:1"', f'127.0.0.1:{free_port(host)}"', 1
             )
-            + control("c2")
-            + control("c3")
+            + control_block("c2")
+            + control_block("c3")
         ).control
         server = ControlServer("c1", controls, lambda event, **values: None)
         taken = []
--- a/tests/purgelog/test_copies.py
+++ b/tests/purgelog/test_copies.py
@@ -1,4 +1,4 @@
-"""The decisions: own copies are used only while it is proven that no purge is missing, and the rule only takes away."""
+"""Own copies are used only while the router has proof that it knows all purges; rules only add restrictions."""
 
 import math
 
@@ -12,20 +12,20 @@
 from brookhinge.purgelog.subscription import CopyRule
 
 
-class Doc:
+class FakeObject:
     def __init__(self, key, group=1):
         self.key, self.group, self.code = key, group, key
 
 
-class Asked:
+class FakeRequest:
     class_index = 0
 
-    def __init__(self, doc):
-        self.object = doc
+    def __init__(self, object_):
+        self.object = object_
 
 
-class Held:
-    """The copies of a Router, as far as the rule looks at them."""
+class FakeLocalCache:
+    """Local cache with the attributes that the mixin uses."""
 
     def __init__(self):
         self.held = {}
@@ -35,80 +35,88 @@
             del self.held[name]
 
 
-class PlainRouter:
-    """Answers from memory whatever it holds."""
+class BaseRouter:
+    """Responds from any copy that it holds."""
 
     def __init__(self):
-        self.local_cache, self.sink, self.now = Held(), None, 0.0
+        self.local_cache, self.sink, self.now = FakeLocalCache(), None, 0.0
 
     def respond_from_copy(self, request):
         return (request.class_index, request.object.code) in self.local_cache.held
 
 
-class Router(ProvenCopiesMixin, PlainRouter):
-    def keep(self, doc, made):
-        self.local_cache.held[0, doc.code] = LocalCopy(doc, made, 1)
+class RouterWithProofs(ProvenCopiesMixin, BaseRouter):
+    def add_copy(self, object_, made_at):
+        self.local_cache.held[0, object_.code] = LocalCopy(object_, made_at, 1)
 
-    def uses(self, doc):
-        return self.respond_from_copy(Asked(doc))
+    def can_use(self, object_):
+        return self.respond_from_copy(FakeRequest(object_))
 
 
 @pytest.fixture
 def router():
-    router = Router()
+    router = RouterWithProofs()
     router.now = 10.0
-    router.keep(Doc("a"), 5.0)
-    router.keep(Doc("b"), 6.0)
+    router.add_copy(FakeObject("a"), 5.0)
+    router.add_copy(FakeObject("b"), 6.0)
     return router
 
 
-def test_without_a_proof_nothing_is_used(router):
-    assert not router.uses(Doc("a"))
+def test_copies_are_not_used_without_a_proof(router):
+    assert not router.can_use(FakeObject("a"))
     router.copy_rule(CopyRule.PROVEN, None)
-    assert router.uses(Doc("a"))
+    assert router.can_use(FakeObject("a"))
     router.copy_rule(CopyRule.STALE, None)
-    assert not router.uses(Doc("a"))
+    assert not router.can_use(FakeObject("a"))
 
 
-def test_what_is_set_aside_comes_back_but_for_what_was_purged(router):
+def test_copies_set_aside_are_readmitted_unless_purged(router):
     router.copy_rule(CopyRule.PROVEN, None)
     router.copy_rule(CopyRule.ASIDE, None)
-    router.keep(Doc("c"), 11.0)
-    assert not router.uses(Doc("a")) and not router.uses(Doc("b")) and router.uses(Doc("c"))
+    router.add_copy(FakeObject("c"), 11.0)
+    assert (
+        not router.can_use(FakeObject("a"))
+        and not router.can_use(FakeObject("b"))
+        and router.can_use(FakeObject("c"))
+    )
     purges = PurgeSet(
         [fingerprint(Entry(Kind.PURGE, "b", -1, 0)), fingerprint(Entry(Kind.PURGE, "c", -1, 0))]
     )
     router.copy_rule(CopyRule.READMIT, purges)
-    assert router.uses(Doc("a")) and not router.uses(Doc("b")) and router.uses(Doc("c"))
+    assert (
+        router.can_use(FakeObject("a"))
+        and not router.can_use(FakeObject("b"))
+        and router.can_use(FakeObject("c"))
+    )
     assert set(router.local_cache.held) == {(0, "a"), (0, "c")}
 
 
-def test_a_copy_that_was_under_way_while_purges_were_missed_stays_aside(router):
+def test_copy_made_while_purges_were_missed_but_stored_later_stays_set_aside(router):
     router.copy_rule(CopyRule.PROVEN, None)
     router.copy_rule(CopyRule.ASIDE, None)
     router.copy_rule(CopyRule.READMIT, PurgeSet([]))
-    router.keep(Doc("late"), 9.0)
-    assert not router.uses(Doc("late")) and router.uses(Doc("a"))
+    router.add_copy(FakeObject("late"), 9.0)
+    assert not router.can_use(FakeObject("late")) and router.can_use(FakeObject("a"))
 
 
-def test_a_purged_group_stays_out(router):
+def test_copies_of_a_purged_group_are_dropped(router):
     router.copy_rule(CopyRule.PROVEN, None)
     router.copy_rule(CopyRule.ASIDE, None)
     router.copy_rule(CopyRule.READMIT, PurgeSet([fingerprint(Entry(Kind.PURGE, "", 1, 0))]))
     assert not router.local_cache.held
 
 
-def test_what_cannot_be_known_is_dropped(router):
+def test_drop_removes_only_the_copies_set_aside(router):
     router.copy_rule(CopyRule.PROVEN, None)
     router.copy_rule(CopyRule.ASIDE, None)
-    router.keep(Doc("c"), 11.0)
+    router.add_copy(FakeObject("c"), 11.0)
     router.copy_rule(CopyRule.DROP, None)
     assert set(router.local_cache.held) == {(0, "c")} and router.aside_until < math.inf
 
 
-def test_a_router_that_has_just_begun_to_read_drops_what_it_kept_before(router):
+def test_copies_made_before_a_reset_are_not_used(router):
     router.copy_rule(CopyRule.RESET, None)
     router.copy_rule(CopyRule.PROVEN, None)
-    router.keep(Doc("a"), 5.0)
-    router.keep(Doc("c"), 11.0)
-    assert not router.uses(Doc("a")) and router.uses(Doc("c"))
+    router.add_copy(FakeObject("a"), 5.0)
+    router.add_copy(FakeObject("c"), 11.0)
+    assert not router.can_use(FakeObject("a")) and router.can_use(FakeObject("c"))
--- a/tests/purgelog/test_model.py
+++ b/tests/purgelog/test_model.py
@@ -1,6 +1,8 @@
-"""All short orders of delivery, loss, doubling, reordering, timers, crashes, freezes, cuts and lease ends among three
-control machines and two sites of two routers, right after a purge. Afterwards links are good and time passes. What must
-hold is checked after every event; each property has a fault planted that it finds."""
+"""Exhaustive test of short sequences of faults right after a purge, among three control machines and two sites of two
+routers: delivery, loss, duplication, reordering, timers, crashes, suspensions, partitions and expired leases.
+
+Afterwards the links heal and time passes. The safety properties are checked after every event. For each property a
+fault is injected that it must detect."""
 
 import copy
 import itertools
@@ -12,7 +14,7 @@
 from brookhinge.purgelog.replication import Replication
 from brookhinge.purgelog.subscriber import Subscriber
 from brookhinge.purgelog.subscription import CopyRule
-from tests.purgelog.checked import Broken, CheckedNet
+from tests.purgelog.checked import CheckedNet, PropertyViolation
 
 DEPTH = 3
 PROOF_S = 1.0
@@ -20,11 +22,11 @@
 STEPS = ("oldest", "newest", "drop", "double", "timer", "crash", "restart", "freeze", "cut", "lease", "purge")
 
 
-class World(CheckedNet):
-    """A net whose messages wait, in manual mode, until a step says what becomes of them."""
+class ManualNet(CheckedNet):
+    """A net that, in manual mode, holds messages until a step delivers, drops or duplicates them."""
 
     def __init__(self):
-        self.manual, self.wires = False, []
+        self.manual, self.in_transit = False, []
         super().__init__(seed=5, routers=4, machines=3, proof_s=PROOF_S, region=self.site_of)
 
     @staticmethod
@@ -37,7 +39,7 @@
             return super().carry(sender, address, message)
         to = self.hosts[address]
         if not self.cut(sender.name, to.name):
-            self.wires.append((to, to.starts, sender.address, (sender.process, message)))
+            self.in_transit.append((to, to.starts, sender.address, (sender.process, message)))
 
     # steps
 
@@ -46,25 +48,25 @@
         self.watch()
         self.check()
 
-    def take(self, at, keep=False):
-        if self.wires:
-            to, starts, address, datagram = self.wires[at] if keep else self.wires.pop(at)
+    def deliver_at(self, index, keep=False):
+        if self.in_transit:
+            to, starts, address, datagram = self.in_transit[index] if keep else self.in_transit.pop(index)
             if to.up and to.starts == starts:
                 self.handle(to, starts, (address, datagram))
 
     def step_oldest(self):
-        self.take(0)
+        self.deliver_at(0)
 
     def step_newest(self):
-        self.take(-1)
+        self.deliver_at(-1)
 
     def step_drop(self):
-        if self.wires:
-            self.wires.pop(0)
+        if self.in_transit:
+            self.in_transit.pop(0)
 
     def step_double(self):
-        self.take(0, keep=True)
-        self.take(0)
+        self.deliver_at(0, keep=True)
+        self.deliver_at(0)
 
     def step_timer(self, seconds=0.31):
         self.now += seconds
@@ -79,7 +81,7 @@
         self.kill(self.controls[1])
 
     def step_restart(self):
-        """The source comes back with nothing in its memory."""
+        """Restart the source with empty memory."""
         self.kill(self.controls[0])
         self.start(self.controls[0])
 
@@ -88,23 +90,25 @@
             self.freeze(host)
 
     def step_cut(self):
-        """What site a sends is lost."""
+        """Drop everything that site a sends."""
         self.cut = lambda a, b: a in ("n1", "n2", "c2")
 
     def step_purge(self):
         self.submit(2)
 
     def heal(self):
-        """Good links from here on; what is frozen goes on. A machine that was killed stays down, unless the source has
-        lost its memory too: of three, one alone cannot make a majority, and the other comes back."""
+        """Heal the links and resume suspended processes.
+
+        A killed machine stays down unless the source has restarted too: one of three is no majority, so the killed
+        machine is started."""
         self.manual, self.cut = False, lambda a, b: False
         if self.controls[0].starts > 1 and not self.controls[1].up:
             self.start(self.controls[1])
         for host in self.hosts.values():
             if host.frozen:
                 self.thaw(host)
-        wires, self.wires = self.wires, []
-        for to, starts, address, datagram in wires:
+        in_transit, self.in_transit = self.in_transit, []
+        for to, starts, address, datagram in in_transit:
             if to.up and to.starts == starts:
                 self.push(self.now + 0.01, to, (address, datagram))
         for host in self.hosts.values():
@@ -114,153 +118,155 @@
 
 @pytest.fixture(scope="module")
 def settled():
-    world = World()
-    world.run(SETTLED_S)
-    assert all(world.proven(router) for router in world.routers)
-    return world
+    net = ManualNet()
+    net.run(SETTLED_S)
+    assert all(net.proven(router) for router in net.routers)
+    return net
 
 
-def played(settled, history):
-    world = copy.deepcopy(settled)
-    world.manual = True
-    world.submit(0)
+def play(settled, history):
+    net = copy.deepcopy(settled)
+    net.manual = True
+    net.submit(0)
     for action in history:
-        world.step(action)
-    world.heal()
-    world.run(HEALED_S)
-    world.check_end()
-    return world
+        net.step(action)
+    net.heal()
+    net.run(HEALED_S)
+    net.check_end()
+    return net
 
 
 @pytest.mark.parametrize("first", STEPS)
-def test_every_short_order_keeps_the_properties(settled, first):
+def test_properties_hold_for_every_short_sequence(settled, first):
     for rest in itertools.product(STEPS, repeat=DEPTH - 1):
         try:
-            played(settled, (first, *rest))
-        except Broken as broken:
-            raise AssertionError(f"{(first, *rest)}: {broken}") from None
+            play(settled, (first, *rest))
+        except PropertyViolation as violation:
+            raise AssertionError(f"{(first, *rest)}: {violation}") from None
 
 
-def found(settled, histories):
+def is_violated(settled, histories):
     for history in histories:
         try:
-            played(settled, history)
-        except Broken:
+            play(settled, history)
+        except PropertyViolation:
             return True
     return False
 
 
-def test_floors_without_a_reader_are_found(settled, monkeypatch):
-    """Planted: a machine vouches for all it has pushed, acknowledged or not."""
-    whole = Distributor.report
+def test_floors_without_acknowledgement_are_detected(settled, monkeypatch):
+    """Injected fault: a machine reports its heads as floors, whether acknowledged or not."""
+    original = Distributor.report
 
     def report(self):
-        told = whole(self)
+        reported = original(self)
         heads = [number for position in self.heads() for number in position]
-        return type(told)(told.machine, told.boot, told.number, heads, [], told.routers, [], [])
+        return type(reported)(
+            reported.machine, reported.boot, reported.number, heads, [], reported.routers, [], []
+        )
 
     monkeypatch.setattr(Distributor, "report", report)
     monkeypatch.setattr(Distributor, "push", lambda *_: None)
-    assert found(settled, [("oldest", "oldest", "timer")])
+    assert is_violated(settled, [("oldest", "oldest", "timer")])
 
 
-def test_a_quorum_of_one_is_found(settled, monkeypatch):
-    """The source is cut off from all others. Planted: a machine by itself is a majority."""
+def test_quorum_of_one_is_detected(settled, monkeypatch):
+    """Injected fault: a single machine is a majority. The source is cut off from all others."""
 
-    def scene(world):
-        world.cut = lambda a, b: (a == "c1") != (b == "c1")
-        world.run(0.3)
-        world.submit(0)
-        world.run(5.0)
+    def run_scenario(net):
+        net.cut = lambda a, b: (a == "c1") != (b == "c1")
+        net.run(0.3)
+        net.submit(0)
+        net.run(5.0)
 
-    scene(copy.deepcopy(settled))
+    run_scenario(copy.deepcopy(settled))
 
-    def begin(self, *rest):
+    def init_with_majority_of_one(self, *rest):
         original(self, *rest)
         self.majority = 1
 
     original = Replication.__init__
-    monkeypatch.setattr(Replication, "__init__", begin)
-    world = World()
-    world.run(SETTLED_S)
-    with pytest.raises(Broken):
-        scene(world)
+    monkeypatch.setattr(Replication, "__init__", init_with_majority_of_one)
+    net = ManualNet()
+    net.run(SETTLED_S)
+    with pytest.raises(PropertyViolation):
+        run_scenario(net)
 
 
-def test_a_proof_dated_at_its_arrival_is_found(settled, monkeypatch):
-    """Planted: a push proves for the moment at which it comes, however long it was under way."""
-    whole = Subscriber.proof_of
+def test_proof_dated_at_its_arrival_is_detected(settled, monkeypatch):
+    """Injected fault: a push proves completeness up to its arrival, however long it was in transit."""
+    original = Subscriber.proof_of
 
     def proof_of(self, now, push):
-        proof = whole(self, now, push)
+        proof = original(self, now, push)
         return proof and proof._replace(moment=now)
 
     monkeypatch.setattr(Subscriber, "proof_of", proof_of)
-    world = copy.deepcopy(settled)
-    world.delay = lambda a, b: 0.9 if b.startswith("n") else 0.02
-    world.run(3.0)
-    world.submit(0)
-    with pytest.raises(Broken):
-        world.run(2.0)
-
-
-def test_an_end_is_missed_without_retries(settled, monkeypatch):
-    """Planted: what was not acknowledged is never sent again."""
-    monkeypatch.setattr(Reader, "retry_late", lambda self, now: None)
-    monkeypatch.setattr(Reader, "send_again", lambda self, source: None)
+    net = copy.deepcopy(settled)
+    net.delay = lambda a, b: 0.9 if b.startswith("n") else 0.02
+    net.run(3.0)
+    net.submit(0)
+    with pytest.raises(PropertyViolation):
+        net.run(2.0)
+
+
+def test_missing_retries_are_detected(settled, monkeypatch):
+    """Injected fault: unacknowledged entries are never sent again."""
+    monkeypatch.setattr(Reader, "resend_overdue", lambda self, now: None)
+    monkeypatch.setattr(Reader, "rewind", lambda self, source: None)
     histories = itertools.product(("oldest", "drop", "timer"), repeat=4)
-    assert found(settled, histories)
-
-
-def test_memory_lost_by_a_majority_is_noticed(settled, monkeypatch):
-    """All machines restart at once while a router is out of reach: what was accepted meanwhile is gone with them, and the
-    router drops what it held before. Planted: it goes on as if nothing had happened."""
-
-    def scene():
-        world = copy.deepcopy(settled)
-        world.cut = lambda a, b: "n1" in (a, b)
-        world.run(0.2)
-        world.submit(0)
-        world.run(0.3)
-        assert world.told[0] in world.accepted_at
-        for host in world.controls:
-            world.kill(host)
-        for host in world.controls:
-            world.start(host)
-        world.run(2.0)
-        world.cut = lambda a, b: False
-        world.run(3.0)
-        return world
-
-    world = scene()
-    assert [rule for _, rule, _ in world.routers[0].rules][-2:] == [CopyRule.RESET, CopyRule.PROVEN]
-    monkeypatch.setattr(Subscriber, "continuous", lambda self, boots: True)
-    monkeypatch.setattr(Subscriber, "restart", quiet_restart)
-    with pytest.raises(Broken):
-        scene()
-
-
-def quiet_restart(self, now, proof, writer):
+    assert is_violated(settled, histories)
+
+
+def test_restart_of_a_majority_resets_copies(settled, monkeypatch):
+    """All machines restart while a router is out of reach, which loses entries accepted meanwhile. The router must drop
+    its copies. Injected fault: it continues as if nothing had happened."""
+
+    def run_scenario():
+        net = copy.deepcopy(settled)
+        net.cut = lambda a, b: "n1" in (a, b)
+        net.run(0.2)
+        net.submit(0)
+        net.run(0.3)
+        assert net.submitted[0] in net.accepted_at
+        for host in net.controls:
+            net.kill(host)
+        for host in net.controls:
+            net.start(host)
+        net.run(2.0)
+        net.cut = lambda a, b: False
+        net.run(3.0)
+        return net
+
+    net = run_scenario()
+    assert [rule for _, rule, _ in net.routers[0].rules][-2:] == [CopyRule.RESET, CopyRule.PROVEN]
+    monkeypatch.setattr(Subscriber, "has_common_majority", lambda self, boots: True)
+    monkeypatch.setattr(Subscriber, "restart", restart_without_rules)
+    with pytest.raises(PropertyViolation):
+        run_scenario()
+
+
+def restart_without_rules(self, now, proof, writer):
     self.positions = proof[1]
 
 
-def test_an_older_process_of_a_source_can_have_nothing_accepted(settled):
-    """Frozen, replaced under its name, thawed: two processes of one source, and the older one is refused."""
-    world = copy.deepcopy(settled)
-    old, source = copy.copy(world.controls[0]), world.controls[0]
-    world.kill(source)
-    world.start(source)
-    world.run(2.0)
+def test_entries_of_a_replaced_process_are_not_accepted(settled):
+    """A suspended process is replaced by another of the same name and resumes: its entries are not accepted."""
+    net = copy.deepcopy(settled)
+    old, source = copy.copy(net.controls[0]), net.controls[0]
+    net.kill(source)
+    net.start(source)
+    net.run(2.0)
     assert source.core.replication.epoch == 2
     old_epoch = old.core.replication.epoch
-    position = old.core.replication.submit(world.told and None or purge_entry())
+    position = old.core.replication.submit(net.submitted and None or purge_entry())
     assert old_epoch == 1 and position is not None
     for _ in range(20):
-        world.run(0.1)
+        net.run(0.1)
         old.up, old.frozen = True, False
-        old.core.tick(world.now, old)
+        old.core.tick(net.now, old)
     assert old.core.replication.accepted() < position
-    assert all(host.core.replication.logs[0].head.epoch != 1 or host is source for host in world.controls[1:])
+    assert all(host.core.replication.logs[0].head.epoch != 1 or host is source for host in net.controls[1:])
 
 
 def purge_entry():
