--- a/brookhinge/emulator/capacity/virtual_log.py
+++ b/brookhinge/emulator/capacity/virtual_log.py
@@ -60,11 +60,11 @@
         """When something is due."""
         return self.core.next_at()
 
-    def entry(self, entry):
+    def apply_entry(self, entry):
         """An entry is applied."""
         self.router.in_force(int(entry.text, 16))
 
-    def copies(self, rule, _purges):
+    def apply_copy_rule(self, rule, _purges):
         """A rule for the copies that a router holds itself."""
         self.router.rules.append((self.network.now, rule.name))
 
--- a/brookhinge/emulator/simulated_purge_log.py
+++ b/brookhinge/emulator/simulated_purge_log.py
@@ -73,13 +73,13 @@
     def send(self, address, message):
         self.net.carry(self, address, message)
 
-    def entry(self, entry):
+    def apply_entry(self, entry):
         purge = self.net.purges.get(entry)
         if purge is not None:
             purge.applied.setdefault(self.name, self.net.now)
         self.applied.add(entry)
 
-    def copies(self, rule, fingerprints):
+    def apply_copy_rule(self, rule, fingerprints):
         self.rules.append((self.net.now, rule, fingerprints))
 
     def last_rule(self):
--- a/brookhinge/membership/metrics.py
+++ b/brookhinge/membership/metrics.py
@@ -47,9 +47,9 @@
         yield _counter("datagrams", "sent, taken, or why one was dropped", transport.codec.counts)
         yield _counter("changes", "of members, as in the log", transport.changes)
         if transport.purge_log is not None:
-            from brookhinge.purgelog.metrics import router_figures
+            from brookhinge.purgelog.metrics import router_metrics
 
-            yield from router_figures(transport.purge_log)
+            yield from router_metrics(transport.purge_log)
 
 
 def _counter(name: str, documentation: str, counts: dict[str, int]) -> CounterMetricFamily:
--- a/brookhinge/net/fleet_wiring.py
+++ b/brookhinge/net/fleet_wiring.py
@@ -135,7 +135,7 @@
         from brookhinge.purgelog.client import LogClient
 
         self._purge_log = self._transport.purge_log = LogClient(self._fleet, controls, post, self._log)
-        self.before_round.append(self._purge_log.before)
+        self.before_round.append(self._purge_log.expire_proof)
 
     def notify_peers(self, effect: NotifyPeers) -> None:
         """Send peers a notice that tightens a rule.
--- a/brookhinge/purgelog/client.py
+++ b/brookhinge/purgelog/client.py
@@ -102,11 +102,11 @@
 
     # SubscriberOutput, except send
 
-    def entry(self, entry: Entry) -> None:
+    def apply_entry(self, entry: Entry) -> None:
         """Post a new entry to the engine."""
         self.event(PurgeLogEntryRead(entry.kind, entry.text, entry.number, entry.stamp_ms))
 
-    def copies(self, rule: CopyRule, purges: PurgeSet | None) -> None:
+    def apply_copy_rule(self, rule: CopyRule, purges: PurgeSet | None) -> None:
         """Post a rule for the router's own copies to the engine and log it."""
         self.event(CopyRuleChanged(rule, purges))
         first = self.subscriber.proven_at == -math.inf
@@ -115,7 +115,7 @@
 
     # called before each round
 
-    def before(self) -> None:
+    def expire_proof(self) -> None:
         """Expire an outdated proof before the round that would use it."""
         if self.subscriber is not None and not self.closed():
             self.subscriber.expire_proof(steady(), self)
--- a/brookhinge/purgelog/metrics.py
+++ b/brookhinge/purgelog/metrics.py
@@ -39,7 +39,7 @@
     )
 
 
-def router_figures(client: LogClient) -> Iterator[Metric]:
+def router_metrics(client: LogClient) -> Iterator[Metric]:
     """Yield the metrics of a router's client; none before it starts."""
     subscriber = client.subscriber
     if subscriber is None:
--- a/brookhinge/purgelog/subscriber.py
+++ b/brookhinge/purgelog/subscriber.py
@@ -249,7 +249,7 @@
         for entry in entries:
             if entry.kind != Kind.OPENED:
                 self.entries += 1
-                writer.entry(entry)
+                writer.apply_entry(entry)
         if not follows:
             self.refused[RefusalReason.GAP] += 1
         elif entries:
@@ -273,7 +273,7 @@
         self.proven_at = moment
         if self.stale and self.proof_age(now) < self.proof_s:
             self.stale = False
-            writer.copies(CopyRule.PROVEN, None)
+            writer.apply_copy_rule(CopyRule.PROVEN, None)
 
     def has_common_majority(self, boots: list[int]) -> bool:
         """Whether a majority of the machines has run without a restart since the last proof and answered now.
@@ -286,7 +286,7 @@
     def reset_copies(self, writer: SubscriberOutput) -> None:
         """Drop all copies made so far, since entries may be lost with the machines that held them."""
         self.backfill = None
-        writer.copies(CopyRule.RESET, None)
+        writer.apply_copy_rule(CopyRule.RESET, None)
 
     def restart(self, now: float, proof: Proof, writer: SubscriberOutput) -> None:
         """Continue from the heads of a proof.
@@ -296,7 +296,7 @@
         heads = proof.heads
         if self.positions is None:  # copies kept since the start may have been purged earlier
             self.positions = heads
-            writer.copies(CopyRule.RESET, None)
+            writer.apply_copy_rule(CopyRule.RESET, None)
             return
         if covers(self.positions, heads):
             return
@@ -307,7 +307,7 @@
             if head > held
         ]
         self.positions = [max(pair) for pair in zip(self.positions, heads, strict=False)]
-        writer.copies(CopyRule.ASIDE, None)
+        writer.apply_copy_rule(CopyRule.ASIDE, None)
         if self.backfill is None:
             self.backfill = Backfill(self.order, self.choice, now)
         self.backfill.extend(missed)
@@ -315,9 +315,9 @@
     def end_backfill(self, now: float, writer: SubscriberOutput) -> None:
         """End the backfill if it is complete or has failed."""
         if self.backfill.lost:
-            writer.copies(CopyRule.DROP, None)
+            writer.apply_copy_rule(CopyRule.DROP, None)
         elif self.backfill.done():
-            writer.copies(CopyRule.READMIT, self.backfill.fingerprints())
+            writer.apply_copy_rule(CopyRule.READMIT, self.backfill.fingerprints())
         else:
             return
         self.backfill = None
@@ -328,7 +328,7 @@
         """End the use of own copies once the proof is too old."""
         if not self.stale and self.proof_age(now) >= self.proof_s:
             self.stale = True
-            writer.copies(CopyRule.STALE, None)
+            writer.apply_copy_rule(CopyRule.STALE, None)
 
     def tick(self, now: float, writer: SubscriberOutput) -> None:
         """Run the actions that are due."""
--- a/brookhinge/purgelog/subscription.py
+++ b/brookhinge/purgelog/subscription.py
@@ -53,10 +53,10 @@
 class SubscriberOutput(MessageWriter, Protocol):
     """Receives the messages, entries and rules that the subscriber puts out."""
 
-    def entry(self, entry: Entry) -> None:
+    def apply_entry(self, entry: Entry) -> None:
         """Apply a new entry immediately."""
 
-    def copies(self, rule: CopyRule, purges: PurgeSet | None) -> None:
+    def apply_copy_rule(self, rule: CopyRule, purges: PurgeSet | None) -> None:
         """Apply a rule for the router's own copies; `purges` is None except with READMIT."""
 
 
