--- a/brookhinge/purgelog/copies.py
+++ b/brookhinge/purgelog/copies.py
@@ -52,14 +52,14 @@
                 self._drop_aside(lambda _: True)
             case CopyRule.READMIT:
                 self._drop_aside(lambda state: missed_purges.covers(state.key, state.group))
-                self.readmitted = {name: copy.made_at for name, copy in self.local_cache.held.items()}
+                self.readmitted = {name: copy.made_at for name, copy in self.local_cache.copies.items()}
             case CopyRule.DROP:
                 self._drop_aside(lambda _: True)
 
     def respond_from_copy(self, request: RequestState) -> bool:
         """Respond from an own copy, if it may be used and the router accepts it."""
         name = request.class_index, request.object.code
-        copy = self.local_cache.held.get(name)
+        copy = self.local_cache.copies.get(name)
         if copy is None or not self.proven or not self._is_admitted(name, copy.made_at):
             return False
         return super().respond_from_copy(request)
@@ -73,7 +73,7 @@
         """Drop the copies set aside for which `is_purged` returns true."""
         dropped = [
             name
-            for name, copy in self.local_cache.held.items()
+            for name, copy in self.local_cache.copies.items()
             if copy.made_at <= self.aside_until and is_purged(copy.object)
         ]
         self.local_cache.drop(dropped, self.sink)
--- a/tests/purgelog/test_copies.py
+++ b/tests/purgelog/test_copies.py
@@ -28,11 +28,11 @@
     """Local cache with the attributes that the mixin uses."""
 
     def __init__(self):
-        self.held = {}
+        self.copies = {}
 
     def drop(self, names, sink):
         for name in names:
-            del self.held[name]
+            del self.copies[name]
 
 
 class BaseRouter:
@@ -42,12 +42,12 @@
         self.local_cache, self.sink, self.now = FakeLocalCache(), None, 0.0
 
     def respond_from_copy(self, request):
-        return (request.class_index, request.object.code) in self.local_cache.held
+        return (request.class_index, request.object.code) in self.local_cache.copies
 
 
 class RouterWithProofs(ProvenCopiesMixin, BaseRouter):
     def add_copy(self, object_, made_at):
-        self.local_cache.held[0, object_.code] = LocalCopy(object_, made_at, 1)
+        self.local_cache.copies[0, object_.code] = LocalCopy(object_, made_at, 1)
 
     def can_use(self, object_):
         return self.respond_from_copy(FakeRequest(object_))
@@ -88,7 +88,7 @@
         and not router.can_use(FakeObject("b"))
         and router.can_use(FakeObject("c"))
     )
-    assert set(router.local_cache.held) == {(0, "a"), (0, "c")}
+    assert set(router.local_cache.copies) == {(0, "a"), (0, "c")}
 
 
 def test_copy_made_while_purges_were_missed_but_stored_later_stays_set_aside(router):
@@ -103,7 +103,7 @@
     router.copy_rule(CopyRule.PROVEN, None)
     router.copy_rule(CopyRule.ASIDE, None)
     router.copy_rule(CopyRule.READMIT, PurgeSet([fingerprint(Entry(Kind.PURGE, "", 1, 0))]))
-    assert not router.local_cache.held
+    assert not router.local_cache.copies
 
 
 def test_drop_removes_only_the_copies_set_aside(router):
@@ -111,7 +111,7 @@
     router.copy_rule(CopyRule.ASIDE, None)
     router.add_copy(FakeObject("c"), 11.0)
     router.copy_rule(CopyRule.DROP, None)
-    assert set(router.local_cache.held) == {(0, "c")} and router.aside_until < math.inf
+    assert set(router.local_cache.copies) == {(0, "c")} and router.aside_until < math.inf
 
 
 def test_copies_made_before_a_reset_are_not_used(router):
