--- a/brookhinge/purgelog/client.py
+++ b/brookhinge/purgelog/client.py
@@ -67,7 +67,7 @@
             self.block.log_advertise,
         )
         self.log("purge log", change="listening", address=f"{address[0]}:{address[1]}")
-        self.turn()
+        self.run_due_actions()
         return address
 
     def receive(self, now: float, sender: int, address: Address, message: Message) -> None:
--- a/brookhinge/purgelog/endpoint.py
+++ b/brookhinge/purgelog/endpoint.py
@@ -38,12 +38,12 @@
         if received is not None and not self.closed():
             sender, message = received
             self.receive(steady(), sender, address, message)
-            self.turn()
+            self.run_due_actions()
 
     def error_received(self, fault: Exception) -> None:
         """Ignore the error: an unreachable peer shows by its missing answers."""
 
-    def turn(self) -> None:
+    def run_due_actions(self) -> None:
         """Run the due actions and set a timer for the next ones."""
         if self.closed():
             return
@@ -53,7 +53,7 @@
         if self.timer is not None:
             self.timer.cancel()
         wait = max(MIN_WAIT_S, self.next_at(now) - now)
-        self.timer = asyncio.get_running_loop().call_later(wait, self.turn)
+        self.timer = asyncio.get_running_loop().call_later(wait, self.run_due_actions)
 
     def log_dropped(self, now: float) -> None:
         """Log the counts of dropped datagrams when they have changed, at intervals."""
--- a/brookhinge/purgelog/reader.py
+++ b/brookhinge/purgelog/reader.py
@@ -88,9 +88,9 @@
         again = self.resent[source]
         self.resent[source] = False
         if waited is not None and not again and self.sent_at == waited:
-            self.measure(now)
+            self.sample_rtt(now)
 
-    def measure(self, now: float) -> None:
+    def sample_rtt(self, now: float) -> None:
         """Add the round trip of the last push to the estimate.
 
         The caller leaves out entries that were sent twice (Karn's algorithm).
--- a/brookhinge/purgelog/server.py
+++ b/brookhinge/purgelog/server.py
@@ -56,7 +56,7 @@
 
             self.metrics_server, _ = publish(ControlMetricsCollector(self), self.block.metrics)
         self.log("purge log", change="listening", address=f"{address[0]}:{address[1]}")
-        self.turn()
+        self.run_due_actions()
         return address
 
     def take_command(self, command: Event) -> None:
@@ -70,7 +70,7 @@
         stamp_ms = round(1000 * (command.purged_at + self.started_at))
         entry = Entry(Kind.PURGE, key, -1 if key else command.purge_group, stamp_ms)
         self.intake.receive(steady(), entry)
-        self.turn()
+        self.run_due_actions()
 
     def receive(self, now: float, sender: int, address: Address, message: Message) -> None:
         """Pass a message to the node."""
