--- a/brookhinge/membership/metrics.py
+++ b/brookhinge/membership/metrics.py
@@ -54,9 +54,9 @@
         )
         yield _counter("changes", "Changes of members, as in the log event fleet", transport.changes)
         if transport.purge_log is not None:
-            from brookhinge.purgelog.metrics import router_figures
+            from brookhinge.purgelog.metrics import router_metrics
 
-            yield from router_figures(transport.purge_log)
+            yield from router_metrics(transport.purge_log)
 
 
 def _counter(name: str, documentation: str, counts: dict[str, int]) -> CounterMetricFamily:
