--- a/brookhinge/rollout/agent_protocol.py
+++ b/brookhinge/rollout/agent_protocol.py
@@ -5,8 +5,8 @@
     JSON     = {"kind": ..., "number": ..., fields of messages.py}
 
 Each side draws a random session id when a connection opens and sends it in its first line (`hello`). Both
-session ids are part of every later checksum, and lines are numbered, so a replayed, duplicated or reordered
-line is an error. The lines are authenticated, not encrypted.
+session ids are the salt of every later checksum, and lines are numbered, so a replayed, duplicated or
+reordered line is an error. The lines are authenticated, not encrypted.
 """
 
 import hashlib
@@ -54,8 +54,8 @@
         self.peer_session: str | None = None
         self._key = key
         self._session = session
-        self._sent = 0
-        self._received = 0
+        self._sent_count = 0
+        self._received_count = 0
         self._buffer = bytearray()
 
     def hello(self) -> bytes:
@@ -70,10 +70,10 @@
         """
         if self.peer_session is None:
             raise ProtocolError("cannot send a message before the peer's hello has arrived")
-        self._sent += 1
+        self._sent_count += 1
         fields = msgspec.to_builtins(message)
         kind = fields.pop("kind")
-        values = {"kind": kind, "number": self._sent, **fields}
+        values = {"kind": kind, "number": self._sent_count, **fields}
         return self._encode_line(values, sender=self._session, reader=self.peer_session)
 
     def receive(self, data: bytes) -> list[Message]:
@@ -104,9 +104,9 @@
 
     def _read_message(self, line: bytes) -> Message:
         values = self._decode_line(line, sender=self.peer_session or "", reader=self._session)
-        if values.pop("number", None) != self._received + 1:
+        if values.pop("number", None) != self._received_count + 1:
             raise ProtocolError("line number out of sequence: a line was lost, repeated or reordered")
-        self._received += 1
+        self._received_count += 1
         try:
             return msgspec.convert(values, Message)
         except msgspec.ValidationError as error:
@@ -117,8 +117,8 @@
         checksum = line[:CHECKSUM_DIGITS]
         text = line[CHECKSUM_DIGITS + 1 :]
         expected = self._checksum(text, sender, reader).encode()
-        separated = line[CHECKSUM_DIGITS : CHECKSUM_DIGITS + 1] == b" "
-        if not separated or not hmac.compare_digest(checksum, expected):
+        has_separator = line[CHECKSUM_DIGITS : CHECKSUM_DIGITS + 1] == b" "
+        if not has_separator or not hmac.compare_digest(checksum, expected):
             raise ProtocolError(
                 "checksum mismatch: the peer has another key, or the line is of another connection"
             )
--- a/brookhinge/rollout/coordinator_service.py
+++ b/brookhinge/rollout/coordinator_service.py
@@ -102,8 +102,8 @@
             epoch = self._next_epoch()
             journal.append({"what": RecordKind.EPOCH, "epoch": epoch})
             self._coordinator = Coordinator(self._plan, journal.records, epoch, time.monotonic())
-            sizes = [len(stage) for stage in self._coordinator.stages]
-            self._log("rolling", plan=self._plan.name, epoch=epoch, stages=sizes)
+            stage_sizes = [len(stage) for stage in self._coordinator.stages]
+            self._log("rolling", plan=self._plan.name, epoch=epoch, stages=stage_sizes)
             loop = asyncio.get_running_loop()
             tasks = [loop.create_task(self._stay_connected(agent)) for agent in self._plan.agents.values()]
             try:
--- a/brookhinge/rollout/process_supervisor.py
+++ b/brookhinge/rollout/process_supervisor.py
@@ -185,8 +185,8 @@
 
     def close(self) -> None:
         """Close the agent's copies of the listening sockets; the processes keep theirs."""
-        for listening in self._sockets.values():
-            listening.close()
+        for listener in self._sockets.values():
+            listener.close()
 
     def _report_start_failure(self, router: str, number: int, why: str) -> None:
         self._log("cannot start", router=router, why=why)
@@ -219,7 +219,7 @@
         self, router: str, version: Version, number: int, log: Path
     ) -> asyncio.subprocess.Process:
         """Start `python -m brookhinge` with its own copy of the settings file, which a reload can replace."""
-        listening = self._listening_socket(router)
+        listener = self._listening_socket(router)
         settings = self._settings_file(router, number)
         shutil.copyfile(version.config.format(router=router), settings)
         with log.open("ab") as output:
@@ -228,21 +228,21 @@
                 "-m",
                 "brookhinge",
                 cwd=version.tree,
-                env=self._environment(router, version, settings, listening),
+                env=self._environment(router, version, settings, listener),
                 stdout=output,
                 stderr=output,
                 stdin=asyncio.subprocess.DEVNULL,
-                pass_fds=(listening.fileno(),),
+                pass_fds=(listener.fileno(),),
                 start_new_session=True,
             )
 
     def _environment(
-        self, router: str, version: Version, settings: Path, listening: socket.socket
+        self, router: str, version: Version, settings: Path, listener: socket.socket
     ) -> dict[str, str]:
         environment = {
             **os.environ,
             "BALANCER_CONFIG": str(settings),
-            "BROOKHINGE_LISTENER": str(listening.fileno()),
+            "BROOKHINGE_LISTENER": str(listener.fileno()),
             "BROOKHINGE_SCORES_S": str(SAMPLE_INTERVAL_S),
         }
         environment.pop("BROOKHINGE_FLEET", None)
@@ -296,11 +296,11 @@
 
     def _listening_socket(self, router: str) -> socket.socket:
         if router not in self._sockets:
-            listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-            listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-            listening.bind(self._settings.routers[router])
-            listening.listen(LISTEN_BACKLOG)
-            listening.setblocking(False)
-            self._sockets[router] = listening
+            listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+            listener.bind(self._settings.routers[router])
+            listener.listen(LISTEN_BACKLOG)
+            listener.setblocking(False)
+            self._sockets[router] = listener
         return self._sockets[router]
--- a/tests/rollout/test_model.py
+++ b/tests/rollout/test_model.py
@@ -173,13 +173,13 @@
 
     def deliver_to_coordinator(self, message):
         if self.coordinator is not None:
-            self.inbox.append(message)
+            self.pending_events.append(message)
 
     def start_coordinator(self):
         self.epoch += 1
         self.records.append({"what": "epoch", "epoch": self.epoch})
         self.coordinator = Coordinator(self.plan, list(self.records), self.epoch, self.now)
-        self.inbox = []
+        self.pending_events = []
 
     # time
 
@@ -201,7 +201,7 @@
                 totals["worth"][0] += 50
                 totals["worth"][1] += sum(self.rng.random() < self.quality(version) for _ in range(50))
         if self.coordinator is not None:
-            events, self.inbox = self.inbox, []
+            events, self.pending_events = self.pending_events, []
             self.coordinator.run_round(self.now, events, self)
         self.schedule(0.25, self.tick)
 
@@ -253,7 +253,7 @@
             world.start_agent(agent)
     if world.coordinator is None or world.coordinator.outcome == "superseded":
         world.start_coordinator()
-    world.inbox.append(OperatorRequest.RESUME)
+    world.pending_events.append(OperatorRequest.RESUME)
     assert world.run(seconds, lambda: world.coordinator.outcome is not None), world.coordinator.status()
     version = "v2" if world.coordinator.outcome == "done" else "v1"
     assert world.coordinator.outcome in ("done", "back") and world.run(40.0, lambda: world.all_run(version))
@@ -298,7 +298,7 @@
         elif draw < 0.75:
             world.unreachable ^= {agent}
         elif draw < 0.79 and world.coordinator is not None:
-            world.inbox.append(OperatorRequest(rng.choice(("pause", "resume", "resume"))))
+            world.pending_events.append(OperatorRequest(rng.choice(("pause", "resume", "resume"))))
         elif draw < 0.84 and world.processes:
             world.exit(rng.choice(sorted(world.processes)), -11)
         world.run(rng.choice((0.1, 0.5, 2.0, 5.0)))
@@ -361,7 +361,7 @@
     router = next(record["router"] for record in world.records if record["what"] == "change")
     world.run(3.0)
     epoch, serial = world.coordinator.epoch, world.coordinator.serial
-    world.inbox.append(OperatorRequest.ROLL_BACK)
+    world.pending_events.append(OperatorRequest.ROLL_BACK)
     assert world.run(60.0, lambda: world.coordinator.outcome == "back" and world.all_run("v1"))
     world.deliver_command(router, "v2", epoch, False, serial)
     world.deliver_command(router, "v2", epoch - 1, False, serial + 999)
@@ -412,10 +412,10 @@
     assert stages == stages_of(plan) and stages != stages_of(plan._replace(seed=4))
 
 
-def test_aborted_rollout_changes_nothing_more_even_after_a_restart():
+def test_aborted_rollout_records_no_more_changes_even_after_a_restart():
     world = World(3)
     assert world.run(200.0, lambda: sum(record["what"] == "change" for record in world.records) == 2)
-    world.inbox.append(OperatorRequest.ABORT)  # while a router is being changed
+    world.pending_events.append(OperatorRequest.ABORT)  # while the old process of a router is draining
     assert world.run(5.0, lambda: world.coordinator.outcome == "left")
     world.run(5.0)
     record_count = len(world.records)
--- a/tests/rollout/test_rig_worse.py
+++ b/tests/rollout/test_rig_worse.py
@@ -1,6 +1,6 @@
 """Runs rollouts with real processes: worse versions are rolled back in their first stage.
 
-Trouble that affects both versions alike does not stop a rollout.
+A degradation that affects both versions alike does not stop a rollout.
 """
 
 import asyncio
@@ -45,7 +45,7 @@
     run_script(script, tmp_path, spoil=lambda text: text.replace('"seed"', '"sead"'), untold="back")
 
 
-def test_trouble_common_to_both_versions_does_not_stop_a_rollout(tmp_path):
+def test_degradation_of_both_versions_does_not_stop_a_rollout(tmp_path):
     """A cache server fails half of its responses for a while and traffic doubles, for old and new routers."""
 
     async def script(cluster, load):
