--- a/brookhinge/net/service.py
+++ b/brookhinge/net/service.py
@@ -372,7 +372,7 @@
         """Switch to the command channel of a new configuration; all other settings apply only at startup."""
         host, port = site.command_channel
         self.log("configuration", channel=f"{host}:{port}")
-        self.command_channel.move(site.command_channel)
+        self.command_channel.change_address(site.command_channel)
 
     def stop(self) -> None:
         """Shut down gracefully: drain, answer open requests, then return from `run`."""
