--- a/tests/rollout/test_rig_worse.py
+++ b/tests/rollout/test_rig_worse.py
@@ -10,7 +10,7 @@
 from brookhinge.emulator import rollout_cluster
 from brookhinge.emulator.load_generator import Load
 from brookhinge.limits.lease_terms import START_S
-from tests.limits.test_rig import ROOM, WINDOW_S, WORK_S
+from tests.limits.test_rig import MAX_REQUESTS, WINDOW_S, WORK_S
 from tests.rollout.playback import LONG_TIMEOUT_S, run_script
 
 
@@ -81,7 +81,7 @@
             # checked against the capacity at the start, which is the least that a server has later
             early = [at for at in server.came if at < server.came[0] + 4.0]
             max_in_window = max(sum(at - WINDOW_S < other <= at for other in early) for at in early)
-            assert max_in_window <= ROOM and len(early) > 20, (
+            assert max_in_window <= MAX_REQUESTS and len(early) > 20, (
                 f"{name} got {max_in_window} of {len(early)} requests within {WINDOW_S} s"
             )
         coordinator.terminate()
