--- a/benchmarks/kept.py
+++ b/benchmarks/kept.py
@@ -1,4 +1,4 @@
-"""What benchmarks share: their options, and keeping figures and chart."""
+"""Options and storage of results that benchmarks share."""
 
 import argparse
 import json
@@ -6,15 +6,21 @@
 
 
 def given():
-    """The options of a benchmark that has a short form and keeps its figures under a name."""
+    """Parse the options of a benchmark: `--short`, and `--keep` with the name for its results."""
     options = argparse.ArgumentParser()
     options.add_argument("--short", action="store_true")
-    options.add_argument("--keep", help="keep figures and chart under this name")
+    options.add_argument("--keep", help="store figures and chart under this name")
     return options.parse_args()
 
 
 def finish(figures, name, chart):
-    """Keeps figures and chart under a name, if there is one; prints the last line."""
+    """Store figures and chart under a name, if there is one, and print the figures as the last line.
+
+    Args:
+        figures: Figures of the benchmark, which can be converted to JSON.
+        name: Path without suffix, or None to store nothing.
+        chart: Called with the figures and the path of the chart to write.
+    """
     if name:
         path = Path(name)
         path.parent.mkdir(parents=True, exist_ok=True)
--- a/brookhinge/emulator/capacity/fit.py
+++ b/brookhinge/emulator/capacity/fit.py
@@ -1,5 +1,8 @@
-"""Which curve a cost follows as a fleet grows: constant, log N, N or N log N. Least squares for each; the one that AICc
-(Hurvich and Tsai 1989) holds to be likeliest is named, with its weight (Burnham and Anderson 2002) beside the others."""
+"""Finds the curve that a cost follows as a fleet grows: constant, log N, N or N log N.
+
+Each curve is fitted by least squares. AICc (Hurvich and Tsai 1989) selects the most likely one, which is
+reported with its Akaike weight among the four (Burnham and Anderson 2002).
+"""
 
 import math
 from typing import NamedTuple
@@ -10,25 +13,33 @@
     "N": float,
     "N log N": lambda n: n * math.log(n),
 }
-LEAST_ERROR = 0.005  # part of the mean: figures that differ by less count as equal
+MIN_RELATIVE_ERROR = 0.005  # of the mean: residuals below this count as an exact fit
 
 
 class Fit(NamedTuple):
-    """A curve fitted to (size, cost) points: cost = base + slope * f(N)."""
+    """A curve fitted to (size, cost) points: cost = base + slope * f(N).
+
+    Attributes:
+        curve: Name of the curve in CURVES.
+        base: Constant part of the cost.
+        slope: Factor of f(N).
+        slope_error: Standard error of the slope.
+        weight: Akaike weight of the curve among those fitted, 0 to 1.
+    """
 
     curve: str
     base: float
     slope: float
-    slope_error: float  # standard error of the slope
-    weight: float  # how likely the curve is among those tried, 0 to 1
+    slope_error: float
+    weight: float
 
     def at(self, size):
-        """The cost at a size."""
+        """Return the predicted cost at a fleet size."""
         return self.base + self.slope * CURVES[self.curve](size)
 
 
 def fit_curve(name, points):
-    """(base, slope, standard error of the slope, sum of squares) of one curve."""
+    """Return (base, slope, standard error of the slope, sum of squared residuals) of one curve."""
     function = CURVES[name]
     count = len(points)
     xs = [function(n) for n, _ in points]
@@ -37,27 +48,38 @@
     mean_y = sum(ys) / count
     if name == "constant":
         return mean_y, 0.0, 0.0, sum((y - mean_y) ** 2 for y in ys)
-    across = sum((x - mean_x) ** 2 for x in xs)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys)) / across
+    variation = sum((x - mean_x) ** 2 for x in xs)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys)) / variation
     base = mean_y - slope * mean_x
     squares = sum((y - base - slope * x) ** 2 for x, y in zip(xs, ys))
-    error = math.sqrt(squares / max(1, count - 2) / across)
+    error = math.sqrt(squares / max(1, count - 2) / variation)
     return base, slope, error, squares
 
 
 def criterion(squares, count, parameters, floor):
-    """AICc of a least squares fit; the variance counts as a parameter."""
+    """Return the AICc of a least squares fit; the variance counts as a parameter.
+
+    Args:
+        squares: Sum of squared residuals.
+        count: Number of points.
+        parameters: Fitted parameters without the variance.
+        floor: Smallest variance assumed, so that an exact fit has a finite score.
+    """
     parameters += 1
     information = count * math.log(max(squares / count, floor)) + 2 * parameters
     return information + 2 * parameters * (parameters + 1) / max(1, count - parameters - 1)
 
 
 def fit(points):
-    """The likeliest Fit of (size, cost) points, of which there are several at each of three sizes at least."""
+    """Return the most likely Fit of (size, cost) points at three or more sizes.
+
+    Raises:
+        ValueError: If the points cover fewer than three sizes.
+    """
     if len({size for size, _ in points}) < 3:
-        raise ValueError("expected points of three sizes at least")
+        raise ValueError("expected points at three sizes at least")
     mean = sum(abs(y) for _, y in points) / len(points)
-    floor = max(1e-30, (LEAST_ERROR * mean) ** 2)
+    floor = max(1e-30, (MIN_RELATIVE_ERROR * mean) ** 2)
     fitted = {name: fit_curve(name, points) for name in CURVES}
     scores = {
         name: criterion(squares, len(points), 1 if name == "constant" else 2, floor)
--- a/brookhinge/emulator/capacity/hollow.py
+++ b/brookhinge/emulator/capacity/hollow.py
@@ -1,5 +1,8 @@
-"""A hollow router: the control path of a router as in service (membership, limits, verdicts, notices) on real UDP, without
-its data path. What queries would ask of the cache servers is drawn by seed."""
+"""A hollow router: the production control path on real UDP, without a data path.
+
+The control path is membership, limits, verdicts and notices. The demand that client requests would put on the
+cache servers is random and reproducible by seed.
+"""
 
 import asyncio
 import collections
@@ -18,40 +21,50 @@
 
 FLEET, KEY = "capacity", bytes.fromhex("0123456789abcdef" * 2)
 LEASE_S = 10.0
-GROUP_OF_OBJECTS = -1  # of a purge that names an object
-UNEVEN = 0.8  # sigma of the lognormal spread of a router's queries to one server
-JOIN_TRIES = 50  # to take the port of the process before, each a tenth of a second apart
+GROUP_OF_OBJECTS = -1  # group in the notice of a purge that names a single object
+DEMAND_SIGMA = 0.8  # of the lognormal distribution of a router's demand for one server
+BIND_ATTEMPTS = 50  # to bind the port that the router had before its restart, 0.1 s apart
 
 
 def fleet_settings(**values):
-    """A `fleet` block with these values, and defaults for the others."""
+    """Return a `fleet` block with these values and defaults for the others."""
     defaults = {key: default for key, (_, default) in FLEET_SETTINGS.items() if default is not MUST}
     return Fleet(**{**defaults, **values})
 
 
-class CountedTalk(UdpTransport):
-    """Membership on UDP whose datagrams take the links and are counted."""
+class CountedMembership(UdpTransport):
+    """Membership on UDP whose datagrams pass the emulated links and are counted."""
 
     def __init__(self, links, traffic, held, *args):
-        """held: it says and takes nothing until `begin()`."""
+        """Create the transport.
+
+        Args:
+            links: Links that outgoing datagrams pass.
+            traffic: Counters of sent and received datagrams.
+            held: Whether it sends nothing and ignores received datagrams until `begin()`.
+            args: Arguments of UdpTransport.
+        """
         super().__init__(*args)
         self.links, self.traffic, self.held = links, traffic, held
 
     def begin(self):
-        """Starts to speak."""
+        """Start to send and receive."""
         if self.held:
             self.held = False
             self.run_round()
 
     def datagram_received(self, data, address):
-        """Counts a datagram and takes it."""
+        """Count and process a received datagram."""
         if self.held:
             return
         self.traffic.count_received(data)
         super().datagram_received(data, address)
 
     def run_round(self):
-        """The first one comes before anything was sent: from there on datagrams take the links."""
+        """Run one round, unless held.
+
+        The first round runs before anything was sent, so installing the links here covers every datagram.
+        """
         if self.transport is not None and not isinstance(self.transport, LinkedTransport):
             self.transport = LinkedTransport(self.transport, self.links, self.traffic)
         if not self.held:
@@ -59,35 +72,56 @@
 
 
 class HollowRouter:
-    """One router of a site. `arrivals` holds when each purge came into force: {number: moment}."""
+    """One router of a site.
+
+    Attributes:
+        arrivals: When each purge or drain took effect here, by number.
+        rules: (time, CopyRule name) of each rule that the purge log applied to copies that the router holds.
+        room: Mean part of the cache servers' capacity in use, 0 for no demand.
+        changes: Number of membership changes and log events by name.
+        started_at: When the router last started, or None if it is down.
+    """
 
     def __init__(self, layout, site, number, seed, purge_log=None):
-        """purge_log: makes the client of the purge log for a router, None: purges are told among peers."""
+        """Create the router.
+
+        Args:
+            layout: Layout of the fleet.
+            site: Site of the router.
+            number: Number of the router within its site, from 0.
+            seed: Seed of the run.
+            purge_log: Creates the purge log client of a router, or None if peers distribute purges.
+        """
         self.layout, self.site, self.number, self.seed = layout, site, number, seed
         self.name, self.host = site.name_of(number), site.host_of(number)
         self.traffic = Traffic()
         self.links = Links(layout, site.index, f"{seed} {self.name}")
-        self.chance = random.Random(f"hollow {seed} {self.name}")
-        self.address, self.talk, self.client, self.started_at = None, None, None, None
+        self.rng = random.Random(f"hollow {seed} {self.name}")
+        self.address, self.membership, self.client, self.started_at = None, None, None, None
         self.purge_log = purge_log
         self.arrivals, self.rules, self.room = {}, [], 0.0
         self.changes = collections.Counter()
         self.servers = self.servers_of_zone()
 
     def servers_of_zone(self):
-        """Names of the cache servers of its zone."""
+        """Return the names of the cache servers in the router's zone."""
         zones = [zone.place for zone in self.layout.capacity.zones]
         place = zones.index(self.site.zone)
         return [f"s{k + 1}" for k in range(place, self.layout.capacity.caches, len(zones))]
 
     async def start(self, join, hold=False):
-        """Starts it, or starts it anew at the address that it had; back when its socket is bound. hold: see CountedTalk."""
-        for attempt in range(JOIN_TRIES):
+        """Start the router, or restart it on its previous address, and return once its socket is bound.
+
+        Args:
+            join: Addresses of members to join by.
+            hold: Whether membership stays silent until `begin()`.
+        """
+        for attempt in range(BIND_ATTEMPTS):
             try:
-                await self.start_talk(join, hold)
+                await self.start_membership(join, hold)
                 break
             except OSError:
-                if attempt == JOIN_TRIES - 1:
+                if attempt == BIND_ATTEMPTS - 1:
                     raise
                 await asyncio.sleep(0.1)
         self.arrivals.clear()
@@ -97,8 +131,8 @@
             await self.client.start()
         self.started_at = time.monotonic()
 
-    async def start_talk(self, join, hold):
-        """Membership with the cores that join it in service."""
+    async def start_membership(self, join, hold):
+        """Start membership with the limits and verdicts cores, as in production."""
         settings = fleet_settings(
             name=self.name,
             listen=self.address or (self.host, 0),
@@ -111,7 +145,7 @@
             share_verdicts=True,
         )
         in_zone = sum(site.routers for site in self.layout.sites if site.zone == self.site.zone)
-        talk = CountedTalk(
+        membership = CountedMembership(
             self.links,
             self.traffic,
             hold,
@@ -121,83 +155,89 @@
             self.event,
             self.log,
         )
-        talk.add(self.make_limits)
-        talk.add(self.make_verdicts)
-        self.address = tuple(await talk.start())
-        self.talk = talk
+        membership.add(self.make_limits)
+        membership.add(self.make_verdicts)
+        self.address = tuple(await membership.start())
+        self.membership = membership
 
-    def make_limits(self, talk, now):
-        """Limits as in service; queries are drawn."""
+    def make_limits(self, membership, now):
+        """Return the production limits core, with random demand."""
         return Limits(
-            talk.core_context(),
-            fleet_size=lambda: talk.fleet_size,
-            demand=lambda: self.demand(talk.fleet_size.in_zone),
+            membership.core_context(),
+            fleet_size=lambda: membership.fleet_size,
+            demand=lambda: self.demand(membership.fleet_size.in_zone),
             now=now,
         )
 
-    def make_verdicts(self, talk, now):
-        """Verdicts as in service; no server fails."""
+    def make_verdicts(self, membership, now):
+        """Return the production outlier detection, with no failing server."""
         return OutlierDetection(
-            talk.core_context(),
-            routers=lambda: talk.fleet_size.in_zone,
+            membership.core_context(),
+            routers=lambda: membership.fleet_size.in_zone,
             own_totals=dict,
             servers=lambda: len(self.servers),
             now=now,
         )
 
     def demand(self, here):
-        """What was asked of each server of the zone, which so many routers share: (kind, server, start, rate, whole)."""
+        """Return the demand for each server of the zone as (kind, server, start, rate, whole).
+
+        Args:
+            here: Number of routers in the zone, which share the demand.
+        """
         if not self.room:
             return []
         return [
-            ("room", server, 0, self.room / here * self.chance.lognormvariate(0.0, UNEVEN), 1.0)
+            ("room", server, 0, self.room / here * self.rng.lognormvariate(0.0, DEMAND_SIGMA), 1.0)
             for server in self.servers
         ]
 
     def event(self, event):
-        """What membership tells the decisions: what a peer's notice says is in force from here on."""
+        """Handle an event from membership: a peer's notice takes effect on arrival."""
         if not isinstance(event, PeerNoticeReceived):
             return
-        told = event.values[1]
-        self.in_force(int(told, 16) if event.kind == "purge" else told)
+        purge = event.values[1]
+        self.record_in_force(int(purge, 16) if event.kind == "purge" else purge)
 
     def log_event(self, event):
-        """What the purge log tells the decisions: an entry, or a rule for the copies that a router holds itself."""
+        """Handle an event from the purge log: an entry, or a rule for copies that the router holds."""
         if isinstance(event, PurgeLogEntryRead):
-            self.in_force(int(event.text, 16))
+            self.record_in_force(int(event.text, 16))
         else:
             self.rules.append((time.monotonic(), event.rule.name))
 
-    def in_force(self, purge):
-        """A purge is in force at this router."""
+    def record_in_force(self, purge):
+        """Record when a purge first took effect at this router."""
         self.arrivals.setdefault(purge, time.monotonic())
 
     def log(self, event, **values):
-        """Changes of members are counted."""
+        """Count a log event, by its `change` if it has one."""
         self.changes[values.get("change", event)] += 1
 
     def purge(self, number):
-        """Its own command channel tells of a purge; it tells its peers."""
-        self.in_force(number)
-        self.talk.spread("purge", GROUP_OF_OBJECTS, f"{number:016x}", round(time.time() * 1000))
+        """Apply a purge from the router's own command channel and send a notice to its peers."""
+        self.record_in_force(number)
+        self.membership.spread("purge", GROUP_OF_OBJECTS, f"{number:016x}", round(time.time() * 1000))
 
     def drain(self, number, server):
-        """Its own command channel tells that a server drains; it tells its peers. The number stands for the server's
-        start, so that each drain is one of its own."""
-        self.in_force(number)
-        self.talk.spread("draining", server, number)
+        """Apply a drain from the router's own command channel and send a notice to its peers.
+
+        The number takes the place of the server's start time, so that each drain counts as a separate one.
+        """
+        self.record_in_force(number)
+        self.membership.spread("draining", server, number)
 
     def kill(self):
-        """Ends without a word."""
-        if self.talk.timer is not None:
-            self.talk.timer.cancel()
-        self.talk.transport.close()
+        """Stop without a clean shutdown."""
+        if self.membership.timer is not None:
+            self.membership.timer.cancel()
+        self.membership.transport.close()
         self.started_at = None
         if self.client is not None:
             self.client.close()
 
     async def restart(self, join, graceful):
-        """Ends and starts anew, after a word of leaving if graceful."""
+        """Restart, after announcing that it leaves if `graceful`."""
         if self.started_at is not None and graceful:
             await self.leave()
         if self.started_at is not None:
@@ -205,28 +245,28 @@
         await self.start(join)
 
     async def leave(self):
-        """Says that it goes."""
+        """Announce to peers, and to the purge log, that the router leaves."""
         if self.client is not None:
             self.client.stop()
-        await self.talk.leave()
+        await self.membership.leave()
 
     @property
     def up(self):
-        """Whether it runs."""
+        """Whether the router is running."""
         return self.started_at is not None
 
     def claim(self):
-        """What it says of itself to its peers."""
-        return self.talk.peer.claim(time.monotonic())
+        """Return the router's membership claim."""
+        return self.membership.peer.claim(time.monotonic())
 
     def fill(self, claims):
-        """Takes claims of the whole fleet, as if it had long known it."""
-        view, now = self.talk.peer.view, time.monotonic()
+        """Add claims of the whole fleet to the view, as if the router had long been a member."""
+        view, now = self.membership.peer.view, time.monotonic()
         for claim in claims:
             view.apply(now, claim, self.name)
 
     def sample(self):
-        """Its counters up to now."""
+        """Return the router's counters."""
         traffic = self.traffic
         return RouterSample(
             self.name,
@@ -235,6 +275,6 @@
             traffic.sent_bytes,
             traffic.received,
             traffic.received_bytes,
-            self.talk.fleet_size[1],
-            len(self.talk.peer.view.present()),
+            self.membership.fleet_size[1],
+            len(self.membership.peer.view.present()),
         )
--- a/brookhinge/emulator/capacity/hour.py
+++ b/brookhinge/emulator/capacity/hour.py
@@ -1,6 +1,9 @@
-"""A region cut off for an hour, in virtual time: the purge log alone. All routers of the region are played, and one router of
-each other site; what a router spends does not depend on how many others there are (see the slopes), membership is left out
-and its idle cost to be added."""
+"""Simulates a region cut off for an hour, in virtual time, with the purge log and without membership.
+
+All routers of the region are simulated, and one router of each other site: the cost of a router does not
+depend on the number of others (see the slopes of the capacity page). The idle cost of membership must be
+added to the figures.
+"""
 
 from brookhinge.emulator.capacity import measure
 from brookhinge.emulator.capacity.purge_log_processes import purge_entry
@@ -10,29 +13,36 @@
 
 SETTLE_S = 5.0
 HOUR_S = 3600.0
-# after the links healed: costs are looked at by window
+# costs after the links heal are measured in windows
 WINDOW_S = 5.0
 WINDOWS = 36
-END_S = 2.0  # before the links heal no more purges are told, so that those under way have come
+QUIET_S = (
+    2.0  # no purges in the last seconds of the cut, so that those in flight arrive before the links heal
+)
 
 
 class HourOfCut:
-    """Plays the first cut of a layout for `seconds`."""
+    """Simulates the first cut of a layout for `seconds`.
+
+    Attributes:
+        submitted: When each purge was submitted, by number.
+        away: Names of the routers that are cut off.
+    """
 
     def __init__(self, layout, seed, seconds=HOUR_S):
         self.cut = layout.capacity.cuts[0]
         self.seconds = seconds
-        self.fleet = LogFleet(layout, seed, self.chosen, membership=False)
+        self.fleet = LogFleet(layout, seed, self.is_simulated, membership=False)
         self.work = Work(layout, seed)
         self.submitted = {}
         self.away = [name for name, r in self.fleet.routers.items() if inside(r.site.place, self.cut.source)]
 
-    def chosen(self, site, number):
-        """Which routers are played."""
+    def is_simulated(self, site, number):
+        """Return whether a router is simulated: all of the region, and the first of each other site."""
         return number == 0 or inside(site.place, self.cut.source)
 
     def run(self):
-        """Figures of the cut and of the return."""
+        """Run the simulation and return the figures of the cut and of the time after it."""
         fleet = self.fleet
         away = set(self.away)
         fleet.start_filled()
@@ -64,23 +74,23 @@
         }
 
     def purges(self):
-        """The hour's purges, told outside of the region."""
+        """Return the purges submitted during the cut, all of them outside the region."""
         avoid = {site.index for site in self.fleet.layout.sites if inside(site.place, self.cut.source)}
-        return self.work.steady(self.seconds - END_S, avoid)
+        return self.work.steady(self.seconds - QUIET_S, avoid)
 
     def submit(self, planned):
-        """A control machine is told a purge; whether it is known everywhere is not asked."""
+        """Append a purge at a control machine, without tracking its progress."""
         control = self.fleet.controls[planned.control]
         self.submitted[planned.number] = self.fleet.network.now
-        control.measured(control.append, purge_entry(planned.number))
+        control.call_measured(control.append, purge_entry(planned.number))
 
     def arrivals(self, number):
-        """When a purge came to each router."""
+        """Return when a purge arrived at each router that has it."""
         routers = self.fleet.routers.items()
         return {name: router.arrivals[number] for name, router in routers if number in router.arrivals}
 
     def windows(self, away):
-        """Bytes a second of each router that was away, in each window after the return."""
+        """Return bytes per second of each router that was cut off, in each window after the links healed."""
         costs = []
         for _ in range(WINDOWS):
             before = self.fleet.counters()
--- a/brookhinge/emulator/capacity/layout.py
+++ b/brookhinge/emulator/capacity/layout.py
@@ -1,7 +1,9 @@
-"""The modelled fleet: its sites, routers and control machines, and their loopback addresses. No I/O but reading the file.
+"""The layout of an emulated fleet: its sites, routers and control machines, and their loopback addresses.
 
-Router number r (from 0) of site s (from 0) has the IPv4 address 127.1.(s + 1).(r + 1), control machine c has
-127.2.(c + 1).1. So a datagram's destination tells the site that it goes to, and ports may be any that are free."""
+Router r of site s has the IPv4 address 127.1.(s + 1).(r + 1) and control machine c has 127.2.(c + 1).1, all
+counted from 0. The destination address of a datagram thus identifies the site, and any free port can be used.
+The only I/O is reading the capacity file.
+"""
 
 from typing import NamedTuple
 
@@ -13,7 +15,13 @@
 
 
 class Site(NamedTuple):
-    """A site of the layout: its place `region/zone/number`, and how many routers it has."""
+    """A site of the layout.
+
+    Attributes:
+        index: Index in the layout, from 0.
+        place: `region/zone/number`.
+        routers: Number of routers at the site.
+    """
 
     index: int
     place: str
@@ -21,25 +29,32 @@
 
     @property
     def zone(self):
-        """Its zone as `region/zone`: the place that its routers name as theirs."""
+        """The zone as `region/zone`, as in the `zone` setting of its routers."""
         return self.place.rsplit("/", 1)[0]
 
     @property
     def region(self):
-        """The name of its region."""
+        """The name of the region."""
         return self.place.split("/", 1)[0]
 
     def name_of(self, router):
-        """The name of its router with that number."""
+        """Return the name of a router of the site, by number from 0."""
         return f"r{self.index + 1}-{router + 1}"
 
     def host_of(self, router):
-        """The loopback address of its router with that number."""
+        """Return the loopback address of a router of the site, by number from 0."""
         return f"{ROUTER_NET}.{self.index + 1}.{router + 1}"
 
 
 class Layout:
-    """A checked `capacity` block, spread over so many routers."""
+    """A validated `capacity` block with its routers distributed over the sites.
+
+    Attributes:
+        routers: Number of routers in the fleet.
+        sites: Sites by index.
+        between: One-way delay between two regions in milliseconds, by the set of their names.
+        site_of_place: Index of each site, by place.
+    """
 
     def __init__(self, capacity: Capacity, routers=None):
         self.capacity = capacity
@@ -53,7 +68,7 @@
             raise ValueError(f"expected {MOST_SITES} routers a site at most, got {base + 1}")
 
     def site_of(self, host):
-        """The index of the site at which a loopback address stands."""
+        """Return the index of the site of a loopback address."""
         net = host.rsplit(".", 2)[0]
         number = int(host.rsplit(".", 2)[1])
         if net == CONTROL_NET:
@@ -62,11 +77,11 @@
 
     @staticmethod
     def control_host(control):
-        """The loopback address of a control machine."""
+        """Return the loopback address of a control machine, by number from 0."""
         return f"{CONTROL_NET}.{control + 1}.1"
 
     def delay_s(self, source, target):
-        """Seconds one way between two sites, by index, on the mean."""
+        """Return the mean one-way delay between two sites, by index, in seconds."""
         a = self.sites[source]
         b = self.sites[target]
         capacity = self.capacity
@@ -80,7 +95,16 @@
 
 
 def read_layout(file, routers=None, loss=None):
-    """The Layout of a file; raises OperatorError where it can't be used."""
+    """Read the Layout of a file.
+
+    Args:
+        file: File with a `capacity` block.
+        routers: Number of routers, or None for that of the file.
+        loss: Probability that a link drops a datagram, or None for that of the file.
+
+    Raises:
+        OperatorError: If the file cannot be read, is invalid or has no `capacity` block.
+    """
     capacity = read_file(file).capacity
     if capacity is None:
         raise OperatorError(f"{file}: capacity: missing")
--- a/brookhinge/emulator/capacity/measure.py
+++ b/brookhinge/emulator/capacity/measure.py
@@ -1,21 +1,32 @@
-"""Figures of one phase of a run, from counters before and after and from the moments at which purges came into force."""
+"""Computes the figures of a phase from counters and from the times at which purges took effect."""
 
 import statistics
 from types import MappingProxyType
 from typing import NamedTuple
 
-SAME_MOMENT_S = 1e-9
-KNOWN_S = 1.2  # by then a source is to know that a purge is in force everywhere, or to name who is missing
-# rules of the purge log (purgelog.subscriber.CopyRule)
+MIN_ELAPSED_S = 1e-9  # avoids a division by zero
+KNOWN_S = (
+    1.2  # target for a source to know that a purge is in force everywhere, or to name the missing routers
+)
+# names of rules for copies that a router holds (purgelog.subscriber.CopyRule)
 STALE = "STALE"
 PROVEN = "PROVEN"
-SETS_ASIDE = (STALE, "ASIDE", "DROP")  # from these on no copy from before is used
+SETS_ASIDE_RULES = (STALE, "ASIDE", "DROP")  # after these rules no older copy is used
 NO_RULES = MappingProxyType({})
-EXACT = (PROVEN, "READMIT", "DROP")  # these end the time after a cut in which copies are set aside
+EXACT_RULES = (PROVEN, "READMIT", "DROP")  # these rules end the use of inexact copies after a cut
 
 
 class Counters(NamedTuple):
-    """Counters of one router at one moment."""
+    """Counters of one router or control machine at one time.
+
+    Attributes:
+        at: Time of the counters.
+        sent: Datagrams sent.
+        sent_bytes: Bytes sent, with IP and UDP headers.
+        received: Datagrams received.
+        received_bytes: Bytes received, with IP and UDP headers.
+        processor_s: Processor time in seconds.
+    """
 
     at: float
     sent: int
@@ -26,17 +37,23 @@
 
 
 class PurgeRecord(NamedTuple):
-    """One purge: when its source told it, when it came to each router, when the source knew that it is in force at all
-    (None: never, or the mechanism cannot tell)."""
+    """One purge or configuration change.
+
+    Attributes:
+        submitted: When it was submitted at its source.
+        in_force: When it took effect at each router, by name.
+        known: When the source knew that it was in force everywhere, or None if it never did or cannot know.
+        named: Routers that the source named as missing after KNOWN_S, or None if it named none.
+    """
 
     submitted: float
     in_force: dict[str, float]
     known: float | None = None
-    named: list[str] | None = None  # whom the source named as missing when the time was over
+    named: list[str] | None = None
 
 
 def spread(values, digits=1):
-    """Median and worst (largest) of some values."""
+    """Return the median and the worst (largest) value, or None for both without values."""
     values = list(values)
     if not values:
         return {"median": None, "worst": None}
@@ -44,7 +61,10 @@
 
 
 def counters_of_samples(samples):
-    """Counters by router of Sample messages by site. A site's processor time is divided by its routers."""
+    """Return counters by router from Sample messages by site.
+
+    The processor time of a site's process is divided evenly among its routers.
+    """
     counters = {}
     for sample in samples.values():
         for router in sample.routers:
@@ -60,7 +80,7 @@
 
 
 def cost(before, after):
-    """What routers spent between two sets of counters: bytes (both ways, and each), messages, part of a core."""
+    """Return the traffic, messages and share of a core per router between two sets of counters by name."""
     rates = [rate(before[name], after[name]) for name in after if name in before]
     return {
         "bytes_s": spread(r.sent_bytes + r.received_bytes for r in rates),
@@ -72,32 +92,37 @@
 
 
 def rate(before, after):
-    """Counters a second between two."""
-    elapsed = max(SAME_MOMENT_S, after.at - before.at)
+    """Return the difference of two counters per second; `at` is that of the later one."""
+    elapsed = max(MIN_ELAPSED_S, after.at - before.at)
     return Counters(after.at, *((b - a) / elapsed for a, b in zip(before[1:], after[1:])))
 
 
-def bound_at(record, router, rules):
-    """When a purge bound a router: it came, or the router stopped to use what it had from before. None: neither."""
+def effective_at(record, router, rules):
+    """Return when a purge took effect at a router, or None if it did not.
+
+    It takes effect when it arrives or when the router stops using the copies it had before.
+    """
     moments = [record.in_force[router]] if router in record.in_force else []
-    stale = router in rules  # until its first proof it uses nothing
+    stale = router in rules  # a router uses no copies before its first proof
     for moment, rule in rules.get(router, ()):
-        if rule in SETS_ASIDE and moment >= record.submitted:
+        if rule in SETS_ASIDE_RULES and moment >= record.submitted:
             moments.append(moment)
         if moment <= record.submitted:
-            stale = rule == STALE or stale and rule != PROVEN
+            stale = rule == STALE or (stale and rule != PROVEN)
     if stale:
         moments.append(record.submitted)
     return min(moments, default=None)
 
 
 def purges(records, since, until=None, rules=NO_RULES):
-    """How soon purges bound all routers that were up all the time.
-
-    records  PurgeRecord by number
-    since    router -> when it last started; None: not up
-    until    a purge that bound later than so many seconds after it was told counts as missed
-    rules    router -> (moment, CopyRule) of the purge log"""
+    """Return how soon purges took effect at all routers that were up the whole time.
+
+    Args:
+        records: PurgeRecord by number.
+        since: When each router last started, or None if it is down, by name.
+        until: Seconds after its submission from which a purge counts as missed, or None for no limit.
+        rules: (time, CopyRule name) of each rule of the purge log, by router.
+    """
     last = []
     known = []
     missed = 0
@@ -105,7 +130,7 @@
     for record in records.values():
         routers = [name for name, at in since.items() if at is not None and at < record.submitted]
         expected += len(routers)
-        bound = [bound_at(record, name, rules) for name in routers]
+        bound = [effective_at(record, name, rules) for name in routers]
         arrived = [at for at in bound if at is not None]
         took = [at - record.submitted for at in arrived]
         late = sum(until is not None and seconds > until for seconds in took)
@@ -127,18 +152,32 @@
 
 
 def catch_up(records, routers, healed, rules=NO_RULES):
-    """What became, at routers that were cut off, of the purges told meanwhile: how many never bound, for how long at most
-    one did not bind, and how long after the links healed each router was exact again."""
+    """Return how routers that were cut off caught up with the purges submitted meanwhile.
+
+    The figures are the purges that never took effect, the longest time until one did, the routers that still
+    set copies aside, and the time from the healing of the links until all routers were exact again (None if
+    some never were).
+
+    Args:
+        records: PurgeRecord by number.
+        routers: Names of the routers that were cut off.
+        healed: When the links healed.
+        rules: (time, CopyRule name) of each rule of the purge log, by router.
+    """
     bound = [
-        (bound_at(record, name, rules), record.submitted) for record in records.values() for name in routers
+        (effective_at(record, name, rules), record.submitted)
+        for record in records.values()
+        for name in routers
     ]
     missed = sum(at is None for at, _ in bound)
     unbound_s = max((at - submitted for at, submitted in bound if at is not None), default=0.0)
     came = [
         record.in_force[name] for record in records.values() for name in routers if name in record.in_force
     ]
-    exact = [at for name in routers for at, rule in rules.get(name, ()) if rule in EXACT and at >= healed]
-    aside = [name for name in routers if name in rules and set_aside(rules[name])]
+    exact = [
+        at for name in routers for at, rule in rules.get(name, ()) if rule in EXACT_RULES and at >= healed
+    ]
+    aside = [name for name in routers if name in rules and copies_set_aside(rules[name])]
     last = max([*came, *exact, healed])
     return {
         "missed_while_away": missed,
@@ -148,11 +187,11 @@
     }
 
 
-def set_aside(rules):
-    """Whether copies are set aside, or none is used, after these rules."""
+def copies_set_aside(rules):
+    """Return whether, after these rules, copies are set aside or none is used."""
     stale = True
     aside = False
     for _, rule in rules:
-        stale = rule == STALE or stale and rule != PROVEN
-        aside = rule == "ASIDE" or aside and rule not in ("READMIT", "DROP")
+        stale = rule == STALE or (stale and rule != PROVEN)
+        aside = rule == "ASIDE" or (aside and rule not in ("READMIT", "DROP"))
     return stale or aside
--- a/brookhinge/emulator/capacity/messages.py
+++ b/brookhinge/emulator/capacity/messages.py
@@ -1,4 +1,4 @@
-"""What the driver asks of its processes and what they answer: one JSON object a line, over their standard streams."""
+"""Messages between the driver and its processes: one JSON value per line over their standard streams."""
 
 import msgspec
 
@@ -7,64 +7,79 @@
 
 
 class Message(msgspec.Struct, tag=True, array_like=True):
-    """The base of all messages; its tag is the name of the class."""
+    """Base of all messages, tagged with the class name."""
 
 
 class Setup(Message):
-    """The first command: what the process is."""
+    """First command: configures the process as a site or a control machine.
+
+    Attributes:
+        capacity: The `capacity` block of the layout.
+        routers: Number of routers in the fleet.
+        seed: Seed of the run.
+        mechanism: How purges are distributed, `peers` or `log`.
+        site: Index of the site, or -1 for a control machine.
+        control: Number of the control machine, or -1 for a site.
+        controls: (host, port) of all control machines; empty without the purge log.
+    """
 
     capacity: Capacity
     routers: int
     seed: int
-    mechanism: str  # `peers` or `log`
-    site: int = -1  # of a site's process
-    control: int = -1  # of a control machine's
-    controls: list[tuple[str, int]] = []  # addresses of all control machines, with the log
+    mechanism: str
+    site: int = -1
+    control: int = -1
+    controls: list[tuple[str, int]] = []
 
 
 class StartControl(Message):
-    """Starts the control machine. -> Done"""
+    """Starts the control machine; answered by Done."""
 
 
 class StartRouters(Message):
-    """Starts all routers of the site. join: addresses to join by; hold: they say nothing until `Begin`. -> Started"""
+    """Starts all routers of the site; answered by Started.
+
+    Attributes:
+        join: Addresses of members to join by.
+        hold: Whether the routers stay silent until Begin.
+    """
 
     join: list[tuple[str, int]]
     hold: bool
 
 
 class Started(Message):
-    """Claims of the routers, as membership sends them, and their addresses."""
+    """Answer with the membership claims and the addresses of the started routers."""
 
     claims: list[Claim]
     addresses: list[tuple[str, int]]
 
 
 class Fill(Message):
-    """Fills the views with all routers of the fleet, as if they had long known each other. -> Done"""
+    """Adds claims of the whole fleet to each view, as in a long-running fleet; answered by Done."""
 
     claims: list[Claim]
 
 
 class Begin(Message):
-    """Routers that were held back start to speak; no answer."""
+    """Lets routers that were started with `hold` send and receive; no answer."""
 
 
 class SetCuts(Message):
-    """Cuts that are in force from now on; no answer."""
+    """Replaces the cuts in force; no answer."""
 
     cuts: list[tuple[str, str, str, float, float, bool]]
 
 
 class Purge(Message):
-    """One router of the site learns of a purge from its command channel, or a control machine from its source; no answer."""
+    """Submits a purge at one router of the site or at a control machine; no answer."""
 
     number: int
     router: int
 
 
 class Drain(Message):
-    """One router of the site learns that a cache server drains; no answer."""
+    """Submits the drain of a cache server at one router of the site; no answer."""
 
     number: int
     server: str
@@ -72,19 +87,23 @@
 
 
 class SetDemand(Message):
-    """What queries ask of the cache servers: part of their room in use on the mean, 0: none is limited; no answer."""
+    """Sets the demand on the cache servers; no answer.
+
+    Attributes:
+        room: Mean part of their capacity in use, 0 for no demand.
+    """
 
     room: float
 
 
 class Kill(Message):
-    """Routers of the site end without a word; no answer."""
+    """Stops routers of the site without a clean shutdown; no answer."""
 
     routers: list[int]
 
 
 class Restart(Message):
-    """Routers of the site start anew, after a word of leaving if `graceful`; no answer."""
+    """Restarts routers of the site, after announcing that they leave if `graceful`; no answer."""
 
     routers: list[int]
     join: list[tuple[str, int]]
@@ -92,11 +111,22 @@
 
 
 class Mark(Message):
-    """Asks for the counters up to now. -> Sample"""
+    """Requests the current counters; answered by Sample."""
 
 
 class RouterSample(Message):
-    """Counters of one router since its site's process started."""
+    """Counters of one router since its site's process started.
+
+    Attributes:
+        name: Name of the router.
+        up: Whether it is running.
+        sent: Datagrams sent.
+        sent_bytes: Bytes sent, with IP and UDP headers.
+        received: Datagrams received.
+        received_bytes: Bytes received, with IP and UDP headers.
+        sharers: Number of routers among which a fleet-wide limit is divided.
+        known: Number of routers that it considers alive or suspect.
+    """
 
     name: str
     up: bool
@@ -104,30 +134,47 @@
     sent_bytes: int
     received: int
     received_bytes: int
-    sharers: int  # by how many a limit of the whole fleet is divided
-    known: int  # routers that it believes alive or suspects
+    sharers: int
+    known: int
 
 
 class Sample(Message):
-    """Counters of one process."""
+    """Counters of one process.
+
+    Attributes:
+        at: Monotonic time of the sample.
+        processor_s: Processor time of the process in seconds.
+        memory_bytes: Resident memory.
+        grown_bytes: Growth of the resident memory since the routers started.
+        lag_s: Largest delay of the event loop since the last sample, in seconds.
+        routers: Counters of each router, or of the control machine.
+        changes: Number of membership changes and log events by name.
+    """
 
     at: float
     processor_s: float
     memory_bytes: int
-    grown_bytes: int  # since its routers started
-    lag_s: float  # by how much the event loop was late at most since the last sample
+    grown_bytes: int
+    lag_s: float
     routers: list[RouterSample]
     changes: dict[str, int] = {}
 
 
 class Collect(Message):
-    """Asks for what became of the purges so far. -> Arrivals"""
+    """Requests when purges took effect so far; answered by Arrivals."""
 
 
 class Arrivals(Message):
-    """Moments of the monotonic clock. in_force: purge -> {router: when}; started: router -> when it last started, None if it
-    is not up; submitted and known: purge -> when; named: purge -> those whom the source named as missing
-    when the purge's time was over; rules: router -> (when, CopyRule) of the purge log."""
+    """Progress of purges, in times of the monotonic clock.
+
+    Attributes:
+        in_force: When each purge took effect at each router, by purge number and router name.
+        started: When each router last started, or None if it is down, by name.
+        submitted: When each purge was submitted, by number.
+        known: When the source knew that a purge was in force everywhere, by number.
+        named: Routers that the source named as missing after the target time, by purge number.
+        rules: (time, CopyRule name) of each rule of the purge log, by router.
+    """
 
     in_force: dict[int, dict[str, float]] = {}
     started: dict[str, float | None] = {}
@@ -138,11 +185,11 @@
 
 
 class Done(Message):
-    """The command was carried out."""
+    """Answer to a command that was carried out."""
 
 
 class Failed(Message):
-    """The process can't go on."""
+    """Answer of a process that exits because of an error."""
 
     why: str
 
--- a/brookhinge/emulator/capacity/page.py
+++ b/brookhinge/emulator/capacity/page.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md, written from kept figures alone: a figure without a run is `not measured`. No I/O but reading and writing."""
+"""Generates docs/CAPACITY.md from the stored figures alone; figures without a run are shown as `not measured`."""
 
 from typing import NamedTuple
 
@@ -11,35 +11,42 @@
 LAYOUT = results.ROOT / "deploy" / "capacity.hcl"
 NOT_MEASURED = "not measured"
 TITLES = {PEERS: "before (notices among peers)", LOG: "now (purge log)"}
-# of the whole fleet at the peak
+# peak of the whole fleet
 REQUESTS_S = 590_000
 BITS_S = 3.2e12
 OBJECTS = 450_000_000
-LARGEST_SIZE = 100_000  # up to which the slopes are followed
+LARGEST_SIZE = 100_000  # routers up to which the fitted curves are extrapolated
 
 
-class Allowance(NamedTuple):
-    """What one figure may be at the size designed for."""
+class Budget(NamedTuple):
+    """Budget of one figure at the design size.
+
+    Attributes:
+        title: Name of the figure on the page.
+        phase: Phase in which it is measured.
+        figure: Key of the figure in the phase.
+        part: `median` or `worst`, or empty for a figure that is a single number.
+        limit: Largest value allowed.
+        unit: Unit on the page, or empty.
+    """
 
     title: str
     phase: str
     figure: str
     part: str
-    most: float
+    limit: float
     unit: str
 
 
-ALLOWED = (
-    Allowance(
-        "control traffic of a router, sent and received", "ordinary", "bytes_s", "worst", 4000, "bytes/s"
-    ),
-    Allowance("processor of a router for control", "ordinary", "core_share", "worst", 0.016, "of a core"),
-    Allowance("a purge in force at every router", "ordinary", "all_s", "worst", 1.2, "s"),
-    Allowance("known to be so at its source", "ordinary", "known_s", "worst", 1.2, "s"),
-    Allowance("arrivals of purges missed", "ordinary", "missed", "", 0, ""),
-    Allowance("exact again after an hour's cut", "hour_back", "catch_up_s", "", 120, "s"),
-    Allowance("missed by routers cut off for an hour", "hour_back", "missed_while_away", "", 0, ""),
-    Allowance(
+BUDGETS = (
+    Budget("control traffic of a router, sent and received", "ordinary", "bytes_s", "worst", 4000, "bytes/s"),
+    Budget("processor of a router for control", "ordinary", "core_share", "worst", 0.016, "of a core"),
+    Budget("a purge in force at every router", "ordinary", "all_s", "worst", 1.2, "s"),
+    Budget("known to be so at its source", "ordinary", "known_s", "worst", 1.2, "s"),
+    Budget("arrivals of purges missed", "ordinary", "missed", "", 0, ""),
+    Budget("exact again after an hour's cut", "hour_back", "catch_up_s", "", 120, "s"),
+    Budget("missed by routers cut off for an hour", "hour_back", "missed_while_away", "", 0, ""),
+    Budget(
         "traffic of such a router on its return, log alone", "hour_back", "bytes_s", "worst", 4000, "bytes/s"
     ),
 )
@@ -78,8 +85,8 @@
 }
 
 
-def number(value):
-    """A figure as a text."""
+def format_figure(value):
+    """Format a figure, or NOT_MEASURED for None."""
     if value is None:
         return NOT_MEASURED
     if isinstance(value, float) and abs(value) < 0.1:
@@ -88,23 +95,29 @@
 
 
 def table(head, rows):
-    """Lines of a table."""
+    """Return the lines of a Markdown table."""
     lines = ["| " + " | ".join(head) + " |", "| " + " | ".join("---" for _ in head) + " |"]
     return lines + ["| " + " | ".join(map(str, row)) + " |" for row in rows]
 
 
-def pair(row, phase, figure):
-    """Median and worst of a figure of one row."""
+def format_median_worst(row, phase, figure):
+    """Format the median and worst of a figure of one row."""
     worst = results.value(row, phase, figure, "worst")
     return (
         NOT_MEASURED
         if worst is None
-        else f"{number(results.value(row, phase, figure, 'median'))} / {number(worst)}"
+        else f"{format_figure(results.value(row, phase, figure, 'median'))} / {format_figure(worst)}"
     )
 
 
 class Page:
-    """rows: the kept ones."""
+    """The generated page.
+
+    Attributes:
+        rows: Stored rows.
+        layout: Layout at the design size.
+        size: Number of routers at the design size.
+    """
 
     def __init__(self, rows):
         self.rows = rows
@@ -112,13 +125,13 @@
         self.size = self.layout.routers
 
     def text(self):
-        """The whole page."""
+        """Return the whole page."""
         parts = (
             self.head,
             self.budgets,
             self.situations,
             self.slopes,
-            self.breaks,
+            self.breaking_sizes,
             self.roles,
             self.real_router,
             self.failures,
@@ -127,7 +140,7 @@
         return "\n\n".join("\n".join(part()) for part in parts) + "\n"
 
     def head(self):
-        """What the page is."""
+        """Return the title and the description of the method."""
         return [
             "# Capacity of the control plane",
             "",
@@ -139,18 +152,21 @@
             "of a router's own calls, encoding included, sockets left out. A figure is that of the worst router unless it says median.",
         ]
 
-    def at_size(self, mechanism, phase):
-        """Usable rows of a phase at the size designed for."""
+    def rows_at_design_size(self, mechanism, phase):
+        """Return the usable rows of a phase at the design size."""
         rows = results.select(self.rows, mechanism=mechanism, routers=self.size)
         return [row for row in rows if results.usable(row, phase)]
 
     def budgets(self):
-        """Allowed and measured, before and now."""
+        """Return the table of budgets and measured figures, for each mechanism."""
         lines = []
-        for wanted in ALLOWED:
-            cells = [f"{wanted.title} ({wanted.unit})" if wanted.unit else wanted.title, number(wanted.most)]
+        for budget in BUDGETS:
+            cells = [
+                f"{budget.title} ({budget.unit})" if budget.unit else budget.title,
+                format_figure(budget.limit),
+            ]
             for mechanism in TITLES:
-                cells.append(self.judged(wanted, mechanism))
+                cells.append(self.budget_cell(budget, mechanism))
             lines.append(cells)
         head = [f"at {self.size} routers", "allowed", *TITLES.values()]
         note = [
@@ -161,24 +177,24 @@
         ]
         return note + table(head, lines)
 
-    def judged(self, wanted, mechanism):
-        """The worst of one figure, and whether it is over what is allowed."""
-        rows = self.at_size(mechanism, wanted.phase)
-        values = [results.value(row, wanted.phase, wanted.figure, wanted.part or None) for row in rows]
+    def budget_cell(self, budget, mechanism):
+        """Format the median and the worst run of one figure, and mark it if over budget."""
+        rows = self.rows_at_design_size(mechanism, budget.phase)
+        values = [results.value(row, budget.phase, budget.figure, budget.part or None) for row in rows]
         values = sorted(value for value in values if value is not None)
         if not values:
             return NOT_MEASURED
         middle = values[len(values) // 2]
         worst = values[-1]
-        over = " **over**" if worst > wanted.most else ""
-        return f"{number(middle)}, {number(worst)} ({len(values)} runs){over}"
+        over = " **over**" if worst > budget.limit else ""
+        return f"{format_figure(middle)}, {format_figure(worst)} ({len(values)} runs){over}"
 
     def situations(self):
-        """One row for each situation, from the run nearest to the size designed for."""
+        """Return the table of situations, each from the run nearest to the design size."""
         lines = []
         for title, phase in SITUATIONS:
             for mechanism, name in TITLES.items():
-                row = self.best(mechanism, phase)
+                row = self.nearest_row(mechanism, phase)
                 if row is None:
                     lines.append([title, name, *[NOT_MEASURED] * 7])
                     continue
@@ -188,25 +204,25 @@
                         title,
                         name,
                         f"{row['kind']}, {row['routers']}, {figures['seconds']:g} s",
-                        pair(row, phase, "bytes_s"),
-                        pair(row, phase, "core_share"),
-                        pair(row, phase, "all_s"),
-                        pair(row, phase, "known_s"),
-                        missed(figures),
-                        more(figures),
+                        format_median_worst(row, phase, "bytes_s"),
+                        format_median_worst(row, phase, "core_share"),
+                        format_median_worst(row, phase, "all_s"),
+                        format_median_worst(row, phase, "known_s"),
+                        format_missed(figures),
+                        format_other_figures(figures),
                     ]
                 )
         head = ["situation", "", "run", "bytes/s", "core", "in force, s", "known, s", "missed", "besides"]
         return ["## Situations (median / worst)", "", *table(head, lines)]
 
-    def best(self, mechanism, phase):
-        """The usable row with that phase at the size nearest to the one designed for: on sockets first."""
+    def nearest_row(self, mechanism, phase):
+        """Return the usable row with a phase whose size is nearest to the design size, preferring sockets, or None."""
         rows = [row for row in results.select(self.rows, mechanism=mechanism) if results.usable(row, phase)]
         order = [(abs(row["routers"] - self.size), row["kind"] != "sockets", row["seed"]) for row in rows]
         return rows[order.index(min(order))] if rows else None
 
     def points(self, mechanism, phase, figure, part):
-        """(size, cost) of all virtual runs of one kind of phases."""
+        """Return (size, cost) of all cost runs in virtual time."""
         found = []
         for row in results.select(self.rows, mechanism=mechanism, kind="virtual", scenario="cost"):
             figures = row["phases"].get(phase, {})
@@ -217,7 +233,7 @@
         return found
 
     def slopes(self):
-        """How each cost grows with the fleet."""
+        """Return the table of how each cost grows with the fleet."""
         lines = []
         for phase, figure, part, title in SLOPES:
             for mechanism, name in TITLES.items():
@@ -232,10 +248,10 @@
                         title,
                         name,
                         f"{found.curve} ({found.weight:.0%})",
-                        f"{number(round(found.base, 5))} + {slope}",
-                        number(round(found.at(132), 5)),
-                        number(round(found.at(530), 5)),
-                        number(round(found.at(1060), 5)),
+                        f"{format_figure(round(found.base, 5))} + {slope}",
+                        format_figure(round(found.at(132), 5)),
+                        format_figure(round(found.at(530), 5)),
+                        format_figure(round(found.at(1060), 5)),
                     ]
                 )
         head = ["cost", "", "curve", "base + slope", "at 132", "at 530", "at 1,060"]
@@ -248,8 +264,8 @@
             *table(head, lines),
         ]
 
-    def breaks(self):
-        """The smallest size at which each budget is passed, by the slopes."""
+    def breaking_sizes(self):
+        """Return the table of the sizes at which each budget is exceeded, by the fitted curves."""
         lines = []
         for mechanism, name in TITLES.items():
             for phase, figure, part, most, title in (
@@ -271,21 +287,33 @@
         return ["## What breaks first", "", *table(["budget", "", "passed at these sizes"], lines)]
 
     def roles(self):
-        """State, messages, processor time and memory by role."""
+        """Return the table of traffic, messages, processor time and memory by role."""
         lines = []
         for mechanism, name in TITLES.items():
-            row = self.best(mechanism, "ordinary")
+            row = self.nearest_row(mechanism, "ordinary")
             memory = [
                 r["state"].get("memory_mb_router") for r in results.select(self.rows, mechanism=mechanism)
             ]
-            cells = [NOT_MEASURED] * 3 if row is None else [pair(row, "ordinary", f) for f in ROLE_FIGURES]
+            cells = (
+                [NOT_MEASURED] * 3
+                if row is None
+                else [format_median_worst(row, "ordinary", f) for f in ROLE_FIGURES]
+            )
             lines.append(
-                [f"router, {name.split()[0]}", MECHANISMS[mechanism], *cells, number(results.worst(memory))]
+                [
+                    f"router, {name.split()[0]}",
+                    MECHANISMS[mechanism],
+                    *cells,
+                    format_figure(results.worst(memory)),
+                ]
             )
-        row = self.best(LOG, "ordinary")
+        row = self.nearest_row(LOG, "ordinary")
         control = row and row["phases"]["ordinary"].get("control")
         if control:
-            cells = [f"{number(control[f]['median'])} / {number(control[f]['worst'])}" for f in ROLE_FIGURES]
+            cells = [
+                f"{format_figure(control[f]['median'])} / {format_figure(control[f]['worst'])}"
+                for f in ROLE_FIGURES
+            ]
             lines.append(["control machine", "purge log: replication and pushes", *cells, NOT_MEASURED])
         lines += [[role, "", *[NOT_MEASURED] * 4] for role in ROLES]
         head = ["role", "carried by", "bytes/s", "messages/s", "core", "memory grown, MB"]
@@ -299,7 +327,7 @@
         ]
 
     def real_router(self):
-        """One router with its data path, and what the peak asks of it."""
+        """Return the figures of one router with its data path, and the load of a router at the peak."""
         rows = results.select(self.rows, scenario="router")
         lines = ["## One real router (on the rig, loopback)", ""]
         if not rows:
@@ -311,30 +339,30 @@
         for name in ("small", "large"):
             figures = phases[name]
             lines.append(
-                f"- objects of {number(figures['object_bytes'])} bytes: {number(figures['queries_s'])} queries/s and "
-                f"{number(figures['mbit_s'])} Mbit/s at {figures['router_core_share']:.0%} of a core; "
-                f"{number(figures['us_a_query'])} us a query, {number(figures['gbit_a_core_s'])} Gbit for each second of a core "
-                f"({number(figures['not_satisfied'])} refused or failed)"
+                f"- objects of {format_figure(figures['object_bytes'])} bytes: {format_figure(figures['queries_s'])} queries/s and "
+                f"{format_figure(figures['mbit_s'])} Mbit/s at {figures['router_core_share']:.0%} of a core; "
+                f"{format_figure(figures['us_a_query'])} us a query, {format_figure(figures['gbit_a_core_s'])} Gbit for each second of a core "
+                f"({format_figure(figures['not_satisfied'])} refused or failed)"
             )
         memory = phases["memory"]
         by_queries = need_queries / phases["small"]["queries_a_core_s"]
         by_bits = need_gbit / phases["large"]["gbit_a_core_s"]
         return [
             *lines,
-            f"- {number(memory['bytes_an_object'])} bytes a remembered object, over {number(memory['objects'])} objects; "
-            f"{number(memory['memory_mb_at_ready'])} MB at ready",
-            f"- {number(memory['descriptors'])} descriptors before {memory['servers']} cache servers, "
+            f"- {format_figure(memory['bytes_an_object'])} bytes a remembered object, over {format_figure(memory['objects'])} objects; "
+            f"{format_figure(memory['memory_mb_at_ready'])} MB at ready",
+            f"- {format_figure(memory['descriptors'])} descriptors before {memory['servers']} cache servers, "
             f"{memory['descriptors_at_ready']} at ready",
             "",
-            f"At the peak the mean router has {number(round(need_queries))} queries/s and {number(round(need_gbit, 2))} Gbit/s: "
-            f"{number(round(by_queries, 2))} cores by queries (small objects), {number(round(by_bits, 2))} by bytes (large ones). "
+            f"At the peak the mean router has {format_figure(round(need_queries))} queries/s and {format_figure(round(need_gbit, 2))} Gbit/s: "
+            f"{format_figure(round(by_queries, 2))} cores by queries (small objects), {format_figure(round(by_bits, 2))} by bytes (large ones). "
             "What a core bears is worked out from processor time; it was not run at that rate.",
-            f"Of {number(OBJECTS)} objects a router remembers those that are asked for at it: each million takes "
-            f"{number(round(memory['bytes_an_object'] * 1e6 / 1e6))} MB by that figure.",
+            f"Of {format_figure(OBJECTS)} objects a router remembers those that are asked for at it: each million takes "
+            f"{format_figure(round(memory['bytes_an_object'] * 1e6 / 1e6))} MB by that figure.",
         ]
 
     def failures(self):
-        """Shared fates by the layout, and what is left to carry the peak."""
+        """Return the table of failures with a common cause, and the peak load on the remaining routers."""
         sites = self.layout.sites
         zones = {}
         regions = {}
@@ -355,8 +383,8 @@
                     title,
                     lost,
                     f"{lost / self.size:.1%}",
-                    number(round(REQUESTS_S / left)),
-                    number(round(BITS_S / left / 1e9, 2)),
+                    format_figure(round(REQUESTS_S / left)),
+                    format_figure(round(BITS_S / left / 1e9, 2)),
                     f"{self.size / left - 1:.1%}",
                 ]
             )
@@ -384,15 +412,15 @@
         ]
 
     @staticmethod
-    def too_late(row):
-        """Which phases of a run are not used."""
+    def unused_phases(row):
+        """Return which phases of a run are unused because event loops were late."""
         late = [phase for phase in row["phases"] if not results.usable(row, phase)]
         if len(late) == len(row["phases"]):
             return "not used: too late"
         return "not used: " + ", ".join(late) if late else ""
 
     def runs(self):
-        """The command and date of the run behind each figure."""
+        """Return the table of runs with their commands and dates."""
         lines = [
             [
                 row["kind"],
@@ -402,9 +430,9 @@
                 row["seed"],
                 row["date"],
                 row["revision"],
-                number(row["machine_load"]),
-                number(row["state"]["loop_late_s"]) if "loop_late_s" in row["state"] else "",
-                self.too_late(row),
+                format_figure(row["machine_load"]),
+                format_figure(row["state"]["loop_late_s"]) if "loop_late_s" in row["state"] else "",
+                self.unused_phases(row),
                 f"`{row['command']}`",
             ]
             for row in self.rows
@@ -435,38 +463,40 @@
 ROLE_FIGURES = ("bytes_s", "messages_s", "core_share")
 
 
-def missed(figures):
-    """Missed arrivals among those expected."""
+def format_missed(figures):
+    """Format the number of missed arrivals out of those expected."""
     if "missed" not in figures:
         return NOT_MEASURED
-    return f"{number(figures['missed'])} of {number(figures['expected'])}"
+    return f"{format_figure(figures['missed'])} of {format_figure(figures['expected'])}"
 
 
-def more(figures):
-    """What a situation tells beside the usual figures."""
-    told = []
+def format_other_figures(figures):
+    """Format the figures of a situation that have no column of their own."""
+    notes = []
     if figures.get("named"):
-        told.append(f"missing named for {figures['named']} of {figures['purges']} purges at 1.2 s")
+        notes.append(f"missing named for {figures['named']} of {figures['purges']} purges at 1.2 s")
     if "one_view_s" in figures:
         waited = figures["one_view_s"]
-        told.append("no one view within 30 s" if waited is None else f"one view after {number(waited)} s")
+        notes.append(
+            "no one view within 30 s" if waited is None else f"one view after {format_figure(waited)} s"
+        )
     if "changes_all_s" in figures:
         worst = figures["changes_all_s"]["worst"]
-        told.append(
-            f"a change everywhere after {number(worst)} s, {figures['changes_missed']} arrivals missed"
+        notes.append(
+            f"a change everywhere after {format_figure(worst)} s, {figures['changes_missed']} arrivals missed"
         )
     if "cut_off" in figures:
-        told.append(f"{figures['cut_off']} cut off")
+        notes.append(f"{figures['cut_off']} cut off")
     if "missed_while_away" in figures:
-        told.append(
-            f"missed while away {number(figures['missed_while_away'])}, exact after {number(figures['catch_up_s'])} s, "
-            f"longest not bound {number(figures['unbound_s'])} s"
+        notes.append(
+            f"missed while away {format_figure(figures['missed_while_away'])}, exact after {format_figure(figures['catch_up_s'])} s, "
+            f"longest not bound {format_figure(figures['unbound_s'])} s"
         )
-    return "; ".join(told)
+    return "; ".join(notes)
 
 
 def breaking_size(found, most):
-    """The sizes from 1 to 100,000 at which a fitted cost is over, as a text."""
+    """Format the sizes from 1 to LARGEST_SIZE at which a fitted cost is over a budget."""
     least = found.at(1) > most
     largest = found.at(LARGEST_SIZE) > most
     if least == largest:
@@ -476,10 +506,10 @@
     while high - low > 1:
         middle = (low + high) // 2
         low, high = (middle, high) if (found.at(middle) > most) == least else (low, middle)
-    return f"{number(low)} and fewer" if least else f"{number(high)} and more"
+    return f"{format_figure(low)} and fewer" if least else f"{format_figure(high)} and more"
 
 
 def write_page():
-    """Writes the page; 0."""
+    """Write the page and return exit status 0."""
     PAGE.write_text(Page(results.load()).text())
     return 0
--- a/brookhinge/emulator/capacity/process_gauges.py
+++ b/brookhinge/emulator/capacity/process_gauges.py
@@ -1,39 +1,39 @@
-"""What a process of a modelled fleet measures of itself: memory, and how late its event loop is."""
+"""Measures the resident memory and the event loop delay of the current process."""
 
 import asyncio
 import os
 import time
 from pathlib import Path
 
-LAG_STEP_S = 0.05  # between two measurements
-RESIDENT_PAGES = 1  # field of /proc/self/statm
+LAG_INTERVAL_S = 0.05  # between two measurements
+STATM_RESIDENT_FIELD = 1  # of /proc/self/statm, in pages
 
 
 def resident_bytes() -> int:
-    """Return the bytes of memory that this process holds now."""
+    """Return the resident memory of this process in bytes."""
     fields = Path("/proc/self/statm").read_text().split()
-    return int(fields[RESIDENT_PAGES]) * os.sysconf("SC_PAGE_SIZE")
+    return int(fields[STATM_RESIDENT_FIELD]) * os.sysconf("SC_PAGE_SIZE")
 
 
 class LoopLag:
-    """Notes by how much the event loop of this process was late at most.
+    """Measures the largest delay of this process's event loop.
 
     Attributes:
-        lag_s: the most since it was last taken.
+        lag_s: Largest delay since the last `take()`, in seconds.
     """
 
     def __init__(self):
         self.lag_s = 0.0
 
     def take(self) -> float:
-        """Return the most since the last call, and begin anew."""
+        """Return the largest delay since the last call, in seconds, and reset it."""
         lag_s = self.lag_s
         self.lag_s = 0.0
         return lag_s
 
     async def run(self) -> None:
-        """Measure until cancelled."""
+        """Measure the delay until cancelled."""
         while True:
-            due = time.monotonic() + LAG_STEP_S
-            await asyncio.sleep(LAG_STEP_S)
+            due = time.monotonic() + LAG_INTERVAL_S
+            await asyncio.sleep(LAG_INTERVAL_S)
             self.lag_s = max(self.lag_s, time.monotonic() - due)
--- a/brookhinge/emulator/capacity/purge_log_processes.py
+++ b/brookhinge/emulator/capacity/purge_log_processes.py
@@ -1,5 +1,7 @@
-"""The purge log in a modelled fleet, on sockets: a router's client and a control machine's process, whose datagrams take the
-links and are counted."""
+"""The purge log of an emulated fleet on sockets: a router's client and the process of a control machine.
+
+Their datagrams pass the emulated links and are counted.
+"""
 
 import asyncio
 import time
@@ -33,13 +35,15 @@
 from brookhinge.purgelog.progress import Outcome
 from brookhinge.purgelog.server import ControlServer
 
-PROOF_S = 3.0  # as the operator's file has it by default
-KNOWN_S = 1.2  # by then a source knows that a purge is in force everywhere, or names who is missing
-LOOK_S = 0.02  # between two looks whether purges are in force, and two tries to append one
+PROOF_S = 3.0  # default of the operator's file
+KNOWN_S = (
+    1.2  # target for a source to know that a purge is in force everywhere, or to name the missing routers
+)
+PURGE_POLL_S = 0.02  # between two checks of a purge's progress, and two attempts to append one
 
 
 def control_blocks(layout, addresses):
-    """`control` blocks of the operator's file by name."""
+    """Return the `control` blocks of the operator's file by name."""
     defaults = {key: default for key, (_, default) in CONTROL.items() if default is not MUST}
     return {
         control.name: Control(
@@ -58,26 +62,31 @@
     }
 
 
-class Counted:
-    """Goes before an Endpoint: its datagrams take the links and are counted."""
+class CountedEndpoint:
+    """Mixin, listed before an Endpoint, that counts its datagrams and sends them over emulated links.
+
+    Attributes:
+        links: Links that outgoing datagrams pass.
+        traffic: Counters of sent and received datagrams.
+    """
 
     links: Links
     traffic: Traffic
 
     async def open(self, listen):
-        """Binds; datagrams take the links from here on."""
+        """Bind the socket, wrap its transport in the links and return the address."""
         address = await super().open(listen)
         self.transport = LinkedTransport(self.transport, self.links, self.traffic)
         return address
 
     def datagram_received(self, data, address):
-        """Counts a datagram and takes it."""
+        """Count and process a received datagram."""
         self.traffic.count_received(data)
         super().datagram_received(data, address)
 
 
-class CountedClient(Counted, LogClient):
-    """A router's client of the purge log."""
+class CountedClient(CountedEndpoint, LogClient):
+    """A router's purge log client on emulated links."""
 
     def __init__(self, controls, router):
         settings = fleet_settings(
@@ -94,8 +103,8 @@
         self.links, self.traffic = router.links, router.traffic
 
 
-class CountedServer(Counted, ControlServer):
-    """A control machine."""
+class CountedServer(CountedEndpoint, ControlServer):
+    """A control machine on emulated links."""
 
     def __init__(self, name, controls, log, links, traffic):
         super().__init__(name, controls, log)
@@ -103,33 +112,41 @@
 
 
 def purge_entry(number):
-    """The log's entry of a numbered purge."""
+    """Return the log entry of a purge, by number."""
     return Entry(Kind.PURGE, f"{number:016x}", GROUP_OF_OBJECTS, round(time.time() * 1000))
 
 
 class PurgeSource:
-    """The purges that a control machine is told first: appended as soon as it can, and watched until they are in force.
-
-    submit(entry) -> position or None; progress(position) -> Progress"""
+    """Appends the purges submitted to one control machine and tracks them until they are in force.
+
+    Attributes:
+        submit: Appends an entry and returns its position, or None if it cannot be appended now.
+        progress: Returns the Progress of the entry at a position.
+        submitted: When each purge was submitted, by number.
+        known: When each purge was known to be in force everywhere, by number.
+        named: Routers that were missing KNOWN_S after the submission, by purge number.
+        unappended: Numbers of purges that are not appended yet, oldest first.
+        pending: Position of each appended purge not yet known to be in force, by number.
+    """
 
     def __init__(self, submit, progress):
         self.submit, self.progress = submit, progress
         self.submitted, self.known, self.named = {}, {}, {}
-        self.unplaced, self.pending = [], {}
+        self.unappended, self.pending = [], {}
 
-    def take(self, now, number):
-        """A purge of that number is told now."""
+    def add(self, now, number):
+        """Submit a purge, and append it if possible."""
         self.submitted[number] = now
-        self.unplaced.append(number)
-        self.look(now)
+        self.unappended.append(number)
+        self.poll(now)
 
-    def look(self, now):
-        """Appends what waits, and asks the oldest appended first whether it is in force."""
-        while self.unplaced:
-            position = self.submit(purge_entry(self.unplaced[0]))
+    def poll(self, now):
+        """Append waiting purges, then check pending ones, oldest first, up to the first still pending."""
+        while self.unappended:
+            position = self.submit(purge_entry(self.unappended[0]))
             if position is None:
                 break
-            self.pending[self.unplaced.pop(0)] = position
+            self.pending[self.unappended.pop(0)] = position
         for number, position in list(self.pending.items()):
             progress = self.progress(position)
             if progress.outcome == Outcome.PENDING:
@@ -140,13 +157,13 @@
             if number not in self.named and now - self.submitted[number] >= KNOWN_S:
                 self.named[number] = sorted({name for name, _ in self.progress(position).missing})
 
-    def waits(self):
-        """Whether something has to be looked at."""
-        return bool(self.unplaced or self.pending)
+    def has_unfinished(self):
+        """Return whether any purge is not yet appended or not yet known to be in force."""
+        return bool(self.unappended or self.pending)
 
 
 class ControlProcess:
-    """One control machine, and the commands that its process takes."""
+    """The process of one control machine, and the handlers of its commands."""
 
     def __init__(self, setup):
         layout = Layout(setup.capacity, setup.routers)
@@ -167,41 +184,41 @@
         }
 
     async def start(self, _):
-        """Binds and serves."""
+        """Bind the socket and start serving."""
         await self.server.start()
-        self.looking = asyncio.ensure_future(self.look())
+        self.poll_task = asyncio.ensure_future(self.poll())
         return Done()
 
-    async def look(self):
-        """Looks at the purges of this source."""
+    async def poll(self):
+        """Poll the purges submitted here until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
-            if self.source.waits():
-                self.source.look(time.monotonic())
+            await asyncio.sleep(PURGE_POLL_S)
+            if self.source.has_unfinished():
+                self.source.poll(time.monotonic())
 
     def append(self, entry):
-        """Appends an entry; its position, or None."""
+        """Append an entry and return its position, or None if it cannot be appended now."""
         return self.server.node.submit(steady(), entry, self.server)
 
     def progress(self, position):
-        """Progress of an entry."""
+        """Return the progress of the entry at a position."""
         return self.server.node.progress(steady(), position)
 
     def set_cuts(self, command):
-        """Cuts on the links from this machine."""
+        """Replace the cuts on the links from this machine."""
         self.links.cut([Cut(*cut) for cut in command.cuts])
 
     def purge(self, command):
-        """The source tells a purge here first."""
-        self.source.take(time.monotonic(), command.number)
+        """Submit a purge at this control machine."""
+        self.source.add(time.monotonic(), command.number)
 
     def log(self, event, **values):
-        """Lines of the log are counted by what changed."""
+        """Count a log event, by its `change` if it has one."""
         change = values.get("change", event)
         self.changes[change] = self.changes.get(change, 0) + 1
 
     def sample(self, _):
-        """Counters up to now."""
+        """Return the current counters."""
         traffic, memory = self.traffic, resident_bytes()
         own = RouterSample(
             self.name,
@@ -224,6 +241,6 @@
         )
 
     def arrivals(self, _):
-        """What this source knows of its purges."""
+        """Return what this control machine knows of the purges submitted to it."""
         source = self.source
         return Arrivals(submitted=source.submitted, known=source.known, named=source.named)
--- a/brookhinge/emulator/capacity/results.py
+++ b/brookhinge/emulator/capacity/results.py
@@ -1,19 +1,20 @@
-"""Rows of figures, one for each run, and the data that is kept of them. A row names its command, date and revision."""
+"""Rows of figures, one for each run, and the file that stores them.
+
+A row records its command, date and revision.
+"""
 
 import json
 import subprocess
 from pathlib import Path
 
 ROOT = Path(__file__).parents[3]
-KEPT = ROOT / "benchmarks" / "results" / "capacity.json"
-LATE_S = (
-    0.25  # a run on sockets whose event loops were later than that says more of the machine than of the fleet
-)
+RESULTS_FILE = ROOT / "benchmarks" / "results" / "capacity.json"
+LATE_S = 0.25  # with later event loops, a run on sockets measures the machine rather than the fleet
 ROW_KEY = ("kind", "mechanism", "routers", "seed", "loss", "scenario")
 
 
 def revision():
-    """The short name of the checked-out commit, or nothing outside of a clone."""
+    """Return the short hash of the checked-out commit, or an empty string outside a clone."""
     try:
         done = subprocess.run(
             ["git", "rev-parse", "--short", "HEAD"], cwd=ROOT, capture_output=True, text=True, check=True
@@ -24,21 +25,21 @@
 
 
 def command(arguments):
-    """The command of a row, with the name under which the repository keeps it in the place of any other."""
+    """Return the command of a row, with the repository's results file in place of any other `--keep` path."""
     shown = list(arguments)
     if "--keep" in shown:
         shown[shown.index("--keep") + 1] = "benchmarks/results/capacity"
     return " ".join(["python -m benchmarks.capacity", *shown])
 
 
-def load(file=KEPT):
-    """Kept rows, in the order in which they were kept."""
+def load(file=RESULTS_FILE):
+    """Return the stored rows, in the order in which they were added."""
     path = Path(file)
     return json.loads(path.read_text())["rows"] if path.exists() else []
 
 
-def keep(rows, file=KEPT):
-    """Adds rows to the kept ones; a row of the same run takes the place of the one before."""
+def keep(rows, file=RESULTS_FILE):
+    """Add rows to the stored ones; a row replaces a stored one with the same ROW_KEY."""
     kept = {tuple(row[key] for key in ROW_KEY): row for row in [*load(file), *rows]}
     path = Path(file)
     path.parent.mkdir(parents=True, exist_ok=True)
@@ -47,12 +48,12 @@
 
 
 def select(rows, **wanted):
-    """Rows with those values."""
+    """Return the rows with the given values."""
     return [row for row in rows if all(row.get(key) == value for key, value in wanted.items())]
 
 
 def usable(row, phase):
-    """Whether a run has a phase, and the machine carried it."""
+    """Return whether a run has a phase and its event loops were on time in it."""
     if phase not in row["phases"]:
         return False
     whole_run = row["state"].get("loop_late_s", 0.0)
@@ -60,25 +61,25 @@
 
 
 def value(row, phase, figure, part=None):
-    """One figure of a row, or None where it was not measured."""
+    """Return one figure of a row, or None if it was not measured."""
     found = row["phases"].get(phase, {}).get(figure)
     return found.get(part) if part is not None and isinstance(found, dict) else found
 
 
 def worst(values):
-    """The largest of the values that were measured, or None."""
+    """Return the largest of the values that are not None, or None."""
     values = [one for one in values if one is not None]
     return max(values) if values else None
 
 
 def total(values):
-    """The sum of the values that were measured, or None."""
+    """Return the sum of the values that are not None, or None."""
     values = [one for one in values if one is not None]
     return sum(values) if values else None
 
 
 def summary(rows, mechanism, routers):
-    """The figures of one mechanism at one size: the worst router of all runs."""
+    """Return the figures of one mechanism at one size, for the worst router of all runs."""
     own = select(rows, mechanism=mechanism, routers=routers)
     everywhere = select(rows, mechanism=mechanism)
     phases = {phase for row in own for phase in row["phases"]}
@@ -97,7 +98,10 @@
 
 
 def flat(rows, least=132):
-    """The median cost of a router in bytes at the largest size over that at `least` routers, of one kind of run."""
+    """Return the ratio of a router's median traffic at the largest size to that at `least` routers.
+
+    Both sizes come from one kind of run, virtual if possible. None without both sizes.
+    """
     for kind in ("virtual", "sockets"):
         costs = {}
         for row in select(rows, kind=kind):
@@ -113,7 +117,7 @@
 
 
 def last_line(rows, routers, seed, loss, before, after):
-    """The JSON object of a run: the figures of the mechanism as it is, and `before`."""
+    """Return the JSON object of a run, with the figures of the earlier mechanism as `before`."""
     return {
         "routers": routers,
         "seed": seed,
--- a/brookhinge/emulator/capacity/router.py
+++ b/brookhinge/emulator/capacity/router.py
@@ -1,6 +1,9 @@
-"""One real router with its data path on the rig: processor time a query and a Gbit, memory a remembered object, descriptors
-before so many cache servers. Callers, cache servers and origin stand in the process that measures: they are what limits
-the rate, so that what a core bears is worked out from the processor time of the router's process."""
+"""Measures one real router with its data path on a process cluster.
+
+The figures are processor time per request and per Gbit, memory per remembered object, and open descriptors
+for a number of cache servers. Clients, cache servers and origin run in the measuring process and limit the
+request rate, so the capacity of a core is calculated from the processor time of the router's process.
+"""
 
 import asyncio
 import os
@@ -11,48 +14,53 @@
 from brookhinge.emulator.origin import Origin
 from brookhinge.emulator.process_cluster import ProcessCluster
 
-# connections, and queries open on each
-CALLERS = 4
-ASKED_AT_ONCE = 2
-# bytes of an object, least and most
+CONNECTIONS = 4
+REQUESTS_PER_CONNECTION = 2  # in flight at once
+# smallest and largest object in bytes
 SMALL = (5_000, 5_000)
 LARGE = (200_000, 200_000)
 OBJECTS = 50
 MEASURED_S = 6.0
 FRESH_OBJECTS = 10_000
-PATIENCE_MS = 2_900
+REQUEST_TIMEOUT_MS = 2_900
 
 
 class RouterProcess:
-    """Counters of a process from /proc."""
+    """Reads the counters of a process from /proc."""
 
     def __init__(self, pid):
         self.pid = pid
 
     def processor_s(self):
-        """Processor seconds, user and system."""
+        """Return user and system processor time in seconds."""
         with open(f"/proc/{self.pid}/stat") as file:
             fields = file.read().rsplit(")", 1)[1].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def memory_bytes(self):
-        """Bytes that it holds now."""
+        """Return the resident memory in bytes."""
         with open(f"/proc/{self.pid}/statm") as file:
             return int(file.read().split()[1]) * resource.getpagesize()
 
     def descriptors(self):
-        """How many descriptors are open."""
+        """Return the number of open descriptors."""
         return len(os.listdir(f"/proc/{self.pid}/fd"))
 
 
 class Tally:
-    """What became of queries."""
+    """Counts the results of requests.
+
+    Attributes:
+        satisfied: Number of satisfied requests.
+        other: Number of all other answers.
+        body_bytes: Total size of the bodies of satisfied requests.
+    """
 
     def __init__(self):
         self.satisfied = self.other = self.body_bytes = 0
 
     def add(self, kind, body):
-        """One answer."""
+        """Count one answer."""
         if kind == "satisfied":
             self.satisfied += 1
             self.body_bytes += len(body)
@@ -60,17 +68,17 @@
             self.other += 1
 
 
-async def ask_until(caller, objects, end, tally, size_kb):
-    """Asks one query after another until a moment, or until there are no objects left."""
+async def request_until(caller, objects, end, tally, size_kb):
+    """Send one request after another until `end`, or until there are no objects left."""
     for key in objects:
         if time.monotonic() >= end:
             return
-        kind, body = await caller.ask(key, size_kb=size_kb, patience_ms=PATIENCE_MS)
+        kind, body = await caller.ask(key, size_kb=size_kb, patience_ms=REQUEST_TIMEOUT_MS)
         tally.add(kind, body)
 
 
-def again_and_again(prefix, first):
-    """Keys of the same few objects without end."""
+def cycle_keys(prefix, first):
+    """Yield the keys of the same OBJECTS objects in an endless cycle, from number `first`."""
     number = first
     while True:
         yield f"{prefix}{number % OBJECTS:015x}"
@@ -78,28 +86,29 @@
 
 
 async def load(rig, end, streams, size_kb):
-    """Asks over several connections; a Tally."""
+    """Send streams of requests over several connections and return their Tally."""
     tally = Tally()
-    callers = [await rig.caller("n1") for _ in range(CALLERS)]
-    asking = [
-        ask_until(callers[k % CALLERS], stream, end, tally, size_kb) for k, stream in enumerate(streams)
+    callers = [await rig.caller("n1") for _ in range(CONNECTIONS)]
+    requests = [
+        request_until(callers[k % CONNECTIONS], stream, end, tally, size_kb)
+        for k, stream in enumerate(streams)
     ]
-    await asyncio.gather(*asking)
+    await asyncio.gather(*requests)
     for caller in callers:
         caller.close()
     return tally
 
 
 async def throughput(size):
-    """Cost of queries for objects of one size that the cache servers hold."""
+    """Return the cost of requests for objects of one size that the cache servers hold."""
     with tempfile.TemporaryDirectory(prefix="capacity-") as folder:
         rig = ProcessCluster(folder, routers=1, boxes=2)
         rig.origin = Origin(size, 0.005)
         async with rig:
             process = RouterProcess(rig.processes["n1"].pid)
             size_kb = size[1] / 1000.0
-            streams = [again_and_again("a", 7 * k) for k in range(CALLERS * ASKED_AT_ONCE)]
-            await load(rig, time.monotonic() + 2.0, streams, size_kb)  # the cache servers fill
+            streams = [cycle_keys("a", 7 * k) for k in range(CONNECTIONS * REQUESTS_PER_CONNECTION)]
+            await load(rig, time.monotonic() + 2.0, streams, size_kb)  # fills the cache servers
             before = process.processor_s()
             began = time.monotonic()
             tally = await load(rig, began + MEASURED_S, streams, size_kb)
@@ -119,7 +128,7 @@
 
 
 async def memory_and_descriptors(servers):
-    """Memory a remembered object, and descriptors before so many cache servers."""
+    """Return memory per remembered object, and open descriptors for a number of cache servers."""
     with tempfile.TemporaryDirectory(prefix="capacity-") as folder:
         async with ProcessCluster(folder, routers=1, boxes=servers) as rig:
             process = RouterProcess(rig.processes["n1"].pid)
@@ -127,7 +136,7 @@
             descriptors = process.descriptors()
             end = time.monotonic() + 60.0
             fresh = [f"b{number:015x}" for number in range(FRESH_OBJECTS)]
-            count = CALLERS * ASKED_AT_ONCE
+            count = CONNECTIONS * REQUESTS_PER_CONNECTION
             half = FRESH_OBJECTS // 2
             await load(rig, end, [iter(fresh[k:half:count]) for k in range(count)], 5.0)
             at_half = process.memory_bytes()
@@ -143,7 +152,7 @@
 
 
 async def measure_router(servers):
-    """All figures of one real router."""
+    """Return all figures of one real router."""
     return {
         "small": await throughput(SMALL),
         "large": await throughput(LARGE),
--- a/brookhinge/emulator/capacity/runs.py
+++ b/brookhinge/emulator/capacity/runs.py
@@ -1,5 +1,7 @@
-"""Which runs a command takes: one size, the short form, or all sizes and seeds. Each run plays the mechanism that the fleet
-had before (`peers`) and the one that it has (`log`) on the same seed."""
+"""Selects and executes the runs of a command: one size, the short form, or all sizes and seeds.
+
+Runs of the earlier purge mechanism (`peers`) and of the present one (`log`) use the same seeds.
+"""
 
 import asyncio
 import datetime
@@ -21,9 +23,9 @@
 from brookhinge.emulator.capacity.virtual import PeerFleet
 from brookhinge.emulator.capacity.virtual_log import LogFleet
 
-MECHANISMS = (PEERS, LOG)  # the one before first
+MECHANISMS = (PEERS, LOG)  # earlier one first
 SIZES = (66, 132, 265, 530, 1060)
-LARGEST_ON_SOCKETS = {PEERS: 132, LOG: 530}  # what half of a machine with 8 cores carries
+LARGEST_ON_SOCKETS = {PEERS: 132, LOG: 530}  # half of a machine with 8 cores can run this many
 SEEDS = (7, 8, 9)
 SHORT_SOCKETS = 66
 SHORT_VIRTUAL = (132, 530)
@@ -45,50 +47,67 @@
     cut=20.0,
 )
 SPAWN = multiprocessing.get_context("spawn")
-VIRTUAL_AT_ONCE = 2  # virtual runs beside each other
+CONCURRENT_VIRTUAL_RUNS = 2
 
 
 class Plan(NamedTuple):
-    """What a command asks for."""
+    """Settings of a command.
+
+    Attributes:
+        file: File with the `capacity` block.
+        layout: Layout of the file.
+        seed: Seed of the runs.
+        loss: Probability that a link drops a datagram, or None for that of the file.
+        report_progress: Prints a line of progress.
+    """
 
     file: str
     layout: Layout
     seed: int
     loss: float | None
-    tell: Callable[[str], None]
+    report_progress: Callable[[str], None]
 
 
 class VirtualJob(NamedTuple):
-    """One virtual run, as it is handed to a process."""
+    """One run in virtual time, as passed to a worker process.
+
+    Attributes:
+        file: File with the `capacity` block.
+        routers: Number of routers.
+        seed: Seed of the run.
+        loss: Probability that a link drops a datagram, or None for that of the file.
+        mechanism: How purges are distributed.
+        durations: Duration of each phase, or None for the cut of an hour.
+    """
 
     file: str
     routers: int
     seed: int
     loss: float | None
     mechanism: str
-    durations: Durations | None  # None: the hour's cut
+    durations: Durations | None
 
 
 def virtual_fleet(layout, seed, mechanism):
-    """A fleet in virtual time."""
+    """Return a fleet in virtual time that uses a mechanism."""
     return (PeerFleet if mechanism == PEERS else LogFleet)(layout, seed)
 
 
-async def play(stage, mechanism, seed, durations, tell):
-    """One run on a stage; its row."""
+async def play(stage, mechanism, seed, durations, report_progress):
+    """Execute one run on a stage and return its row."""
     async with stage:
-        phases = await Scenario(stage, mechanism, seed, durations, tell).run()
+        phases = await Scenario(stage, mechanism, seed, durations, report_progress).run()
         state = stage.state()
     return row_of(stage.kind, stage.layout, mechanism, seed, scenario_of(durations), phases, state)
 
 
 def scenario_of(durations):
-    """The name under which runs of those phases are kept."""
+    """Return the scenario name of runs with these durations."""
     return "all phases" if durations == ALL_PHASES else "cost"
 
 
 def row_of(kind, layout, mechanism, seed, scenario, phases, state):
-    """The row of one run."""
+    """Return the row of one run."""
     return {
         "kind": kind,
         "mechanism": mechanism,
@@ -107,13 +126,19 @@
 
 
 async def play_on_sockets(plan, layout, seed, mechanism, durations):
-    """One run on sockets."""
-    return await play(SocketStage(layout, seed, mechanism, plan.tell), mechanism, seed, durations, plan.tell)
+    """Execute one run on sockets and return its row."""
+    return await play(
+        SocketStage(layout, seed, mechanism, plan.report_progress),
+        mechanism,
+        seed,
+        durations,
+        plan.report_progress,
+    )
 
 
 def play_virtually(job):
-    """One run in virtual time; also called in a process of its own."""
-    gc.disable()  # a collection would count for whichever router happens to run
+    """Execute one run in virtual time, in a worker process, and return its row."""
+    gc.disable()  # a collection would add to the processor time of whichever router runs at that time
     layout = read_layout(job.file, job.routers, job.loss)
     if job.durations is None:
         phases = HourOfCut(layout, job.seed).run()
@@ -123,93 +148,101 @@
 
 
 async def play_jobs(plan, jobs, keep=lambda rows: None):
-    """Virtual runs, a few at a time; rows in the order of the jobs."""
+    """Execute virtual runs, a few at a time, and return their rows in the order of completion."""
     loop = asyncio.get_running_loop()
     rows = []
-    with ProcessPoolExecutor(VIRTUAL_AT_ONCE, max_tasks_per_child=1, mp_context=SPAWN) as pool:
+    with ProcessPoolExecutor(CONCURRENT_VIRTUAL_RUNS, max_tasks_per_child=1, mp_context=SPAWN) as pool:
         for done in asyncio.as_completed([loop.run_in_executor(pool, play_virtually, job) for job in jobs]):
             row = await done
-            plan.tell(f"virtual, {row['mechanism']}, {row['routers']} routers, seed {row['seed']}: done")
+            plan.report_progress(
+                f"virtual, {row['mechanism']}, {row['routers']} routers, seed {row['seed']}: done"
+            )
             keep([row])
             rows.append(row)
     return rows
 
 
 def last_line(plan, rows, routers):
-    """The JSON object of a command."""
-    known = MECHANISMS
-    return results.last_line(rows, routers, plan.seed, plan.layout.capacity.loss, known[0], known[-1])
+    """Return the JSON object that a command prints as its last line."""
+    mechanisms = MECHANISMS
+    return results.last_line(
+        rows, routers, plan.seed, plan.layout.capacity.loss, mechanisms[0], mechanisms[-1]
+    )
 
 
-async def single_run(plan, given):
-    """One size on sockets, or in virtual time, with the mechanism before and the one as it is."""
+async def single_run(plan, options):
+    """Run one size on sockets or in virtual time, with each selected mechanism."""
     rows = []
-    for mechanism in chosen(given):
-        if given.virtual:
+    for mechanism in selected_mechanisms(options):
+        if options.virtual:
             job = VirtualJob(plan.file, plan.layout.routers, plan.seed, plan.loss, mechanism, ALL_PHASES)
             rows += await play_jobs(plan, [job])
         elif plan.layout.routers <= LARGEST_ON_SOCKETS[mechanism]:
             rows.append(await play_on_sockets(plan, plan.layout, plan.seed, mechanism, ALL_PHASES))
         else:
-            plan.tell(
-                f"{mechanism}: {plan.layout.routers} routers are more than a machine carries on sockets"
+            plan.report_progress(
+                f"{mechanism}: {plan.layout.routers} routers are more than a machine can run on sockets"
             )
-    if given.keep:
-        results.keep(rows, given.keep + ".json")
+    if options.keep:
+        results.keep(rows, options.keep + ".json")
     return last_line(plan, rows, plan.layout.routers)
 
 
-async def short_run(plan, given):
-    """Under a minute: a small fleet on sockets, two sizes in virtual time."""
-    known = MECHANISMS
-    sizes = (given.routers,) if given.routers else SHORT_VIRTUAL
+async def short_run(plan, options):
+    """Run a small fleet on sockets and two sizes in virtual time, in under a minute."""
+    mechanisms = MECHANISMS
+    sizes = (options.routers,) if options.routers else SHORT_VIRTUAL
     jobs = [
         VirtualJob(plan.file, size, plan.seed, plan.loss, mechanism, SHORT)
         for size in reversed(sizes)
-        for mechanism in known
+        for mechanism in mechanisms
     ]
     rows = await play_jobs(plan, jobs)
     small = Layout(plan.layout.capacity, min(SHORT_SOCKETS, *sizes))
-    rows.append(await play_on_sockets(plan, small, plan.seed, known[-1], SHORT))
+    rows.append(await play_on_sockets(plan, small, plan.seed, mechanisms[-1], SHORT))
     return last_line(plan, rows, max(sizes))
 
 
-def chosen(given):
-    """The mechanisms that a command asks for."""
-    return [one for one in MECHANISMS if given.mechanism in (None, one)]
+def selected_mechanisms(options):
+    """Return the mechanisms that a command selects."""
+    return [one for one in MECHANISMS if options.mechanism in (None, one)]
 
 
-async def long_run(plan, given):
-    """All sizes and seeds; each row is kept as soon as it is there."""
+async def long_run(plan, options):
+    """Run all sizes and seeds, and store each row as soon as its run ends."""
 
     def keep(rows):
-        results.keep(rows, given.keep + ".json")
+        results.keep(rows, options.keep + ".json")
 
     size = plan.layout.capacity.routers
-    jobs = [VirtualJob(plan.file, size, seed, plan.loss, LOG, None) for seed in SEEDS if LOG in chosen(given)]
+    jobs = [
+        VirtualJob(plan.file, size, seed, plan.loss, LOG, None)
+        for seed in SEEDS
+        if LOG in selected_mechanisms(options)
+    ]
     jobs += [
         VirtualJob(plan.file, routers, seed, plan.loss, mechanism, VIRTUAL)
-        for mechanism in chosen(given)
+        for mechanism in selected_mechanisms(options)
         for routers in SIZES
         for seed in SEEDS
     ]
     jobs += [
         VirtualJob(plan.file, size, plan.seed, plan.loss, mechanism, ALL_PHASES)
-        for mechanism in chosen(given)
+        for mechanism in selected_mechanisms(options)
     ]
-    if given.virtual:
+    if options.virtual:
         await play_jobs(plan, jobs, keep)
-    elif given.sockets:
-        await all_on_sockets(plan, given, keep)
+    elif options.sockets:
+        await all_on_sockets(plan, options, keep)
     else:
-        await all_on_sockets(plan, given, keep)
+        await all_on_sockets(plan, options, keep)
         await play_jobs(plan, jobs, keep)
-    return last_line(plan, results.load(given.keep + ".json"), size)
+    return last_line(plan, results.load(options.keep + ".json"), size)
 
 
-async def all_on_sockets(plan, given, keep):
-    """Each size that the machine carries on three seeds, and the largest with all phases."""
-    for mechanism in chosen(given):
+async def all_on_sockets(plan, options, keep):
+    """Run each size that the machine can run on sockets with all seeds, and the largest with all phases."""
+    for mechanism in selected_mechanisms(options):
         sizes = [size for size in SIZES if size <= LARGEST_ON_SOCKETS[mechanism]]
         for size in reversed(sizes):
             layout = Layout(plan.layout.capacity, size)
@@ -219,10 +252,10 @@
         keep([await play_on_sockets(plan, layout, plan.seed, mechanism, ALL_PHASES)])
 
 
-async def router_run(plan, given):
-    """One real router with its data path."""
+async def router_run(plan, options):
+    """Measure one real router with its data path."""
     phases = await measure_router(plan.layout.capacity.caches)
     row = row_of("rig", Layout(plan.layout.capacity, 1), "data path", plan.seed, "router", phases, {})
-    if given.keep:
-        results.keep([row], given.keep + ".json")
+    if options.keep:
+        results.keep([row], options.keep + ".json")
     return {"routers": 1, "seed": plan.seed, **phases}
--- a/brookhinge/emulator/capacity/stage.py
+++ b/brookhinge/emulator/capacity/stage.py
@@ -1,4 +1,4 @@
-"""A fleet as a scenario plays it: the same calls on sockets and in virtual time."""
+"""One interface for scenarios to a fleet on sockets and to a fleet in virtual time."""
 
 import asyncio
 import time
@@ -8,11 +8,17 @@
 from brookhinge.emulator.capacity.measure import PurgeRecord, counters_of_samples
 from brookhinge.emulator.capacity.messages import Drain, Kill, Restart, SetDemand
 
-POLL_S = 0.25  # between two looks for something that is waited for
+POLL_S = 0.25  # between two checks of a condition
 
 
-class Fates(NamedTuple):
-    """PurgeRecord by number, router -> when it last started (None: not up), router -> rules of the purge log."""
+class PurgeOutcomes(NamedTuple):
+    """What became of purges.
+
+    Attributes:
+        records: PurgeRecord by number.
+        started: When each router last started, or None if it is down, by name.
+        rules: (time, CopyRule name) of each rule of the purge log, by router.
+    """
 
     records: dict[int, PurgeRecord]
     started: dict[str, float | None]
@@ -20,13 +26,18 @@
 
 
 class SocketStage:
-    """A fleet of processes on loopback sockets."""
+    """A fleet of processes on loopback sockets.
+
+    Attributes:
+        lag_s: Largest event loop delay of the run in seconds.
+        phase_lag_s: Largest event loop delay between the last two counters, in seconds.
+    """
 
     kind = "sockets"
 
-    def __init__(self, layout, seed, mechanism, tell):
+    def __init__(self, layout, seed, mechanism, report_progress):
         self.layout = layout
-        self.fleet = FleetProcesses(layout, seed, mechanism, tell)
+        self.fleet = FleetProcesses(layout, seed, mechanism, report_progress)
         self.tasks = []
         self.samples = {}
         self.lag_s = self.phase_lag_s = 0.0
@@ -46,99 +57,99 @@
         await self.fleet.__aexit__(*fault)
 
     def now(self):
-        """Seconds of the clock that all moments are told by."""
+        """Return the monotonic time that all timestamps use."""
         return time.monotonic()
 
     async def wait(self, seconds):
-        """Lets so much time pass."""
+        """Wait for a number of seconds."""
         await asyncio.sleep(seconds)
 
-    def plan(self, at_s, call, *args):
-        """Calls so many seconds from now."""
-        self.tasks.append(asyncio.ensure_future(self.later(at_s, call, *args)))
+    def schedule(self, delay_s, call, *args):
+        """Schedule a call in `delay_s` seconds."""
+        self.tasks.append(asyncio.ensure_future(self.call_later(delay_s, call, *args)))
 
     @staticmethod
-    async def later(seconds, call, *args):
-        """Waits, then calls."""
+    async def call_later(seconds, call, *args):
+        """Call a function after a delay."""
         await asyncio.sleep(seconds)
         call(*args)
 
     def purge(self, planned):
-        """A source tells a purge."""
+        """Submit a purge at its source."""
         self.fleet.purge(planned)
 
     def drain(self, planned):
-        """A router's command channel tells of a drain."""
+        """Submit a drain at a router's command channel."""
         self.fleet.send(planned.site, Drain(planned.number, planned.server, planned.router))
 
     def set_demand(self, room):
-        """Part of the servers' room in use on the mean."""
+        """Set the mean part of the servers' capacity in use."""
         self.fleet.send_all(SetDemand(room))
 
     def set_cuts(self, cuts):
-        """Cuts in force from now on."""
+        """Replace the cuts in force."""
         self.fleet.set_cuts(cuts)
 
     def restart(self, site, routers, graceful):
-        """Routers of a site start anew."""
+        """Restart routers of a site, after announcing that they leave if `graceful`."""
         self.fleet.send(site, Restart(list(routers), self.fleet.join_addresses(), graceful))
 
     def kill(self, site, router):
-        """A router ends without a word."""
+        """Kill a router without a clean shutdown."""
         self.fleet.send(site, Kill([router]))
 
     async def kill_control(self, number):
-        """A control machine ends without a word."""
+        """Kill a control machine without a clean shutdown."""
         await self.fleet.kill_control(number)
 
     async def start_control(self, number):
-        """A control machine starts anew."""
+        """Restart a control machine."""
         await self.fleet.start_control(number)
 
     async def counters(self):
-        """Counters of all routers."""
+        """Return the counters of all routers, by name."""
         self.samples = await self.fleet.samples()
         self.phase_lag_s = max(sample.lag_s for sample in self.samples.values())
         self.lag_s = max(self.lag_s, self.phase_lag_s)
         return counters_of_samples(self.samples)
 
     async def control_counters(self):
-        """Counters of all control machines."""
+        """Return the counters of all running control machines, by name."""
         samples = await self.fleet.control_samples()
         return counters_of_samples(samples)
 
     async def known(self):
-        """Router that is up -> how many it believes alive or suspects."""
+        """Return how many members each running router considers alive or suspect, by name."""
         samples = await self.fleet.samples()
         routers = [router for sample in samples.values() for router in sample.routers]
         return {router.name: router.known for router in routers if router.up}
 
     async def records(self, numbers):
-        """What became of purges as of now."""
+        """Return what became of purges so far."""
         arrivals = await self.fleet.arrivals()
         controls = await self.fleet.control_arrivals()
         sources = [*arrivals.values(), *controls]
-        submitted = {number: at for one in sources for number, at in one.submitted.items()}
-        known = {number: at for one in sources for number, at in one.known.items()}
-        named = {number: names for one in sources for number, names in one.named.items()}
-        started = {name: at for one in arrivals.values() for name, at in one.started.items()}
+        submitted = {number: at for source in sources for number, at in source.submitted.items()}
+        known = {number: at for source in sources for number, at in source.known.items()}
+        named = {number: names for source in sources for number, names in source.named.items()}
+        started = {name: at for source in arrivals.values() for name, at in source.started.items()}
         records = {}
         for number in numbers:
             if number not in submitted:
                 continue
             in_force = {}
-            for one in arrivals.values():
-                in_force.update(one.in_force.get(number, {}))
+            for source in arrivals.values():
+                in_force.update(source.in_force.get(number, {}))
             records[number] = PurgeRecord(submitted[number], in_force, known.get(number), named.get(number))
-        rules = {name: rules for one in arrivals.values() for name, rules in one.rules.items()}
-        return Fates(records, started, rules)
+        rules = {name: rules for source in arrivals.values() for name, rules in source.rules.items()}
+        return PurgeOutcomes(records, started, rules)
 
     def lateness(self):
-        """By how much event loops were late between the last two times that counters were asked for."""
+        """Return the largest event loop delay between the last two counters, as figures of a phase."""
         return {"loop_late_s": round(self.phase_lag_s, 3)}
 
     def state(self):
-        """What the processes hold and how late they were."""
+        """Return the memory of the processes and their largest event loop delay."""
         grown = [
             sample.grown_bytes / len(sample.routers) / 1e6
             for sample in self.samples.values()
@@ -153,7 +164,7 @@
 
 
 class VirtualStage:
-    """A fleet in virtual time."""
+    """A fleet in virtual time, with the interface of SocketStage."""
 
     kind = "virtual"
 
@@ -169,79 +180,83 @@
         pass
 
     def now(self):
-        """Seconds of the virtual clock."""
+        """Return the virtual time in seconds."""
         return self.fleet.network.now
 
     async def wait(self, seconds):
-        """Plays on for so long."""
+        """Run the simulation for a number of seconds."""
         self.fleet.run(seconds)
 
-    def plan(self, at_s, call, *args):
-        """Calls so many seconds from now."""
-        self.fleet.network.at(self.now() + at_s, call, *args)
+    def schedule(self, delay_s, call, *args):
+        """Schedule a call in `delay_s` seconds."""
+        self.fleet.network.at(self.now() + delay_s, call, *args)
 
     def purge(self, planned):
-        """A source tells a purge."""
+        """Submit a purge at its source."""
         self.fleet.purge(planned)
 
     def drain(self, planned):
-        """A router's command channel tells of a drain."""
+        """Submit a drain at a router's command channel."""
         self.fleet.drain(planned)
 
     def set_demand(self, room):
-        """Limits are not played in virtual time."""
+        """Do nothing: limits are not simulated in virtual time."""
 
     def set_cuts(self, cuts):
-        """Cuts in force from now on."""
+        """Replace the cuts in force."""
         self.fleet.set_cuts(cuts)
 
     def restart(self, site, routers, graceful):
-        """Routers of a site start anew."""
+        """Restart routers of a site, after announcing that they leave if `graceful`."""
         for router in routers:
             self.fleet.restart(self.layout.sites[site].name_of(router), graceful)
 
     def kill(self, site, router):
-        """A router ends without a word."""
+        """Kill a router without a clean shutdown."""
         self.fleet.kill(self.layout.sites[site].name_of(router))
 
     async def kill_control(self, number):
-        """A control machine ends without a word."""
+        """Kill a control machine without a clean shutdown."""
         self.fleet.kill_control(number)
 
     async def start_control(self, number):
-        """A control machine starts anew."""
+        """Restart a control machine."""
         self.fleet.start_control(number)
 
     async def counters(self):
-        """Counters of all routers."""
+        """Return the counters of all routers, by name."""
         return self.fleet.counters()
 
     async def known(self):
-        """Router that is up -> how many it believes alive or suspects."""
+        """Return how many members each running router considers alive or suspect, by name."""
         return self.fleet.known_members()
 
     async def records(self, numbers):
-        """What became of purges as of now."""
-        return Fates(self.fleet.records(numbers), self.fleet.started(), self.fleet.rules())
+        """Return what became of purges so far."""
+        return PurgeOutcomes(self.fleet.records(numbers), self.fleet.started(), self.fleet.rules())
 
     async def control_counters(self):
-        """Counters of all control machines."""
+        """Return the counters of all running control machines, by name."""
         return self.fleet.control_counters()
 
     def lateness(self):
-        """Virtual time is never late."""
+        """Return no figures: there is no event loop delay in virtual time."""
         return {}
 
     def state(self):
-        """Nothing that a process holds is measured in virtual time."""
+        """Return no figures: process state is not measured in virtual time."""
         return {}
 
 
-async def wait_until(stage, holds, most_s):
-    """Seconds until `await holds()`; None if it did not within `most_s`."""
+async def wait_until(stage, condition, timeout_s):
+    """Wait until `await condition()` is true.
+
+    Returns:
+        Seconds waited, or None if `timeout_s` passed first.
+    """
     began = stage.now()
-    while stage.now() - began < most_s:
-        if await holds():
+    while stage.now() - began < timeout_s:
+        if await condition():
             return round(stage.now() - began, 3)
         await stage.wait(POLL_S)
     return None
--- a/brookhinge/emulator/capacity/virtual.py
+++ b/brookhinge/emulator/capacity/virtual.py
@@ -1,5 +1,9 @@
-"""The control path of a whole fleet in virtual time: the same cores, the real encoding, links of the layout; the clock and
-the sockets are stood in for. Processor time is measured around each call of a router, encoding included, sockets not."""
+"""Simulates the control path of a whole fleet in virtual time.
+
+The cores and the encoding are those of production and the links are those of the layout; clock and sockets
+are simulated. Processor time is measured around each call of a router, so it includes the encoding but not
+the sockets.
+"""
 
 import heapq
 import random
@@ -7,51 +11,58 @@
 from typing import NamedTuple
 
 from brookhinge.emulator.capacity.hollow import FLEET, GROUP_OF_OBJECTS, KEY
-from brookhinge.emulator.capacity.links import HEADERS, Links, Traffic
+from brookhinge.emulator.capacity.links import HEADER_BYTES, Links, Traffic
 from brookhinge.emulator.capacity.measure import Counters, PurgeRecord
 from brookhinge.membership.codec import VERSION, Codec
 from brookhinge.membership.local_member import Identity
 from brookhinge.membership.peer import Peer
 
 MEMBERSHIP_PORT = 1
-LEAST_WAIT_S = 0.001  # of a timer, as on sockets
-BORN_MS = 1_000_000
+MIN_TIMER_S = 0.001  # as on sockets
+BORN_MS = 1_000_000  # wall clock at virtual time 0
 
 
 class Address(NamedTuple):
-    """Where a datagram goes."""
+    """Address of an endpoint."""
 
     host: str
     port: int
 
 
 class Network:
-    """A clock and datagrams under way. Endpoints have `receive(data, source)` and `wake()`."""
+    """The virtual clock and the queue of scheduled calls, including datagrams in flight.
+
+    Attributes:
+        now: Virtual time in seconds.
+        queue: Heap of (time, serial, call, args).
+        serial: Number of scheduled calls; orders calls at the same time.
+        endpoints: Open Endpoint by address.
+    """
 
     def __init__(self):
         self.now, self.queue, self.serial, self.endpoints = 0.0, [], 0, {}
 
     def at(self, moment, call, *args):
-        """Calls at a moment to come."""
+        """Schedule a call at a virtual time."""
         self.serial += 1
         heapq.heappush(self.queue, (moment, self.serial, call, args))
 
     def send(self, sender, data, address):
-        """A datagram of an endpoint takes its links."""
+        """Send a datagram of an endpoint over its links."""
         sender.traffic.sent += 1
-        sender.traffic.sent_bytes += len(data) + HEADERS
+        sender.traffic.sent_bytes += len(data) + HEADER_BYTES
         for delay in sender.links.copies(address[0]):
             self.at(self.now + delay, self.deliver, data, address, sender.address)
 
     def deliver(self, data, address, source):
-        """A datagram has come to an address."""
+        """Deliver a datagram to the endpoint at an address, if there is one."""
         endpoint = self.endpoints.get(tuple(address))
         if endpoint is not None:
             endpoint.traffic.count_received(data)
             endpoint.receive(data, source)
 
     def run(self, seconds):
-        """Plays on for so long."""
+        """Run all calls due within the next `seconds`."""
         end = self.now + seconds
         while self.queue and self.queue[0][0] <= end:
             moment, _, call, args = heapq.heappop(self.queue)
@@ -61,7 +72,14 @@
 
 
 class Endpoint:
-    """Something that receives datagrams and has to be woken at times; its processor time is counted."""
+    """Receives datagrams and runs timers; base of routers and control machines.
+
+    Subclasses define `take(data, source)`, `tick()` and `next_at()`.
+
+    Attributes:
+        processor_s: Processor time spent, in seconds.
+        wake_at: Virtual time of the scheduled wake-up, or None.
+    """
 
     def __init__(self, network, address, links, traffic):
         self.network, self.address, self.links, self.traffic = network, address, links, traffic
@@ -69,38 +87,43 @@
         network.endpoints[tuple(address)] = self
 
     def close(self):
-        """Receives nothing any more and is not woken."""
+        """Stop receiving datagrams and cancel the wake-up."""
         if self.network.endpoints.get(tuple(self.address)) is self:
             del self.network.endpoints[tuple(self.address)]
         self.wake_at = None
 
-    def measured(self, call, *args):
-        """Calls, and counts the processor time; then plans the next waking."""
+    def call_measured(self, call, *args):
+        """Call a function, count its processor time and schedule the next wake-up."""
         began = time.process_time()
         call(*args)
         self.processor_s += time.process_time() - began
-        self.plan(self.next_at())
+        self.schedule_wake(self.next_at())
 
-    def plan(self, moment):
-        """Wakes at that moment, if not earlier anyway."""
-        moment = max(moment, self.network.now + LEAST_WAIT_S)
+    def schedule_wake(self, moment):
+        """Schedule a wake-up, unless an earlier one is scheduled."""
+        moment = max(moment, self.network.now + MIN_TIMER_S)
         if moment != float("inf") and (self.wake_at is None or moment < self.wake_at):
             self.wake_at = moment
             self.network.at(moment, self.wake, moment)
 
     def wake(self, moment):
-        """Ticks, unless an earlier waking has been planned since."""
+        """Run the timers, unless this wake-up was replaced by an earlier one or canceled."""
         if self.wake_at == moment:
             self.wake_at = None
-            self.measured(self.tick)
+            self.call_measured(self.tick)
 
     def receive(self, data, source):
-        """A datagram came."""
-        self.measured(self.take, data, source)
+        """Process a received datagram."""
+        self.call_measured(self.take, data, source)
 
 
 class VirtualPeer(Endpoint):
-    """One router's membership. `on_notice(kind, values)`: notices of peers."""
+    """One router's membership.
+
+    Attributes:
+        on_notice: Called with (kind, values) of each notice from a peer.
+        changes: Number of membership changes by name.
+    """
 
     def __init__(self, network, router, join, born_ms, starts, on_notice):
         super().__init__(network, Address(router.host, MEMBERSHIP_PORT), router.links, router.traffic)
@@ -114,50 +137,59 @@
         )
 
     def take(self, data, _):
-        """A datagram into the core."""
+        """Decode a datagram and pass it to the core."""
         received = self.codec.read(data)
         if received is not None:
             self.core.round(self.network.now, [received], self)
 
     def tick(self):
-        """What is due."""
+        """Run the core's due timers."""
         self.core.round(self.network.now, [], self)
 
     def next_at(self):
-        """When something is due."""
+        """Return when the core's next timer is due."""
         return self.core.next_at()
 
     def claim(self):
-        """What it says of itself."""
+        """Return the router's membership claim."""
         return self.core.claim(self.network.now)
 
     def leave(self):
-        """Tells its peers that it goes."""
+        """Announce to peers that the router leaves."""
         self.core.leave(self.network.now, self)
 
     def spread(self, kind, *values):
-        """Tells a notice to its peers."""
-        self.measured(self.core.spread, self.network.now, kind, values, self)
+        """Send a notice to the peers."""
+        self.call_measured(self.core.spread, self.network.now, kind, values, self)
 
-    # the core's writer
+    # interface of the core's writer
 
     def send(self, address, message, updates, notices):
-        """A message of the core onto its links."""
+        """Encode a message of the core and send it."""
         data = self.codec.write(self.claim(), self.core.view.digest(), message, updates, notices)
         if data is not None:
             self.network.send(self, data, address)
 
     def changed(self, change, name, reporter):
-        """A change of a member."""
+        """Count a membership change."""
         self.changes[change] = self.changes.get(change, 0) + 1
 
     def notice(self, kind, values, reporter):
-        """A notice of a peer."""
+        """Pass on a notice from a peer."""
         self.on_notice(kind, values)
 
 
 class VirtualRouter:
-    """One router: its membership and, with the log, its subscriber."""
+    """One router: its membership and, with the purge log, its subscriber.
+
+    Attributes:
+        arrivals: When each purge or drain took effect here, by number.
+        rules: (time, CopyRule name) of each rule that the purge log applied to copies that the router holds.
+        starts: Number of starts.
+        started_at: When the router last started, or None if it is down.
+        processor_before_s: Processor time of earlier incarnations of the router, in seconds.
+        endpoints: Endpoints of the running router.
+    """
 
     def __init__(self, fleet, site, number):
         self.fleet, self.site, self.number, self.seed = fleet, site, number, fleet.seed
@@ -165,32 +197,32 @@
         self.traffic = Traffic()
         self.links = Links(fleet.layout, site.index, f"{fleet.seed} {self.name}")
         self.arrivals, self.rules, self.starts, self.started_at = {}, [], 0, None
-        self.processor_before_s = 0.0  # of the processes under this name that ended
+        self.processor_before_s = 0.0
         self.endpoints = []
 
     def start(self, join=()):
-        """Starts it, or starts it anew."""
+        """Start or restart the router, without scheduling its first rounds."""
         self.starts += 1
         self.started_at = self.fleet.network.now
         self.arrivals, self.rules = {}, []
         born_ms = BORN_MS + round(1000 * self.started_at)
-        self.endpoints = self.fleet.more_endpoints(self)
+        self.endpoints = self.fleet.other_endpoints(self)
         if self.fleet.membership:
             self.peer = VirtualPeer(self.fleet.network, self, join, born_ms, self.starts, self.notice)
             self.endpoints.append(self.peer)
 
     def begin(self):
-        """Plans its first rounds."""
+        """Schedule the first rounds."""
         for endpoint in self.endpoints:
-            endpoint.plan(endpoint.next_at())
+            endpoint.schedule_wake(endpoint.next_at())
 
     def leave(self):
-        """Says that it goes."""
+        """Announce that the router leaves."""
         for endpoint in self.endpoints:
             endpoint.leave()
 
     def kill(self):
-        """Ends without a word."""
+        """Stop without a clean shutdown."""
         self.processor_before_s = self.processor_s()
         self.started_at = None
         for endpoint in self.endpoints:
@@ -198,19 +230,19 @@
         self.endpoints = []
 
     def processor_s(self):
-        """Processor seconds spent under its name."""
+        """Return the processor time of the router in seconds, earlier incarnations included."""
         return self.processor_before_s + sum(endpoint.processor_s for endpoint in self.endpoints)
 
     def notice(self, kind, values):
-        """A notice of a peer."""
-        self.in_force(int(values[1], 16) if kind == "purge" else values[1])
+        """Handle a notice from a peer, which takes effect on arrival."""
+        self.record_in_force(int(values[1], 16) if kind == "purge" else values[1])
 
-    def in_force(self, purge):
-        """A purge is in force here."""
+    def record_in_force(self, purge):
+        """Record when a purge or drain first took effect at this router."""
         self.arrivals.setdefault(purge, self.fleet.network.now)
 
     def counters(self):
-        """Its counters up to now."""
+        """Return the router's counters."""
         traffic = self.traffic
         return Counters(
             self.fleet.network.now,
@@ -223,26 +255,40 @@
 
 
 class PeerFleet:
-    """A fleet whose purges are told among peers, in virtual time."""
+    """A fleet in virtual time whose peers distribute purges.
+
+    Attributes:
+        membership: Whether routers run membership.
+        routers: VirtualRouter by name.
+        submitted: When each purge or drain was submitted, by number.
+        cuts: Cuts in force.
+    """
 
     mechanism = "peers"
 
-    def __init__(self, layout, seed, chosen=lambda site, number: True, membership=True):
-        """chosen: which routers of the layout are played; membership: whether they have any beside the purge log."""
+    def __init__(self, layout, seed, is_simulated=lambda site, number: True, membership=True):
+        """Create the fleet.
+
+        Args:
+            layout: Layout of the fleet.
+            seed: Seed of the run.
+            is_simulated: Given a site and a router's number, returns whether the router is simulated.
+            membership: Whether routers run membership in addition to the purge log.
+        """
         self.layout, self.seed, self.network = layout, seed, Network()
         self.membership, self.routers, self.submitted, self.cuts = membership, {}, {}, []
         for site in layout.sites:
             for number in range(site.routers):
-                if chosen(site, number):
+                if is_simulated(site, number):
                     router = VirtualRouter(self, site, number)
                     self.routers[router.name] = router
 
-    def more_endpoints(self, router):
-        """Endpoints of a router beside its membership."""
+    def other_endpoints(self, router):
+        """Return the endpoints of a router other than its membership."""
         return []
 
     def start_filled(self):
-        """Starts all routers with views that know the whole fleet."""
+        """Start all routers with views of the whole fleet."""
         for router in self.routers.values():
             router.start()
         claims = [router.peer.claim() for router in self.routers.values() if self.membership]
@@ -252,76 +298,76 @@
             router.begin()
 
     def run(self, seconds):
-        """Plays on."""
+        """Run the simulation for a number of seconds."""
         self.network.run(seconds)
 
     def join_addresses(self):
-        """One address at each of three sites."""
+        """Return one router address at each of three sites."""
         hosts = [site.host_of(0) for site in self.layout.sites if site.routers]
         return [Address(host, MEMBERSHIP_PORT) for host in hosts[:: max(1, len(hosts) // 3)][:3]]
 
     def purge(self, planned):
-        """A source tells a purge."""
+        """Submit a purge at its source, if the router is running."""
         router = self.routers[self.layout.sites[planned.site].name_of(planned.router)]
         if router.started_at is None:
             return
         self.submitted[planned.number] = self.network.now
-        router.in_force(planned.number)
+        router.record_in_force(planned.number)
         stamp_ms = BORN_MS + round(1000 * self.network.now)
         router.peer.spread("purge", GROUP_OF_OBJECTS, f"{planned.number:016x}", stamp_ms)
 
     def plan_purges(self, purges):
-        """Each purge at its moment from now."""
+        """Schedule purges, at times relative to now."""
         for planned in purges:
             self.network.at(self.network.now + planned.at_s, self.purge, planned)
 
     def set_cuts(self, cuts):
-        """Cuts in force from now on."""
+        """Replace the cuts in force."""
         self.cuts = cuts
         for router in self.routers.values():
             router.links.cut(cuts)
 
     def submitted_at(self, number):
-        """When a purge was told, None if it was not."""
+        """Return when a purge was submitted, or None if it was not."""
         return self.submitted.get(number)
 
     def known_at(self, number):
-        """When its source knew that a purge is in force everywhere: peers can't tell."""
+        """Return None: without the purge log, a source does not learn when a purge is in force everywhere."""
         return None
 
     def named(self, number):
-        """Whom its source named as missing: peers can't tell."""
+        """Return None: without the purge log, a source does not learn which routers are missing."""
         return None
 
     def rules(self):
-        """Router -> (moment, CopyRule) of the purge log: there is none."""
+        """Return no rules: there is no purge log."""
         return {}
 
     def control_counters(self):
-        """Counters of all control machines: there are none."""
+        """Return no counters: there are no control machines."""
         return {}
 
     def drain(self, planned):
-        """A router's command channel tells of a drain."""
+        """Submit a drain at a router's command channel, if the router is running."""
         router = self.routers[self.layout.sites[planned.site].name_of(planned.router)]
         if router.started_at is not None:
             self.submitted[planned.number] = self.network.now
-            router.in_force(planned.number)
+            router.record_in_force(planned.number)
             router.peer.spread("draining", planned.server, planned.number)
 
     def kill(self, name):
-        """A router ends without a word."""
+        """Kill a router without a clean shutdown."""
         router = self.routers[name]
         if router.started_at is not None:
             router.kill()
 
     def known_members(self):
-        """Router that is up -> how many it believes alive or suspects."""
+        """Return how many members each running router considers alive or suspect, by name."""
         up = [router for router in self.routers.values() if router.started_at is not None]
         return {router.name: len(router.peer.core.view.present()) for router in up}
 
     def restart(self, name, graceful=False):
-        """A router starts anew, after a word of leaving if graceful."""
+        """Restart a router, after announcing that it leaves if `graceful`."""
         router = self.routers[name]
         if router.started_at is not None and graceful:
             router.leave()
@@ -330,12 +376,12 @@
         router.begin()
 
     def counters(self):
-        """Counters of all routers."""
+        """Return the counters of all routers, by name."""
         return {name: router.counters() for name, router in self.routers.items()}
 
     def records(self, numbers):
-        """PurgeRecord of each of those purges that was told."""
-        told = [number for number in numbers if self.submitted_at(number) is not None]
+        """Return the PurgeRecord of each given purge or drain that was submitted, by number."""
+        known_numbers = [number for number in numbers if self.submitted_at(number) is not None]
         return {
             number: PurgeRecord(
                 self.submitted_at(number),
@@ -347,9 +393,9 @@
                 self.known_at(number),
                 self.named(number),
             )
-            for number in told
+            for number in known_numbers
         }
 
     def started(self):
-        """Router -> when it last started, None if it is not up."""
+        """Return when each router last started, or None if it is down, by name."""
         return {name: router.started_at for name, router in self.routers.items()}
--- a/brookhinge/emulator/capacity/worker.py
+++ b/brookhinge/emulator/capacity/worker.py
@@ -1,7 +1,9 @@
-"""The process of one site, or of one control machine: `python -m brookhinge.emulator.capacity.worker`, started by driver.py.
+"""The process of one site or one control machine.
 
-It reads commands from standard input, answers on standard output, and ends when its input closes: so none outlives the
-driver. An interrupt at the terminal reaches the driver alone, which ends its processes."""
+driver.py starts it as `python -m brookhinge.emulator.capacity.worker`. It reads commands from standard input,
+answers on standard output and exits when its input closes, so that it does not outlive the driver. It ignores
+SIGINT: on an interrupt at the terminal, the driver stops its processes.
+"""
 
 import asyncio
 import collections
@@ -39,12 +41,15 @@
 from brookhinge.emulator.capacity.process_gauges import LoopLag, resident_bytes
 from brookhinge.operator.capacity import Cut
 
-LONGEST_COMMAND = 64 << 20
-PR_SET_PDEATHSIG = 1  # of Linux: a signal to this process when its parent dies, also while it is stopped
+MAX_COMMAND_BYTES = 64 << 20
+PR_SET_PDEATHSIG = 1  # Linux: signals this process when its parent dies, even if this process is stopped
 
 
 def end_with_parent():
-    """Asks the kernel, where it can, to kill this process with its parent; a closed input does it elsewhere."""
+    """Ask the kernel to kill this process when its parent dies.
+
+    Where prctl is missing, the process exits when its input closes.
+    """
     try:
         ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     except (OSError, AttributeError):
@@ -52,7 +57,7 @@
 
 
 class SiteProcess:
-    """All routers of one site, and the commands that they take."""
+    """The process of one site: its routers, and the handlers of their commands."""
 
     def __init__(self, setup):
         self.layout = Layout(setup.capacity, setup.routers)
@@ -81,68 +86,68 @@
         }
 
     async def start_routers(self, command):
-        """All routers of the site at once."""
+        """Start all routers of the site at once."""
         self.memory_at_start = resident_bytes()
         await asyncio.gather(*(router.start(command.join, command.hold) for router in self.routers))
         return Started([router.claim() for router in self.routers], [r.address for r in self.routers])
 
     def fill(self, command):
-        """The whole fleet's claims into each view."""
+        """Add claims of the whole fleet to each router's view."""
         for router in self.routers:
             router.fill(command.claims)
         gc.collect()
-        gc.freeze()  # as the daemon does once it is ready
+        gc.freeze()  # as the daemon does at ready
         return Done()
 
     def begin(self, _):
-        """Routers that were held back start to speak."""
+        """Let routers that were started with `hold` send and receive."""
         for router in self.routers:
-            router.talk.begin()
+            router.membership.begin()
 
     def set_cuts(self, command):
-        """Cuts on the links from this site."""
+        """Replace the cuts on the links from this site."""
         cuts = [Cut(*cut) for cut in command.cuts]
         for router in self.routers:
             router.links.cut(cuts)
 
     def purge(self, command):
-        """One router learns of a purge."""
+        """Submit a purge at one router, if it is running."""
         if self.routers[command.router].up:
             self.submitted[command.number] = time.monotonic()
             self.routers[command.router].purge(command.number)
 
     def drain(self, command):
-        """One router learns of a drain."""
+        """Submit a drain at one router, if it is running."""
         if self.routers[command.router].up:
             self.submitted[command.number] = time.monotonic()
             self.routers[command.router].drain(command.number, command.server)
 
     def set_demand(self, command):
-        """What queries ask of the cache servers."""
+        """Set the demand on the cache servers."""
         for router in self.routers:
             router.room = command.room
 
     def kill(self, command):
-        """Routers end without a word."""
+        """Stop routers without a clean shutdown."""
         for number in command.routers:
             if self.routers[number].up:
                 self.routers[number].kill()
 
     def restart(self, command):
-        """Routers start anew, all at once."""
+        """Restart routers, all at once."""
         for number in command.routers:
             task = asyncio.ensure_future(self.routers[number].restart(command.join, command.graceful))
             self.tasks.add(task)
             task.add_done_callback(self.restarted)
 
     def restarted(self, task):
-        """A restart that failed ends the process with its reason."""
+        """Finish a restart task; a failed one ends the process with the error."""
         self.tasks.discard(task)
         if not task.cancelled():
             task.result()
 
     def sample(self, _):
-        """Counters up to now."""
+        """Return the current counters."""
         changes = collections.Counter()
         for router in self.routers:
             changes.update(router.changes)
@@ -158,7 +163,7 @@
         )
 
     def arrivals(self, _):
-        """When each purge came into force at each router."""
+        """Return when each purge took effect at each router."""
         in_force = {}
         for router in self.routers:
             for number, moment in router.arrivals.items():
@@ -169,7 +174,7 @@
 
 
 def fail(loop, context):
-    """A fault that nobody caught: the driver is told, and the process ends."""
+    """Report an uncaught exception to the driver and exit."""
     fault = context.get("exception")
     sys.stdout.buffer.write(write(Failed(f"{context.get('message')}: {fault!r}")) + b"\n")
     sys.stdout.buffer.flush()
@@ -177,16 +182,16 @@
 
 
 async def take(process, command):
-    """Carries a command out; its answer, or None if it has none."""
+    """Carry out a command and return its answer, or None if it has none."""
     answer = process.handlers[type(command)](command)
     return await answer if asyncio.iscoroutine(answer) else answer
 
 
 async def serve():
-    """Takes commands until the input closes."""
+    """Serve commands until standard input closes."""
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(fail)
-    reader = asyncio.StreamReader(limit=LONGEST_COMMAND)
+    reader = asyncio.StreamReader(limit=MAX_COMMAND_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     setup = read_command(await reader.readline())
     process = make_process(setup)
@@ -200,7 +205,7 @@
 
 
 def client_maker(layout, setup):
-    """Makes the purge log's client of a router, where there is a log."""
+    """Return a factory of a router's purge log client, or None without control machines."""
     if not setup.controls:
         return None
 
@@ -210,7 +215,7 @@
 
 
 def make_process(setup: Setup):
-    """The process that the setup names."""
+    """Return the site or control machine process that a setup describes."""
     if setup.control < 0:
         return SiteProcess(setup)
 
@@ -220,7 +225,7 @@
 
 
 def main():
-    """Runs until the input closes; ends at once then, with whatever its routers had open."""
+    """Run until standard input closes, then exit at once without closing the routers."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     end_with_parent()
     try:
--- a/tests/capacity/small.py
+++ b/tests/capacity/small.py
@@ -45,5 +45,5 @@
 
 
 def small_layout(routers=12, **changes):
-    """The Layout of SMALL with some settings changed."""
+    """Return the Layout of SMALL with some settings changed."""
     return Layout(read_text(SMALL).capacity._replace(**changes), routers)
--- a/tests/capacity/test_hollow.py
+++ b/tests/capacity/test_hollow.py
@@ -1,4 +1,4 @@
-"""A small fleet of hollow routers on real sockets, and in virtual time; nothing that it started outlives it."""
+"""A small fleet of hollow routers on sockets and in virtual time; no process outlives its driver."""
 
 import asyncio
 import os
@@ -10,7 +10,7 @@
 
 import pytest
 
-from brookhinge.emulator.capacity.driver import PEERS, ProcessFailed
+from brookhinge.emulator.capacity.driver import PEERS, ProcessFailedError
 from brookhinge.emulator.capacity.messages import Mark
 from brookhinge.emulator.capacity.scenario import Durations, Scenario
 from brookhinge.emulator.capacity.stage import SocketStage, VirtualStage, wait_until
@@ -19,31 +19,31 @@
 from tests.capacity.small import SMALL, small_layout
 
 ROOT = Path(__file__).parents[2]
-LONG_S = 60.0
+TIMEOUT_S = 60.0
 
 
-def quiet(line):
-    """No progress."""
+def ignore_progress(line):
+    """Ignore a line of progress."""
 
 
 async def all_in_force(stage, purges):
-    """Whether each purge is in force at each router."""
-    fates = await stage.records([planned.number for planned in purges])
-    return len(fates.records) == len(purges) and all(
-        set(record.in_force) == set(fates.started) for record in fates.records.values()
+    """Return whether each purge is in force at each router."""
+    outcomes = await stage.records([planned.number for planned in purges])
+    return len(outcomes.records) == len(purges) and all(
+        set(record.in_force) == set(outcomes.started) for record in outcomes.records.values()
     )
 
 
-def test_purges_reach_twelve_hollow_routers_on_sockets():
+def test_purges_reach_all_hollow_routers_on_sockets():
     async def play():
         layout = small_layout(loss=0.0)
-        async with SocketStage(layout, 7, PEERS, quiet) as stage:
+        async with SocketStage(layout, 7, PEERS, ignore_progress) as stage:
             assert len(stage.fleet.processes) == 4
             before = await stage.counters()
             purges = Work(layout, 7).burst(10)
             for planned in purges:
                 stage.purge(planned)
-            assert await wait_until(stage, lambda: all_in_force(stage, purges), LONG_S) is not None
+            assert await wait_until(stage, lambda: all_in_force(stage, purges), TIMEOUT_S) is not None
             after = await stage.counters()
             assert all(after[name].sent_bytes > before[name].sent_bytes for name in after)
             assert set((await stage.known()).values()) == {12}
@@ -52,38 +52,38 @@
     assert not any(map(running, asyncio.run(play())))
 
 
-def test_a_router_that_is_killed_is_lost_and_one_that_starts_anew_is_back():
+def test_killed_router_leaves_the_views_and_restarted_router_returns():
     async def play():
         layout = small_layout(loss=0.0)
-        async with SocketStage(layout, 7, PEERS, quiet) as stage:
+        async with SocketStage(layout, 7, PEERS, ignore_progress) as stage:
             scenario = Scenario(stage, PEERS, 7, Durations())
             stage.kill(1, 0)
-            assert await wait_until(stage, scenario.one_view, LONG_S) is not None
+            assert await wait_until(stage, scenario.one_view, TIMEOUT_S) is not None
             assert len(await stage.known()) == 11
             stage.restart(1, [0], False)
-            assert await wait_until(stage, lambda: whole(stage, 12), LONG_S) is not None
+            assert await wait_until(stage, lambda: has_one_view(stage, 12), TIMEOUT_S) is not None
 
-    async def whole(stage, count):
+    async def has_one_view(stage, count):
         known = await stage.known()
         return len(known) == count and set(known.values()) == {count}
 
     asyncio.run(play())
 
 
-def test_a_process_that_ends_fails_the_run_by_name():
+def test_exit_of_a_process_fails_the_run_and_names_the_process():
     async def play():
-        async with SocketStage(small_layout(), 7, PEERS, quiet) as stage:
+        async with SocketStage(small_layout(), 7, PEERS, ignore_progress) as stage:
             process = stage.fleet.sites[0]
             process.process.kill()
             await process.process.wait()
             await process.ask(Mark())
 
-    with pytest.raises(ProcessFailed, match="site north/a/1: ended"):
+    with pytest.raises(ProcessFailedError, match="site north/a/1: ended"):
         asyncio.run(play())
 
 
 def running(pid):
-    """Whether a process runs (one that has ended but was not waited for does not)."""
+    """Return whether a process runs; a zombie does not."""
     try:
         with open(f"/proc/{pid}/stat") as file:
             return file.read().rsplit(")", 1)[1].split()[0] != "Z"
@@ -92,7 +92,7 @@
 
 
 def children(pid):
-    """Processes that a process has started."""
+    """Return the ids of the child processes of a process."""
     found = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
@@ -105,18 +105,18 @@
     return found
 
 
-def until(holds):
-    """Whether something holds within LONG_S."""
-    end = time.monotonic() + LONG_S
+def wait_for(condition):
+    """Return whether a condition becomes true within TIMEOUT_S."""
+    end = time.monotonic() + TIMEOUT_S
     while time.monotonic() < end:
-        if holds():
+        if condition():
             return True
         time.sleep(0.05)
     return False
 
 
-@pytest.mark.parametrize("how", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
-def test_no_process_outlives_the_driver(tmp_path, how):
+@pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
+def test_no_process_outlives_the_driver(tmp_path, signal_number):
     layout = tmp_path / "small.hcl"
     layout.write_text(SMALL)
     driver = subprocess.Popen(
@@ -131,14 +131,14 @@
         started[:] = children(driver.pid)
         return len(started) >= 4
 
-    assert until(all_started)
-    os.kill(driver.pid, how)
-    driver.wait(LONG_S)
-    assert until(lambda: not any(map(running, started)))
+    assert wait_for(all_started)
+    os.kill(driver.pid, signal_number)
+    driver.wait(TIMEOUT_S)
+    assert wait_for(lambda: not any(map(running, started)))
 
 
 def virtual_figures(seed):
-    """Figures of a short run in virtual time."""
+    """Return the figures of a short run in virtual time."""
 
     async def play():
         stage = VirtualStage(PeerFleet(small_layout(), seed))
@@ -151,11 +151,11 @@
 
 
 def without_processor_time(phases):
-    """Figures but those of the processor, which differ by run."""
+    """Return the figures without processor time, which differs between runs."""
     return {name: {k: v for k, v in row.items() if k != "core_share"} for name, row in phases.items()}
 
 
-def test_virtual_time_replays_by_seed():
+def test_run_in_virtual_time_is_reproducible_by_seed():
     first = without_processor_time(virtual_figures(7))
     assert first == without_processor_time(virtual_figures(7))
     assert first != without_processor_time(virtual_figures(8))
@@ -165,7 +165,7 @@
     assert first["ordinary"]["bytes_s"]["median"] > first["idle"]["bytes_s"]["median"]
 
 
-def test_a_cut_in_virtual_time_keeps_purges_away_until_it_ends():
+def test_routers_cut_off_in_virtual_time_receive_all_purges_after_the_cut():
     async def play():
         stage = VirtualStage(PeerFleet(small_layout(loss=0.0), 7))
         async with stage:
--- a/tests/capacity/test_layout.py
+++ b/tests/capacity/test_layout.py
@@ -1,4 +1,4 @@
-"""The capacity block: what cannot be used is named by block, key and line; sites, addresses and delays follow from it."""
+"""The capacity block: errors name block, key and line; sites, addresses and delays follow from the block."""
 
 import subprocess
 import sys
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brookhinge.emulator.capacity.driver import TooLarge, check_size
+from brookhinge.emulator.capacity.driver import TooLargeError, check_size
 from brookhinge.emulator.capacity.layout import Layout, read_layout
 from brookhinge.operator import OperatorError, read_text
 from tests.capacity.small import SMALL, small_layout
@@ -15,11 +15,11 @@
 
 
 def line_of(text, part):
-    """The number of the first line of a text that has a part."""
+    """Return the number of the first line that contains a text."""
     return next(number for number, line in enumerate(text.splitlines(), 1) if part in line)
 
 
-def test_the_layout_kept_is_that_of_the_size_designed_for():
+def test_deployed_layout_has_the_design_size():
     layout = read_layout(FILE)
     capacity = layout.capacity
     regions = {zone.region for zone in capacity.zones}
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("routers", [66, 132, 265, 530, 1060])
-def test_a_layout_takes_any_number_of_routers(routers):
+def test_routers_are_distributed_evenly_over_sites(routers):
     sizes = [site.routers for site in read_layout(FILE, routers).sites]
     assert sum(sizes) == routers and max(sizes) - min(sizes) <= 1
 
@@ -54,46 +54,46 @@
         ("for_s = 5", "", 'cut "region": for_s: missing'),
     ],
 )
-def test_a_fault_is_named_by_block_key_and_line(old, new, why):
+def test_error_names_block_key_and_line(old, new, why):
     text = SMALL.replace(old, new, 1)
-    with pytest.raises(OperatorError) as told:
+    with pytest.raises(OperatorError) as raised:
         read_text(text)
-    assert why in str(told.value)
-    assert str(told.value).startswith("line ")
+    assert why in str(raised.value)
+    assert str(raised.value).startswith("line ")
 
 
-def test_the_line_named_is_the_key_s():
+def test_error_names_the_line_of_the_key():
     text = SMALL.replace("for_s = 5", "for_s = -5")
     with pytest.raises(OperatorError, match=f"^line {line_of(text, 'for_s')}: "):
         read_text(text)
 
 
-def test_a_missing_link_between_regions_is_named():
+def test_missing_link_between_regions_is_rejected():
     head, tail = SMALL.split('  link "north" "south" {\n    delay_ms = 20\n  }\n')
     with pytest.raises(OperatorError, match='line 2: capacity: link "north" "south": missing'):
         read_text(head + tail)
 
 
-def test_addresses_tell_the_site():
+def test_address_identifies_the_site():
     layout = small_layout()
     for site in layout.sites:
         assert layout.site_of(site.host_of(site.routers - 1)) == site.index
     assert [layout.site_of(layout.control_host(k)) for k in range(3)] == [0, 2, 3]
 
 
-def test_delays_follow_distance():
+def test_delay_depends_on_common_site_zone_and_region():
     layout = small_layout()
     assert [layout.delay_s(0, target) for target in range(4)] == [0.0003, 0.002, 0.005, 0.02]
     assert layout.delay_s(3, 0) == layout.delay_s(0, 3)
 
 
-def test_a_layout_too_large_for_a_run_is_refused():
-    with pytest.raises(TooLarge, match="MB at most"):
+def test_layout_too_large_for_a_run_is_rejected():
+    with pytest.raises(TooLargeError, match="MB at most"):
         check_size(Layout(read_layout(FILE).capacity, 4000))
 
 
-def run(*args):
-    """Exit code and what the benchmark said on standard error."""
+def run_benchmark(*args):
+    """Run the benchmark and return its exit status and standard error."""
     done = subprocess.run(
         [sys.executable, "-m", "benchmarks.capacity", *args],
         capture_output=True,
@@ -104,10 +104,10 @@
     return done.returncode, done.stderr
 
 
-def test_the_benchmark_says_one_line_and_exits_with_2(tmp_path):
+def test_benchmark_prints_one_line_and_exits_with_2_on_an_invalid_file(tmp_path):
     bad = tmp_path / "bad.hcl"
     bad.write_text(SMALL.replace("for_s = 5", ""))
-    code, said = run("--file", str(bad), "--routers", "12")
-    assert code == 2 and said.count("\n") == 1 and "for_s: missing" in said
-    code, said = run("--file", str(FILE.parent / "operator.hcl"))
-    assert code == 2 and "capacity: missing" in said
+    status, stderr = run_benchmark("--file", str(bad), "--routers", "12")
+    assert status == 2 and stderr.count("\n") == 1 and "for_s: missing" in stderr
+    status, stderr = run_benchmark("--file", str(FILE.parent / "operator.hcl"))
+    assert status == 2 and "capacity: missing" in stderr
--- a/tests/capacity/test_log.py
+++ b/tests/capacity/test_log.py
@@ -1,4 +1,4 @@
-"""The purge log in a modelled fleet: on sockets with a control machine killed, and in virtual time with a cut."""
+"""The purge log of an emulated fleet, with a control machine killed and with a region cut off."""
 
 import asyncio
 
@@ -9,47 +9,47 @@
 from brookhinge.emulator.capacity.virtual_log import LogFleet
 from brookhinge.emulator.capacity.work import Work
 from tests.capacity.small import small_layout
-from tests.capacity.test_hollow import LONG_S, all_in_force, quiet
+from tests.capacity.test_hollow import TIMEOUT_S, all_in_force, ignore_progress
 
 
 async def known_everywhere(stage, purges):
-    """Whether the source of each purge knows that it is in force everywhere."""
-    fates = await stage.records([planned.number for planned in purges])
-    return len(fates.records) == len(purges) and all(
-        record.known is not None for record in fates.records.values()
+    """Return whether the source of each purge knows that it is in force everywhere."""
+    outcomes = await stage.records([planned.number for planned in purges])
+    return len(outcomes.records) == len(purges) and all(
+        record.known is not None for record in outcomes.records.values()
     )
 
 
 async def proven(stage):
-    """Whether each router has had a proof."""
-    fates = await stage.records([])
-    return all(any(rule == "PROVEN" for _, rule in fates.rules[name]) for name in fates.started)
+    """Return whether each router has received a proof."""
+    outcomes = await stage.records([])
+    return all(any(rule == "PROVEN" for _, rule in outcomes.rules[name]) for name in outcomes.started)
 
 
-def test_a_control_machine_killed_in_a_burst_loses_no_purge():
+def test_no_purge_is_lost_when_a_control_machine_is_killed_during_a_burst():
     async def play():
         layout = small_layout()
-        async with SocketStage(layout, 7, LOG, quiet) as stage:
+        async with SocketStage(layout, 7, LOG, ignore_progress) as stage:
             assert len(stage.fleet.processes) == 7
-            assert await wait_until(stage, lambda: proven(stage), LONG_S) is not None
+            assert await wait_until(stage, lambda: proven(stage), TIMEOUT_S) is not None
             purges = [planned._replace(control=0) for planned in Work(layout, 7).burst(10)]
             for planned in purges:
                 stage.purge(planned)
             await stage.kill_control(1)
-            assert await wait_until(stage, lambda: all_in_force(stage, purges), LONG_S) is not None
-            assert await wait_until(stage, lambda: known_everywhere(stage, purges), LONG_S) is not None
+            assert await wait_until(stage, lambda: all_in_force(stage, purges), TIMEOUT_S) is not None
+            assert await wait_until(stage, lambda: known_everywhere(stage, purges), TIMEOUT_S) is not None
             await stage.start_control(1)
-            again = [planned._replace(control=1) for planned in Work(layout, 8).burst(3)]
-            again = [planned._replace(number=planned.number + 100) for planned in again]
-            for planned in again:
+            later_purges = [planned._replace(control=1) for planned in Work(layout, 8).burst(3)]
+            later_purges = [planned._replace(number=planned.number + 100) for planned in later_purges]
+            for planned in later_purges:
                 stage.purge(planned)
-            assert await wait_until(stage, lambda: all_in_force(stage, again), LONG_S) is not None
+            assert await wait_until(stage, lambda: all_in_force(stage, later_purges), TIMEOUT_S) is not None
 
     asyncio.run(play())
 
 
 def log_phases(durations, **changes):
-    """Figures of a run in virtual time."""
+    """Return the figures of a run in virtual time."""
 
     async def play():
         stage = VirtualStage(LogFleet(small_layout(**changes), 7))
@@ -59,7 +59,7 @@
     return asyncio.run(play())
 
 
-def test_sources_know_in_virtual_time():
+def test_sources_know_that_all_ordinary_purges_are_in_force_in_virtual_time():
     phases = log_phases(Durations(settle=5.0, idle=0, ordinary=5.0, burst=2.0, distributor=5.0))
     for name in ("ordinary", "burst", "distributor"):
         assert phases[name]["missed"] == 0 and phases[name]["expected"] == 12 * phases[name]["purges"]
@@ -67,16 +67,16 @@
     assert phases["ordinary"]["control"]["bytes_s"]["median"] > 0
 
 
-def test_routers_that_were_cut_off_are_exact_again():
+def test_routers_are_exact_again_after_a_cut():
     phases = log_phases(Durations(settle=5.0, idle=0, ordinary=0, burst=0, cut=8.0))
     assert phases["region_cut"]["missed"] == 0
     back = phases["region_back"]
     assert (back["missed_while_away"], back["not_exact"]) == (0, 0)
-    assert back["unbound_s"] < 4.0  # a proof of 3 s, and the way
+    assert back["unbound_s"] < 4.0  # PROOF_S (3 s) and the network delay
 
 
-def test_a_long_cut_outlasts_the_recent_log():
-    """So many purges that the recent log does not hold them: what is set aside comes back by fingerprints."""
+def test_routers_are_exact_again_after_a_cut_longer_than_the_recent_log():
+    """Fingerprints readmit copies that were set aside when the recent log lost purges of the cut."""
     figures = HourOfCut(small_layout(purges_s=200.0), 7, seconds=30.0).run()
     assert figures["hour_cut"]["purges"] > 4096
     assert figures["hour_cut"]["missed"] == 0
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md is what the kept data says, and says `not measured` where there is no run."""
+"""docs/CAPACITY.md matches the stored figures and shows `not measured` where there is no run."""
 
 from brookhinge.emulator.capacity import results
 from brookhinge.emulator.capacity.driver import LOG, PEERS
@@ -7,8 +7,8 @@
 
 
 def row(**changes):
-    """One kept row."""
-    made = {
+    """Return a stored row."""
+    defaults = {
         "kind": "virtual",
         "mechanism": LOG,
         "scenario": "cost",
@@ -32,21 +32,21 @@
             }
         },
     }
-    return {**made, **changes}
+    return {**defaults, **changes}
 
 
-def test_page_and_kept_data_agree():
+def test_page_matches_the_stored_figures():
     assert PAGE.read_text() == Page(results.load()).text()
 
 
-def test_without_runs_nothing_is_claimed():
+def test_budgets_are_not_measured_without_runs():
     text = Page([]).text()
     budgets = text.split("## What is allowed")[1].split("## Situations")[0]
     lines = [line for line in budgets.splitlines() if line.startswith("|")][2:]
     assert lines and all(line.count(NOT_MEASURED) == 2 for line in lines)
 
 
-def test_what_is_over_an_allowance_says_so():
+def test_figure_over_budget_is_marked():
     lines = Page([row()]).text().splitlines()
     traffic = next(line for line in lines if line.startswith("| control traffic of a router"))
     assert "4,321" in traffic and "**over**" in traffic and NOT_MEASURED in traffic
@@ -54,13 +54,13 @@
     assert "0.9" in in_force and "**over**" not in in_force
 
 
-def test_a_run_on_a_machine_too_busy_is_listed_and_not_used():
+def test_run_with_late_event_loops_is_listed_but_not_used():
     late = row(kind="sockets", state={"loop_late_s": 2.0})
     text = Page([late]).text()
     assert "4,321" not in text and "not used: too late" in text
 
 
-def test_a_phase_that_came_in_time_is_used_though_another_was_late():
+def test_phase_on_time_is_used_when_another_phase_was_late():
     late = row(kind="sockets", state={"loop_late_s": 2.0})
     late["phases"]["ordinary"]["loop_late_s"] = 0.1
     late["phases"]["burst"] = {
@@ -72,7 +72,7 @@
     assert "4,321" in text and "9,876" not in text and "not used: burst" in text
 
 
-def test_the_breaking_size_is_where_the_fit_passes():
+def test_breaking_size_is_where_the_fit_exceeds_the_budget():
     found = fit([(n, 100.0 + n) for n in (66, 132, 265, 530)])
     assert breaking_size(found, 400.5) == "301 and more"
     assert breaking_size(found, 50.0) == "any"
@@ -81,7 +81,7 @@
     assert breaking_size(falling, 250.25) == "99 and fewer"
 
 
-def test_kept_rows_of_one_run_replace_each_other(tmp_path):
+def test_stored_row_is_replaced_by_a_later_row_of_the_same_run(tmp_path):
     file = tmp_path / "kept.json"
     results.keep([row(), row(seed=8)], file)
     results.keep([row(date="later"), row(mechanism=PEERS)], file)
@@ -93,9 +93,9 @@
     ]
 
 
-def test_the_last_line_has_the_fields_that_are_asked_for():
+def test_last_line_has_the_required_fields():
     line = results.last_line([row(), row(routers=132)], 530, 7, 0.01, PEERS, LOG)
-    wanted = {
+    required = {
         "bytes_s_router",
         "core_share_router",
         "memory_mb_router",
@@ -105,11 +105,11 @@
         "catch_up_s",
         "flat",
     }
-    assert wanted | {"routers", "seed", "loss"} <= set(line) and wanted <= set(line["before"])
+    assert required | {"routers", "seed", "loss"} <= set(line) and required <= set(line["before"])
     assert (line["bytes_s_router"], line["purges_missed"], line["flat"]) == (4321.0, 0, 1.0)
     assert line["before"]["bytes_s_router"] is None
 
 
-def test_a_command_kept_names_no_path_of_a_machine():
+def test_stored_command_contains_no_local_path():
     shown = results.command(["--keep", "/somewhere/else", "--virtual"])
     assert shown == "python -m benchmarks.capacity --keep benchmarks/results/capacity --virtual"
