--- a/brookhinge/emulator/capacity/driver.py
+++ b/brookhinge/emulator/capacity/driver.py
@@ -64,7 +64,7 @@
             ProcessFailedError: If the process's standard input is already closed.
         """
         if self.process.stdin.is_closing():
-            raise ProcessFailedError(f"{self.title}: ended")
+            raise ProcessFailedError(f"{self.title}: process exited")
         self.process.stdin.write(write(command) + b"\n")
 
     async def ask(self, command):
@@ -79,7 +79,7 @@
         except TimeoutError:
             raise ProcessFailedError(f"{self.title}: no answer to {type(command).__name__}") from None
         if not line:
-            raise ProcessFailedError(f"{self.title}: ended")
+            raise ProcessFailedError(f"{self.title}: process exited")
         answer = read_answer(line)
         if isinstance(answer, Failed):
             raise ProcessFailedError(f"{self.title}: {answer.why}")
--- a/brookhinge/emulator/capacity/hollow.py
+++ b/brookhinge/emulator/capacity/hollow.py
@@ -77,7 +77,7 @@
     Attributes:
         arrivals: When each purge or drain took effect here, by number.
         rules: (time, CopyRule name) of each rule that the purge log applied to copies that the router holds.
-        room: Mean part of the cache servers' capacity in use, 0 for no demand.
+        load: Mean part of the cache servers' capacity in use, 0 for no demand.
         changes: Number of membership changes and log events by name.
         started_at: When the router last started, or None if it is down.
     """
@@ -99,11 +99,11 @@
         self.rng = random.Random(f"hollow {seed} {self.name}")
         self.address, self.membership, self.client, self.started_at = None, None, None, None
         self.purge_log = purge_log
-        self.arrivals, self.rules, self.room = {}, [], 0.0
+        self.arrivals, self.rules, self.load = {}, [], 0.0
         self.changes = collections.Counter()
-        self.servers = self.servers_of_zone()
+        self.servers = self.zone_servers()
 
-    def servers_of_zone(self):
+    def zone_servers(self):
         """Return the names of the cache servers in the router's zone."""
         zones = [zone.place for zone in self.layout.capacity.zones]
         place = zones.index(self.site.zone)
@@ -155,12 +155,12 @@
             self.event,
             self.log,
         )
-        membership.add(self.make_limits)
-        membership.add(self.make_verdicts)
+        membership.add(self.create_limits)
+        membership.add(self.create_outlier_detection)
         self.address = tuple(await membership.start())
         self.membership = membership
 
-    def make_limits(self, membership, now):
+    def create_limits(self, membership, now):
         """Return the production limits core, with random demand."""
         return Limits(
             membership.core_context(),
@@ -169,7 +169,7 @@
             now=now,
         )
 
-    def make_verdicts(self, membership, now):
+    def create_outlier_detection(self, membership, now):
         """Return the production outlier detection, with no failing server."""
         return OutlierDetection(
             membership.core_context(),
@@ -179,16 +179,16 @@
             now=now,
         )
 
-    def demand(self, here):
+    def demand(self, routers_in_zone):
         """Return the demand for each server of the zone as (kind, server, start, rate, whole).
 
         Args:
-            here: Number of routers in the zone, which share the demand.
+            routers_in_zone: Number of routers in the zone, which share the demand.
         """
-        if not self.room:
+        if not self.load:
             return []
         return [
-            ("room", server, 0, self.room / here * self.rng.lognormvariate(0.0, DEMAND_SIGMA), 1.0)
+            ("room", server, 0, self.load / routers_in_zone * self.rng.lognormvariate(0.0, DEMAND_SIGMA), 1.0)
             for server in self.servers
         ]
 
--- a/brookhinge/emulator/capacity/hour.py
+++ b/brookhinge/emulator/capacity/hour.py
@@ -16,9 +16,7 @@
 # costs after the links heal are measured in windows
 WINDOW_S = 5.0
 WINDOWS = 36
-QUIET_S = (
-    2.0  # no purges in the last seconds of the cut, so that those in flight arrive before the links heal
-)
+QUIET_S = 2.0  # no purges at the end of the cut, so that those in flight arrive before the links heal
 
 
 class HourOfCut:
@@ -26,7 +24,7 @@
 
     Attributes:
         submitted: When each purge was submitted, by number.
-        away: Names of the routers that are cut off.
+        cut_off_routers: Names of the simulated routers of the region.
     """
 
     def __init__(self, layout, seed, seconds=HOUR_S):
@@ -35,7 +33,9 @@
         self.fleet = LogFleet(layout, seed, self.is_simulated, membership=False)
         self.work = Work(layout, seed)
         self.submitted = {}
-        self.away = [name for name, r in self.fleet.routers.items() if inside(r.site.place, self.cut.source)]
+        self.cut_off_routers = [
+            name for name, r in self.fleet.routers.items() if inside(r.site.place, self.cut.source)
+        ]
 
     def is_simulated(self, site, number):
         """Return whether a router is simulated: all of the region, and the first of each other site."""
@@ -44,7 +44,7 @@
     def run(self):
         """Run the simulation and return the figures of the cut and of the time after it."""
         fleet = self.fleet
-        away = set(self.away)
+        cut_off_routers = set(self.cut_off_routers)
         fleet.start_filled()
         fleet.run(SETTLE_S)
         fleet.set_cuts([self.cut])
@@ -55,21 +55,21 @@
         during = fleet.counters()
         fleet.set_cuts([])
         healed = fleet.network.now
-        windows = self.windows(away)
+        windows = self.windows(cut_off_routers)
         records = {n: measure.PurgeRecord(at, self.arrivals(n)) for n, at in self.submitted.items()}
-        connected = {name: 0.0 for name in fleet.routers if name not in away}
-        cost = measure.cost(*({k: c[k] for k in away} for c in (before, during)))
+        connected = {name: 0.0 for name in fleet.routers if name not in cut_off_routers}
+        cost = measure.cost(*({k: c[k] for k in cut_off_routers} for c in (before, during)))
         return {
             "hour_cut": {
                 "seconds": self.seconds,
-                "cut_off": len(away),
+                "cut_off": len(cut_off_routers),
                 "bytes_s": cost["bytes_s"],
                 **measure.purges(records, connected, 10.0, fleet.rules()),
             },
             "hour_back": {
                 "seconds": WINDOW_S * WINDOWS,
                 "bytes_s": measure.spread(windows),
-                **measure.catch_up(records, away, healed, fleet.rules()),
+                **measure.catch_up(records, cut_off_routers, healed, fleet.rules()),
             },
         }
 
@@ -89,13 +89,13 @@
         routers = self.fleet.routers.items()
         return {name: router.arrivals[number] for name, router in routers if number in router.arrivals}
 
-    def windows(self, away):
+    def windows(self, cut_off_routers):
         """Return bytes per second of each router that was cut off, in each window after the links healed."""
         costs = []
         for _ in range(WINDOWS):
             before = self.fleet.counters()
             self.fleet.run(WINDOW_S)
             after = self.fleet.counters()
-            rates = [measure.rate(before[name], after[name]) for name in away]
+            rates = [measure.rate(before[name], after[name]) for name in cut_off_routers]
             costs += [rate.sent_bytes + rate.received_bytes for rate in rates]
         return costs
--- a/brookhinge/emulator/capacity/links.py
+++ b/brookhinge/emulator/capacity/links.py
@@ -9,7 +9,7 @@
 
 from brookhinge.operator.capacity import inside
 
-DELAY_SPREAD = 0.5  # width of the uniform distribution of delays, as part of their mean: reorders datagrams
+DELAY_SPREAD = 0.5  # width of the uniform delay distribution as part of its mean; reorders datagrams
 HEADER_BYTES = 28  # IPv4 and UDP headers of a datagram
 
 
@@ -21,13 +21,13 @@
         self.site = site
         self.rng = random.Random(f"links {seed} {site}")
         self.delays = [layout.delay_s(site, target.index) for target in layout.sites]
-        self.closed = [False] * len(layout.sites)
+        self.is_cut = [False] * len(layout.sites)
         self.site_of_host = {}
 
     def cut(self, cuts):
         """Replace the cuts in force."""
         own = self.layout.sites[self.site].place
-        self.closed = [any(cuts_link(cut, own, target.place) for cut in cuts) for target in self.layout.sites]
+        self.is_cut = [any(cuts_link(cut, own, target.place) for cut in cuts) for target in self.layout.sites]
 
     def copies(self, host):
         """Return the delay in seconds of each arriving copy of a datagram to a host: none, one or two."""
@@ -36,7 +36,7 @@
             target = self.site_of_host[host] = self.layout.site_of(host)
         capacity = self.layout.capacity
         rng = self.rng
-        if self.closed[target] or rng.random() < capacity.loss:
+        if self.is_cut[target] or rng.random() < capacity.loss:
             return ()
         mean = self.delays[target]
         first = mean * (1.0 + DELAY_SPREAD * (rng.random() - 0.5))
--- a/brookhinge/emulator/capacity/messages.py
+++ b/brookhinge/emulator/capacity/messages.py
@@ -90,10 +90,10 @@
     """Sets the demand on the cache servers; no answer.
 
     Attributes:
-        room: Mean part of their capacity in use, 0 for no demand.
+        load: Mean part of their capacity in use, 0 for no demand.
     """
 
-    room: float
+    load: float
 
 
 class Kill(Message):
--- a/brookhinge/emulator/capacity/page.py
+++ b/brookhinge/emulator/capacity/page.py
@@ -334,8 +334,8 @@
             return [*lines, NOT_MEASURED]
         phases = rows[-1]["phases"]
         routers = self.size
-        need_queries = REQUESTS_S / routers
-        need_gbit = BITS_S / routers / 1e9
+        requests_s_per_router = REQUESTS_S / routers
+        gbit_s_per_router = BITS_S / routers / 1e9
         for name in ("small", "large"):
             figures = phases[name]
             lines.append(
@@ -345,8 +345,8 @@
                 f"({format_figure(figures['not_satisfied'])} refused or failed)"
             )
         memory = phases["memory"]
-        by_queries = need_queries / phases["small"]["queries_a_core_s"]
-        by_bits = need_gbit / phases["large"]["gbit_a_core_s"]
+        cores_by_requests = requests_s_per_router / phases["small"]["queries_a_core_s"]
+        cores_by_bytes = gbit_s_per_router / phases["large"]["gbit_a_core_s"]
         return [
             *lines,
             f"- {format_figure(memory['bytes_an_object'])} bytes a remembered object, over {format_figure(memory['objects'])} objects; "
@@ -354,8 +354,8 @@
             f"- {format_figure(memory['descriptors'])} descriptors before {memory['servers']} cache servers, "
             f"{memory['descriptors_at_ready']} at ready",
             "",
-            f"At the peak the mean router has {format_figure(round(need_queries))} queries/s and {format_figure(round(need_gbit, 2))} Gbit/s: "
-            f"{format_figure(round(by_queries, 2))} cores by queries (small objects), {format_figure(round(by_bits, 2))} by bytes (large ones). "
+            f"At the peak the mean router has {format_figure(round(requests_s_per_router))} queries/s and {format_figure(round(gbit_s_per_router, 2))} Gbit/s: "
+            f"{format_figure(round(cores_by_requests, 2))} cores by queries (small objects), {format_figure(round(cores_by_bytes, 2))} by bytes (large ones). "
             "What a core bears is worked out from processor time; it was not run at that rate.",
             f"Of {format_figure(OBJECTS)} objects a router remembers those that are asked for at it: each million takes "
             f"{format_figure(round(memory['bytes_an_object'] * 1e6 / 1e6))} MB by that figure.",
@@ -496,7 +496,7 @@
 
 
 def breaking_size(found, most):
-    """Format the sizes from 1 to LARGEST_SIZE at which a fitted cost is over a budget."""
+    """Format the sizes from 1 to LARGEST_SIZE at which a fitted cost exceeds a budget."""
     least = found.at(1) > most
     largest = found.at(LARGEST_SIZE) > most
     if least == largest:
--- a/brookhinge/emulator/capacity/purge_log_processes.py
+++ b/brookhinge/emulator/capacity/purge_log_processes.py
@@ -36,9 +36,7 @@
 from brookhinge.purgelog.server import ControlServer
 
 PROOF_S = 3.0  # default of the operator's file
-KNOWN_S = (
-    1.2  # target for a source to know that a purge is in force everywhere, or to name the missing routers
-)
+KNOWN_S = 1.2  # target for a source to know a purge is in force everywhere, or to name missing routers
 PURGE_POLL_S = 0.02  # between two checks of a purge's progress, and two attempts to append one
 
 
--- a/brookhinge/emulator/capacity/results.py
+++ b/brookhinge/emulator/capacity/results.py
@@ -16,12 +16,12 @@
 def revision():
     """Return the short hash of the checked-out commit, or an empty string outside a clone."""
     try:
-        done = subprocess.run(
+        git = subprocess.run(
             ["git", "rev-parse", "--short", "HEAD"], cwd=ROOT, capture_output=True, text=True, check=True
         )
     except (OSError, subprocess.CalledProcessError):
         return ""
-    return done.stdout.strip()
+    return git.stdout.strip()
 
 
 def command(arguments):
@@ -117,7 +117,7 @@
 
 
 def last_line(rows, routers, seed, loss, before, after):
-    """Return the JSON object of a run, with the figures of the earlier mechanism as `before`."""
+    """Return the JSON object of a run, with the figures of the earlier mechanism under `before`."""
     return {
         "routers": routers,
         "seed": seed,
--- a/brookhinge/emulator/capacity/router.py
+++ b/brookhinge/emulator/capacity/router.py
@@ -85,10 +85,10 @@
         number += 1
 
 
-async def load(rig, end, streams, size_kb):
+async def load(cluster, end, streams, size_kb):
     """Send streams of requests over several connections and return their Tally."""
     tally = Tally()
-    callers = [await rig.caller("n1") for _ in range(CONNECTIONS)]
+    callers = [await cluster.caller("n1") for _ in range(CONNECTIONS)]
     requests = [
         request_until(callers[k % CONNECTIONS], stream, end, tally, size_kb)
         for k, stream in enumerate(streams)
@@ -102,16 +102,16 @@
 async def throughput(size):
     """Return the cost of requests for objects of one size that the cache servers hold."""
     with tempfile.TemporaryDirectory(prefix="capacity-") as folder:
-        rig = ProcessCluster(folder, routers=1, boxes=2)
-        rig.origin = Origin(size, 0.005)
-        async with rig:
-            process = RouterProcess(rig.processes["n1"].pid)
+        cluster = ProcessCluster(folder, routers=1, boxes=2)
+        cluster.origin = Origin(size, 0.005)
+        async with cluster:
+            process = RouterProcess(cluster.processes["n1"].pid)
             size_kb = size[1] / 1000.0
             streams = [cycle_keys("a", 7 * k) for k in range(CONNECTIONS * REQUESTS_PER_CONNECTION)]
-            await load(rig, time.monotonic() + 2.0, streams, size_kb)  # fills the cache servers
+            await load(cluster, time.monotonic() + 2.0, streams, size_kb)  # fills the cache servers
             before = process.processor_s()
             began = time.monotonic()
-            tally = await load(rig, began + MEASURED_S, streams, size_kb)
+            tally = await load(cluster, began + MEASURED_S, streams, size_kb)
             spent = process.processor_s() - before
             elapsed = time.monotonic() - began
     gbit = tally.body_bytes * 8 / 1e9
@@ -130,17 +130,17 @@
 async def memory_and_descriptors(servers):
     """Return memory per remembered object, and open descriptors for a number of cache servers."""
     with tempfile.TemporaryDirectory(prefix="capacity-") as folder:
-        async with ProcessCluster(folder, routers=1, boxes=servers) as rig:
-            process = RouterProcess(rig.processes["n1"].pid)
+        async with ProcessCluster(folder, routers=1, boxes=servers) as cluster:
+            process = RouterProcess(cluster.processes["n1"].pid)
             at_ready = process.memory_bytes()
             descriptors = process.descriptors()
             end = time.monotonic() + 60.0
             fresh = [f"b{number:015x}" for number in range(FRESH_OBJECTS)]
             count = CONNECTIONS * REQUESTS_PER_CONNECTION
             half = FRESH_OBJECTS // 2
-            await load(rig, end, [iter(fresh[k:half:count]) for k in range(count)], 5.0)
+            await load(cluster, end, [iter(fresh[k:half:count]) for k in range(count)], 5.0)
             at_half = process.memory_bytes()
-            tally = await load(rig, end, [iter(fresh[half + k :: count]) for k in range(count)], 5.0)
+            tally = await load(cluster, end, [iter(fresh[half + k :: count]) for k in range(count)], 5.0)
             return {
                 "servers": servers,
                 "memory_mb_at_ready": round(at_ready / 1e6, 1),
--- a/brookhinge/emulator/capacity/runs.py
+++ b/brookhinge/emulator/capacity/runs.py
@@ -1,6 +1,7 @@
 """Selects and executes the runs of a command: one size, the short form, or all sizes and seeds.
 
-Runs of the earlier purge mechanism (`peers`) and of the present one (`log`) use the same seeds.
+Runs of the earlier mechanism (`peers`, purge notices among peers) and of the current one (`log`, the purge
+log) use the same seeds.
 """
 
 import asyncio
@@ -25,7 +26,7 @@
 
 MECHANISMS = (PEERS, LOG)  # earlier one first
 SIZES = (66, 132, 265, 530, 1060)
-LARGEST_ON_SOCKETS = {PEERS: 132, LOG: 530}  # half of a machine with 8 cores can run this many
+LARGEST_ON_SOCKETS = {PEERS: 132, LOG: 530}  # routers that fit on half of a machine with 8 cores
 SEEDS = (7, 8, 9)
 SHORT_SOCKETS = 66
 SHORT_VIRTUAL = (132, 530)
@@ -93,7 +94,7 @@
     return (PeerFleet if mechanism == PEERS else LogFleet)(layout, seed)
 
 
-async def play(stage, mechanism, seed, durations, report_progress):
+async def run_scenario(stage, mechanism, seed, durations, report_progress):
     """Execute one run on a stage and return its row."""
     async with stage:
         phases = await Scenario(stage, mechanism, seed, durations, report_progress).run()
@@ -125,9 +126,9 @@
     }
 
 
-async def play_on_sockets(plan, layout, seed, mechanism, durations):
+async def run_on_sockets(plan, layout, seed, mechanism, durations):
     """Execute one run on sockets and return its row."""
-    return await play(
+    return await run_scenario(
         SocketStage(layout, seed, mechanism, plan.report_progress),
         mechanism,
         seed,
@@ -136,7 +137,7 @@
     )
 
 
-def play_virtually(job):
+def run_in_virtual_time(job):
     """Execute one run in virtual time, in a worker process, and return its row."""
     gc.disable()  # a collection would add to the processor time of whichever router runs at that time
     layout = read_layout(job.file, job.routers, job.loss)
@@ -144,15 +145,17 @@
         phases = HourOfCut(layout, job.seed).run()
         return row_of("virtual", layout, job.mechanism, job.seed, "hour", phases, {})
     stage = VirtualStage(virtual_fleet(layout, job.seed, job.mechanism))
-    return asyncio.run(play(stage, job.mechanism, job.seed, job.durations, lambda line: None))
+    return asyncio.run(run_scenario(stage, job.mechanism, job.seed, job.durations, lambda line: None))
 
 
-async def play_jobs(plan, jobs, keep=lambda rows: None):
+async def run_virtual_jobs(plan, jobs, keep=lambda rows: None):
     """Execute virtual runs, a few at a time, and return their rows in the order of completion."""
     loop = asyncio.get_running_loop()
     rows = []
     with ProcessPoolExecutor(CONCURRENT_VIRTUAL_RUNS, max_tasks_per_child=1, mp_context=SPAWN) as pool:
-        for done in asyncio.as_completed([loop.run_in_executor(pool, play_virtually, job) for job in jobs]):
+        for done in asyncio.as_completed(
+            [loop.run_in_executor(pool, run_in_virtual_time, job) for job in jobs]
+        ):
             row = await done
             plan.report_progress(
                 f"virtual, {row['mechanism']}, {row['routers']} routers, seed {row['seed']}: done"
@@ -176,9 +179,9 @@
     for mechanism in selected_mechanisms(options):
         if options.virtual:
             job = VirtualJob(plan.file, plan.layout.routers, plan.seed, plan.loss, mechanism, ALL_PHASES)
-            rows += await play_jobs(plan, [job])
+            rows += await run_virtual_jobs(plan, [job])
         elif plan.layout.routers <= LARGEST_ON_SOCKETS[mechanism]:
-            rows.append(await play_on_sockets(plan, plan.layout, plan.seed, mechanism, ALL_PHASES))
+            rows.append(await run_on_sockets(plan, plan.layout, plan.seed, mechanism, ALL_PHASES))
         else:
             plan.report_progress(
                 f"{mechanism}: {plan.layout.routers} routers are more than a machine can run on sockets"
@@ -197,9 +200,9 @@
         for size in reversed(sizes)
         for mechanism in mechanisms
     ]
-    rows = await play_jobs(plan, jobs)
+    rows = await run_virtual_jobs(plan, jobs)
     small = Layout(plan.layout.capacity, min(SHORT_SOCKETS, *sizes))
-    rows.append(await play_on_sockets(plan, small, plan.seed, mechanisms[-1], SHORT))
+    rows.append(await run_on_sockets(plan, small, plan.seed, mechanisms[-1], SHORT))
     return last_line(plan, rows, max(sizes))
 
 
@@ -231,12 +234,12 @@
         for mechanism in selected_mechanisms(options)
     ]
     if options.virtual:
-        await play_jobs(plan, jobs, keep)
+        await run_virtual_jobs(plan, jobs, keep)
     elif options.sockets:
         await all_on_sockets(plan, options, keep)
     else:
         await all_on_sockets(plan, options, keep)
-        await play_jobs(plan, jobs, keep)
+        await run_virtual_jobs(plan, jobs, keep)
     return last_line(plan, results.load(options.keep + ".json"), size)
 
 
@@ -247,9 +250,9 @@
         for size in reversed(sizes):
             layout = Layout(plan.layout.capacity, size)
             for seed in SEEDS:
-                keep([await play_on_sockets(plan, layout, seed, mechanism, STANDARD)])
+                keep([await run_on_sockets(plan, layout, seed, mechanism, STANDARD)])
         layout = Layout(plan.layout.capacity, max(sizes))
-        keep([await play_on_sockets(plan, layout, plan.seed, mechanism, ALL_PHASES)])
+        keep([await run_on_sockets(plan, layout, plan.seed, mechanism, ALL_PHASES)])
 
 
 async def router_run(plan, options):
--- a/brookhinge/emulator/capacity/stage.py
+++ b/brookhinge/emulator/capacity/stage.py
@@ -12,7 +12,7 @@
 
 
 class PurgeOutcomes(NamedTuple):
-    """What became of purges.
+    """Progress of purges.
 
     Attributes:
         records: PurgeRecord by number.
@@ -82,9 +82,9 @@
         """Submit a drain at a router's command channel."""
         self.fleet.send(planned.site, Drain(planned.number, planned.server, planned.router))
 
-    def set_demand(self, room):
+    def set_demand(self, load):
         """Set the mean part of the servers' capacity in use."""
-        self.fleet.send_all(SetDemand(room))
+        self.fleet.send_all(SetDemand(load))
 
     def set_cuts(self, cuts):
         """Replace the cuts in force."""
@@ -125,7 +125,7 @@
         return {router.name: router.known for router in routers if router.up}
 
     async def records(self, numbers):
-        """Return what became of purges so far."""
+        """Return the progress of purges so far."""
         arrivals = await self.fleet.arrivals()
         controls = await self.fleet.control_arrivals()
         sources = [*arrivals.values(), *controls]
@@ -199,7 +199,7 @@
         """Submit a drain at a router's command channel."""
         self.fleet.drain(planned)
 
-    def set_demand(self, room):
+    def set_demand(self, load):
         """Do nothing: limits are not simulated in virtual time."""
 
     def set_cuts(self, cuts):
@@ -232,7 +232,7 @@
         return self.fleet.known_members()
 
     async def records(self, numbers):
-        """Return what became of purges so far."""
+        """Return the progress of purges so far."""
         return PurgeOutcomes(self.fleet.records(numbers), self.fleet.started(), self.fleet.rules())
 
     async def control_counters(self):
--- a/brookhinge/emulator/capacity/virtual.py
+++ b/brookhinge/emulator/capacity/virtual.py
@@ -74,7 +74,7 @@
 class Endpoint:
     """Receives datagrams and runs timers; base of routers and control machines.
 
-    Subclasses define `take(data, source)`, `tick()` and `next_at()`.
+    Subclasses define `handle_datagram(data, source)`, `tick()` and `next_at()`.
 
     Attributes:
         processor_s: Processor time spent, in seconds.
@@ -114,7 +114,7 @@
 
     def receive(self, data, source):
         """Process a received datagram."""
-        self.call_measured(self.take, data, source)
+        self.call_measured(self.handle_datagram, data, source)
 
 
 class VirtualPeer(Endpoint):
@@ -136,7 +136,7 @@
             network.now,
         )
 
-    def take(self, data, _):
+    def handle_datagram(self, data, _):
         """Decode a datagram and pass it to the core."""
         received = self.codec.read(data)
         if received is not None:
@@ -381,7 +381,7 @@
 
     def records(self, numbers):
         """Return the PurgeRecord of each given purge or drain that was submitted, by number."""
-        known_numbers = [number for number in numbers if self.submitted_at(number) is not None]
+        submitted_numbers = [number for number in numbers if self.submitted_at(number) is not None]
         return {
             number: PurgeRecord(
                 self.submitted_at(number),
@@ -393,7 +393,7 @@
                 self.known_at(number),
                 self.named(number),
             )
-            for number in known_numbers
+            for number in submitted_numbers
         }
 
     def started(self):
--- a/brookhinge/emulator/capacity/virtual_log.py
+++ b/brookhinge/emulator/capacity/virtual_log.py
@@ -24,7 +24,7 @@
         super().__init__(network, address, links, traffic)
         self.codec = Codec(FLEET, KEY, process)
 
-    def take(self, data, source):
+    def handle_datagram(self, data, source):
         """Decode a datagram and pass it to the core."""
         received = self.codec.read(data)
         if received is not None:
--- a/brookhinge/emulator/capacity/worker.py
+++ b/brookhinge/emulator/capacity/worker.py
@@ -125,7 +125,7 @@
     def set_demand(self, command):
         """Set the demand on the cache servers."""
         for router in self.routers:
-            router.room = command.room
+            router.load = command.load
 
     def kill(self, command):
         """Stop routers without a clean shutdown."""
