--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -257,7 +257,7 @@
 
 
 def main():
-    given = kept.given()
+    given = kept.parse_options()
     sizes = (
         ((16, 2, (0.0, 0.1)), (64, 2, (0.1,)))
         if given.short
--- a/benchmarks/kept.py
+++ b/benchmarks/kept.py
@@ -5,12 +5,12 @@
 from pathlib import Path
 
 
-def given():
+def parse_options():
     """Parse the options of a benchmark: `--short`, and `--keep` with the name for its results."""
-    options = argparse.ArgumentParser()
-    options.add_argument("--short", action="store_true")
-    options.add_argument("--keep", help="store figures and chart under this name")
-    return options.parse_args()
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--short", action="store_true")
+    parser.add_argument("--keep", help="store figures and chart under this name")
+    return parser.parse_args()
 
 
 def finish(figures, name, chart):
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -196,7 +196,7 @@
 
 
 def main():
-    given = kept.given()
+    given = kept.parse_options()
     sizes = ((8, 2),) if given.short else ((8, 20), (64, 20), (200, 4))
     days = ("cold", "cold, talk cut", "failing", "noise")
     jobs = [
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -189,7 +189,7 @@
 
 
 def main():
-    given = kept.given()
+    given = kept.parse_options()
     seeds = (
         {0.0: 40, 0.05: 12, 0.10: 12}
         if given.short
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -484,7 +484,7 @@
 
 
 def main():
-    given = kept.given()
+    given = kept.parse_options()
     short, figures = given.short, {}
     with tempfile.TemporaryDirectory(prefix="store-") as name:
         folder = Path(name)
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -379,7 +379,7 @@
 
 
 def main():
-    given = kept.given()
+    given = kept.parse_options()
     seeds = range(1, 3 if given.short else 13)
     jobs = [(name, kind, seed) for name in DAYS for kind in (False, True) for seed in seeds]
     with ProcessPoolExecutor() as pool:
