--- a/brookhinge/emulator/capacity/virtual_log.py
+++ b/brookhinge/emulator/capacity/virtual_log.py
@@ -60,11 +60,11 @@
         """Return when the core's next timer is due."""
         return self.core.next_at()
 
-    def entry(self, entry):
+    def apply_entry(self, entry):
         """Apply an entry of the log."""
         self.router.record_in_force(int(entry.text, 16))
 
-    def copies(self, rule, _purges):
+    def apply_copy_rule(self, rule, _purges):
         """Record a rule for copies that the router holds."""
         self.router.rules.append((self.network.now, rule.name))
 
--- a/brookhinge/engine/command_events.py
+++ b/brookhinge/engine/command_events.py
@@ -47,7 +47,7 @@
             return
         self.cursor = event.number
         if self.safety_notices is not None:
-            stamp_ms = round((event.purged_at + self.safety_notices.start) * 1000)
+            stamp_ms = round((event.purged_at + self.safety_notices.router_started_at) * 1000)
             purge = event.purge_group, event.object_key, stamp_ms
             self.context.emit(NotifyPeers("purge", purge))
             if not self.safety_notices.purge_is_new(*purge):
