--- a/brookhinge/emulator/capacity/work.py
+++ b/brookhinge/emulator/capacity/work.py
@@ -103,7 +103,7 @@
     def change(self, at_s):
         """Return the drain of a random cache server."""
         self.drains += 1
-        server = f"s{1 + self.chance.randrange(self.layout.capacity.caches)}"
+        server = f"s{1 + self.rng.randrange(self.layout.capacity.caches)}"
         return PlannedChange(at_s, FIRST_CHANGE + self.drains, server, *self.router())
 
     def site(self):
