--- a/brookhinge/cli/__init__.py
+++ b/brookhinge/cli/__init__.py
@@ -1,7 +1,7 @@
 """The command line: `brookhinge COMMAND`, or `python -m brookhinge COMMAND`.
 
-Exit 0 when done, 1 when something was found wrong, 2 with one line when an option, key or file cannot be
-used. Commands import their subsystem when called.
+Exit codes: 0 on success, 1 if the command failed or found a fault, 2 with one line on standard error if an
+option, key or file cannot be used. Each command imports its subsystem only when it is called.
 """
 
 from __future__ import annotations
@@ -15,42 +15,45 @@
 if TYPE_CHECKING:
     from brookhinge.operator import OperatorSettings
 
-COMMANDS = {  # command: (module, its one line); the module is imported when the command is called
-    "check": ("brookhinge.cli.check", "Reads an operator's file and says what is wrong with it."),
-    "cache-server": ("brookhinge.cli.cache_server", "A cache server on the two-tier store."),
-    "ask": ("brookhinge.cli.ask", "Asks a router for an object, and comes back when told."),
-    "explain": ("brookhinge.cli.explain", "Tells the storms in a router's log as a story."),
-    "fleet": ("brookhinge.cli.fleet", "What a router believes of its peers: show, watch."),
+COMMANDS = {  # command: (module, help line); the module is imported when the command is called
+    "check": ("brookhinge.cli.check", "Check an operator's file and report the first error."),
+    "cache-server": ("brookhinge.cli.cache_server", "Run a cache server on the two-tier store."),
+    "ask": ("brookhinge.cli.ask", "Request an object from a router; retry when asked to."),
+    "explain": ("brookhinge.cli.explain", "Report the retry storms recorded in a router's log."),
+    "fleet": ("brookhinge.cli.fleet", "Show a router's view of its peers: show, watch, limits, verdicts."),
     "control": (
         "brookhinge.cli.control",
-        "A control machine of the purge log, purges through it, and how far they have got.",
+        "Run a control machine of the purge log; submit purges and follow their progress.",
+    ),
+    "agent": (
+        "brookhinge.cli.agent",
+        "Keep the routers of one place running and switch their versions on request.",
     ),
-    "agent": ("brookhinge.cli.agent", "Keeps one place's routers running, and changes them when told."),
     "rollout": (
         "brookhinge.cli.rollout",
-        "A change through a fleet in stages that are judged: check, start, status, back.",
+        "Roll out a change to a fleet in judged stages: check, start, status, back.",
     ),
-    "store": ("brookhinge.cli.store", "Looks into a store that no process uses: inspect, verify, compact."),
+    "store": ("brookhinge.cli.store", "Examine a store that no process uses: inspect, verify, compact."),
     "demo": (
         "brookhinge.cli.demo",
-        "Origin, parent, three boxes, channel and a router on loopback, for a minute.",
+        "Run origin, parent, three boxes, channel and a router on loopback for a minute.",
     ),
-    "emulator": ("brookhinge.cli.emulator", "Scripted peers for trying things out."),
+    "emulator": ("brookhinge.cli.emulator", "Run scripted peers for experiments."),
 }
 
-# Names that commands had before; they work, and help does not list them.
+# Former command names. They still work but are not listed in the help.
 ALIASES = {"standin": "emulator", "box": "cache-server", "keep": "agent", "roll": "rollout"}
 
 
 class LazyGroup(click.Group):
-    """A group whose commands are imported when they are asked for."""
+    """A command group that imports a command only when it is looked up."""
 
     def list_commands(self, context: click.Context) -> list[str]:
-        """Return the names of the commands; aliases are not listed."""
+        """Return the names of the commands without the aliases."""
         return list(COMMANDS)
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
-        """Import and return a command by its name or an alias."""
+        """Import and return the command with this name or alias; None if there is none."""
         name = ALIASES.get(name, name)
         if name not in COMMANDS:
             return None
@@ -58,29 +61,29 @@
         return module.command
 
     def format_commands(self, context: click.Context, formatter: click.HelpFormatter) -> None:
-        """Write one line a command without importing any."""
+        """Write one line per command without importing any of them."""
         with formatter.section("Commands"):
             formatter.write_dl([(name, line) for name, (_, line) in COMMANDS.items()])
 
 
 @click.command(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def group() -> None:
-    """A query router for edge caches, and what stands beside it.
+    """A query router for edge caches, with its companion services and tools.
 
-    Without a command it is the platform's router, configured by BALANCER_CONFIG.
+    Without a command it runs the platform's router, configured by BALANCER_CONFIG.
     """
 
 
 def refuse(text: str, code: int = 2) -> NoReturn:
-    """End the command with one line on standard error."""
+    """Print one line on standard error and exit."""
     click.echo(f"brookhinge: {text}", err=True)
     sys.exit(code)
 
 
 def block_of(file: str, kind: str, name: str | None) -> tuple[OperatorSettings, Any]:
-    """Return an operator's settings and their block of that kind and name, the first one without a name.
+    """Read an operator's file and return its settings and the block of that kind and name.
 
-    Ends the command where there is none.
+    Without a name it is the first block of that kind. Exits if the file cannot be read or has no such block.
     """
     from brookhinge.operator import OperatorError, read_file
 
@@ -92,7 +95,7 @@
     if not blocks:
         refuse(f"{file}: no block {kind}")
     if name is not None and name not in blocks:
-        refuse(f'{file}: no block {kind} "{name}", there is ' + ", ".join(blocks))
+        refuse(f'{file}: no block {kind} "{name}", expected one of ' + ", ".join(blocks))
     return settings, blocks[name] if name is not None else next(iter(blocks.values()))
 
 
--- a/brookhinge/cli/agent.py
+++ b/brookhinge/cli/agent.py
@@ -13,23 +13,23 @@
 
 
 async def _serve(agent: "Agent") -> None:
-    stopped = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stopped.set)
+        asyncio.get_running_loop().add_signal_handler(number, stop_requested.set)
     await agent.open()
-    await stopped.wait()
+    await stop_requested.wait()
     await agent.stop()
 
 
 @click.command("agent")
 @click.argument("plan", type=click.Path())
-@click.option("--place", "name", required=True, help="Which keeper of the plan this is.")
+@click.option("--place", "name", required=True, help="Name of this agent's `keeper` block in the plan.")
 def command(plan: str, name: str) -> None:
-    """Keep the routers of one place running, and change them when a coordinator says so.
+    """Keep the routers of one place running and switch their versions on a coordinator's request.
 
-    On SIGTERM it ends them; killed, it leaves them serving, and its successor finds them.
+    On SIGTERM the agent stops its routers. If it is killed, they keep serving and the next agent adopts them.
     """
-    from brookhinge.logs import make
+    from brookhinge.logs import make_logger
     from brookhinge.operator import OperatorError
     from brookhinge.rollout.agent import Agent
     from brookhinge.rollout.journal import JournalError
@@ -40,10 +40,10 @@
     except OperatorError as error:
         refuse(f"{plan}: {error}")
     if name not in settings.agents:
-        refuse(f'{plan}: no keeper "{name}", there is ' + ", ".join(settings.agents))
+        refuse(f'{plan}: no keeper "{name}", expected one of ' + ", ".join(settings.agents))
     try:
-        asyncio.run(_serve(Agent(settings, name, make(name, "info").info)))
+        asyncio.run(_serve(Agent(settings, name, make_logger(name, "info").info)))
     except JournalError as error:
         refuse(f"{settings.agents[name].folder}: {error}", 1)
     except OSError as error:
-        refuse(f"agent: {error.strerror}: {error.filename or 'an address that is not free'}", 1)
+        refuse(f"agent: {error.strerror}: {error.filename or 'one of the configured addresses'}", 1)
--- a/brookhinge/cli/ask.py
+++ b/brookhinge/cli/ask.py
@@ -20,11 +20,19 @@
 @click.argument("router", callback=parse_address)
 @click.argument("object", metavar="OBJECT")
 @click.option("--part", type=click.IntRange(0, 999_999_999), default=0, show_default=True)
-@click.option("--track", default="page", show_default=True, help="The class, as in the router's settings.")
+@click.option(
+    "--track", default="page", show_default=True, help="Request class, as named in the router's settings."
+)
 @click.option("--group", type=click.IntRange(0, 255), default=0, show_default=True)
-@click.option("--patience", type=click.FloatRange(0.01, 600), default=2.9, show_default=True, help="Seconds.")
+@click.option(
+    "--patience",
+    type=click.FloatRange(0.01, 600),
+    default=2.9,
+    show_default=True,
+    help="Seconds to wait for the answer.",
+)
 @click.option("--tries", type=click.IntRange(1, 20), default=3, show_default=True)
-@click.option("--out", type=click.File("wb"), help="Where the bytes go; - for standard output.")
+@click.option("--out", type=click.File("wb"), help="File for the body; - is standard output.")
 def command(
     router: tuple[str, int],
     object: str,
@@ -35,9 +43,9 @@
     tries: int,
     out: BinaryIO | None,
 ) -> None:
-    """Ask the ROUTER (HOST:PORT) for OBJECT (16 hex digits); retry when told.
+    """Request OBJECT (16 hex digits) from ROUTER (HOST:PORT); retry when the router asks for it.
 
-    Exit 1 if it is not satisfied.
+    Exits with 1 if the request is not satisfied.
     """
     import asyncio
 
@@ -55,7 +63,7 @@
         out.write(answer.body)
     click.echo(
         f"{answer.kind} after {answer.tries} tries, {len(answer.body)} bytes"
-        + (f", told to come back in {answer.wait_s:g} s" if answer.wait_s else "")
+        + (f", retry after {answer.wait_s:g} s" if answer.wait_s else "")
         + (f": {answer.why}" if answer.why else ""),
         err=True,
     )
--- a/brookhinge/cli/cache_server.py
+++ b/brookhinge/cli/cache_server.py
@@ -17,12 +17,12 @@
 
 
 def read_options(name: str, server: dict[str, object], store: dict[str, object]) -> "OperatorSettings":
-    """Read options as an operator's file would state them, by the same schema.
+    """Check command-line options by the schema of the operator's file.
 
     Args:
-        name: Of the server.
-        server: Keys and values of its block; None where an option was not given.
-        store: Keys and values of the `store` block in it, likewise.
+        name: Name of the cache server.
+        server: Keys and values of its `box` block; None where an option was not given.
+        store: Keys and values of the `store` block within it; None where an option was not given.
 
     Raises:
         OperatorError: A value is out of range.
@@ -33,19 +33,19 @@
 
 
 def quote(text: str | None) -> str | None:
-    """The text as a string of an operator's file."""
+    """Return the text as a quoted HCL string; None stays None."""
     return None if text is None else '"' + text.replace("\\", "\\\\").replace('"', '\\"') + '"'
 
 
 async def serve(
     settings: "CacheServerSettings", log: "FilteringBoundLogger", metrics_address: tuple[str, int] | None
 ) -> None:
-    """Run a cache server until SIGTERM or SIGINT, then drain it."""
+    """Run a cache server until SIGTERM or SIGINT, then drain and stop it."""
     from brookhinge.cache_server import CacheServer
 
-    ended = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, ended.set)
+        asyncio.get_running_loop().add_signal_handler(number, stop_requested.set)
     server = CacheServer(settings, lambda event, **values: log.info(event, **values))
     await server.start()
     if metrics_address:
@@ -53,7 +53,7 @@
         from brookhinge.metrics import publish
 
         publish(CacheServerCollector(server), metrics_address)
-    await ended.wait()
+    await stop_requested.wait()
     await server.stop()
 
 
@@ -61,15 +61,15 @@
 @click.option(
     "--file",
     type=click.Path(),
-    help="An operator's file with the box's block; options below do not go with it.",
+    help="Operator's file with the `box` block; excludes the options below.",
 )
-@click.option("--name", required=True, help="The box's name, as the command channel lists it.")
-@click.option("--listen", help="HOST:PORT for routers and other boxes.")
+@click.option("--name", required=True, help="Name of the box in the command channel's endpoint list.")
+@click.option("--listen", help="HOST:PORT on which routers and other boxes connect.")
 @click.option("--channel", help="HOST:PORT of the command channel.")
-@click.option("--store", "folder", help="Folder of the disk tier; without one memory stands alone.")
-@click.option("--memory-mb", type=float, help="Memory for copies (64).")
-@click.option("--disk-mb", type=float, help="Disk for copies (1024).")
-@click.option("--segment-mb", type=float, help="Size of a segment file (16).")
+@click.option("--store", "folder", help="Folder of the disk tier; without it copies are kept in memory only.")
+@click.option("--memory-mb", type=float, help="Memory for copies in MB (default 64).")
+@click.option("--disk-mb", type=float, help="Disk space for copies in MB (default 1024).")
+@click.option("--segment-mb", type=float, help="Size of a segment file in MB (default 16).")
 def command(
     file: str | None,
     name: str,
@@ -80,7 +80,7 @@
     disk_mb: float | None,
     segment_mb: float | None,
 ) -> None:
-    """A cache server on the two-tier store, until SIGTERM."""
+    """Run a cache server on the two-tier store until SIGTERM."""
     sizes = {"memory_mb": memory_mb, "disk_mb": disk_mb, "segment_mb": segment_mb}
     try:
         if file:
@@ -98,19 +98,19 @@
 
 
 def refuse_options(given: list[str]) -> None:
-    """End the command if options were given that do not go with a file."""
+    """Exit if options were given that cannot be combined with --file."""
     if given:
-        refuse(f"--{given[0].replace('_', '-')}: does not go with --file")
+        refuse(f"--{given[0].replace('_', '-')}: cannot be combined with --file")
 
 
 def run(operator: "OperatorSettings", name: str) -> None:
-    """Run the cache server of that name; end the command if its address can't be bound."""
-    from brookhinge.logs import make
+    """Run the cache server of that name; exit if its address can't be bound."""
+    from brookhinge.logs import make_logger
 
     settings = operator.box[name]
-    began = time.monotonic()
+    started_at = time.monotonic()
     try:
-        asyncio.run(serve(settings, make(name, operator.log), operator.metrics))
+        asyncio.run(serve(settings, make_logger(name, operator.log), operator.metrics))
     except OSError as error:
         host, port = settings.listen
-        refuse(f"listen: {host}:{port}: {error.strerror} (after {time.monotonic() - began:.1f} s)", 1)
+        refuse(f"listen: {host}:{port}: {error.strerror} (after {time.monotonic() - started_at:.1f} s)", 1)
--- a/brookhinge/cli/check.py
+++ b/brookhinge/cli/check.py
@@ -10,13 +10,14 @@
 @click.argument("file", type=click.Path())
 @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
 def command(file: str, as_json: bool) -> None:
-    """Read an operator's FILE as the programs do; print what it turns on."""
+    """Check an operator's FILE and print what it enables."""
     try:
         settings = read_file(file)
     except OperatorError as error:
         refuse(f"{file}: {error}")
     rows = [
-        _row("box", name, box.listen, box.store.dir or "memory alone") for name, box in settings.box.items()
+        _row("box", name, server.listen, server.store.dir or "memory alone")
+        for name, server in settings.box.items()
     ]
     rows += [_row("fleet", name, fleet.listen) for name, fleet in settings.fleet.items()]
     rows += [_row("control", name, control.listen) for name, control in settings.control.items()]
--- a/brookhinge/cli/demo.py
+++ b/brookhinge/cli/demo.py
@@ -1,4 +1,4 @@
-"""The command `brookhinge demo`: a newcomer's first minute."""
+"""The command `brookhinge demo`: a one-minute tour on loopback."""
 
 import asyncio
 import tempfile
@@ -12,12 +12,12 @@
 
 T = TypeVar("T")
 
-PACE_S = 0.015  # between two queries: a caller in a hurry would be told to come back
+REQUEST_INTERVAL_S = 0.015  # a faster client would be asked to retry later
 
 
-async def _after(pause_s: float, asking: Awaitable[T]) -> T:
-    await asyncio.sleep(pause_s)
-    return await asking
+async def _after(delay_s: float, request: Awaitable[T]) -> T:
+    await asyncio.sleep(delay_s)
+    return await request
 
 
 async def _play() -> bool:
@@ -25,62 +25,67 @@
     from brookhinge.emulator.origin import body_of, group_of
 
     with tempfile.TemporaryDirectory(prefix="brookhinge-") as folder:
-        async with LocalDeployment(folder) as town:
+        async with LocalDeployment(folder) as deployment:
             click.echo(
-                f"up: origin, parent, boxes {', '.join(town.names)}, command channel, router at "
-                f"{town.router_address[0]}:{town.router_address[1]}"
+                f"up: origin, parent, boxes {', '.join(deployment.names)}, command channel, router at "
+                f"{deployment.router_address[0]}:{deployment.router_address[1]}"
             )
-            caller = await town.caller()
+            client = await deployment.caller()
             objects = [f"{7919 * n + 5:016x}" for n in range(40)]
-            wrong = 0
+            wrong_bodies = 0
 
-            async def round_(what: str) -> None:
-                nonlocal wrong
-                began = time.monotonic()
-                asked = len(objects)
-                filled = town.origin.counts["queries"]
+            async def run_round(title: str) -> None:
+                nonlocal wrong_bodies
+                started_at = time.monotonic()
+                request_count = len(objects)
+                origin_requests_before = deployment.origin.counts["queries"]
                 answers = await asyncio.gather(
-                    *(_after(n * PACE_S, caller.ask(o, lot=group_of(o))) for n, o in enumerate(objects))
+                    *(
+                        _after(n * REQUEST_INTERVAL_S, client.ask(o, lot=group_of(o)))
+                        for n, o in enumerate(objects)
+                    )
                 )
-                good = [
-                    (o, body) for o, (word, body) in zip(objects, answers, strict=True) if word == "satisfied"
+                satisfied = [
+                    (o, body) for o, (kind, body) in zip(objects, answers, strict=True) if kind == "satisfied"
                 ]
-                wrong += sum(
-                    body != body_of(o, 0, town.origin.version(o), town.origin.sizes) for o, body in good
+                wrong_bodies += sum(
+                    body != body_of(o, 0, deployment.origin.version(o), deployment.origin.sizes)
+                    for o, body in satisfied
                 )
                 click.echo(
-                    f"{what}: {len(good)} of {asked} answered in {time.monotonic() - began:.2f} s, "
-                    f"{town.origin.counts['queries'] - filled} asked of the origin"
+                    f"{title}: {len(satisfied)} of {request_count} answered in "
+                    f"{time.monotonic() - started_at:.2f} s, "
+                    f"{deployment.origin.counts['queries'] - origin_requests_before} requests to the origin"
                 )
 
-            await round_("first time")
-            await round_("again")
+            await run_round("first requests")
+            await run_round("same requests again")
             await asyncio.sleep(1.5)
-            await town.kill("s-2")
-            await round_("s-2 killed")
-            await town.restart("s-2")
+            await deployment.kill("s-2")
+            await run_round("s-2 killed")
+            await deployment.restart("s-2")
             await asyncio.sleep(0.5)
-            await round_("s-2 back, warm from its disk")
-            town.change(objects[0])
+            await run_round("s-2 restarted with the copies on its disk")
+            deployment.change(objects[0])
             await asyncio.sleep(0.7)
-            await round_(f"{objects[0]} changed and purged")
-            town.channel.list("s-1", health="draining")
+            await run_round(f"{objects[0]} changed and purged")
+            deployment.channel.list("s-1", health="draining")
             await asyncio.sleep(0.7)
-            await round_("s-1 told to drain")
-            caller.close()
-            click.echo(f"bytes that were not the origin's: {wrong}")
-            return wrong == 0
+            await run_round("s-1 draining")
+            client.close()
+            click.echo(f"answers with other bytes than the origin's: {wrong_bodies}")
+            return wrong_bodies == 0
 
 
 @click.command("demo")
 def command() -> None:
     """Run origin, parent, three boxes, command channel and one router on loopback with free ports.
 
-    Asks, kills a box, purges an object, drains a box, and says in a dozen lines what happened.
+    Sends requests, kills a box, purges an object, drains a box and prints a dozen lines of results.
     """
     try:
-        good = asyncio.run(_play())
+        all_correct = asyncio.run(_play())
     except (OSError, RuntimeError) as error:
         refuse(f"demo: {error}", 1)
-    if not good:
-        refuse("demo: an answer was not what the origin gave out", 1)
+    if not all_correct:
+        refuse("demo: an answer differs from what the origin serves", 1)
--- a/brookhinge/cli/explain.py
+++ b/brookhinge/cli/explain.py
@@ -7,20 +7,20 @@
 from brookhinge.cli import refuse
 
 
-def format_time(at: float) -> str:
-    """A Unix time as text, in UTC."""
-    return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(at))
+def format_time(unix_s: float) -> str:
+    """Return a Unix time as text in UTC."""
+    return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(unix_s))
 
 
 @click.command(
     "explain",
-    help="Tells the storms in a router's LOG as a story: when, who, how damped, how ended. "
-    "- reads standard input.",
+    help="Report the retry storms in a router's LOG: when each began, who caused it, how it was damped "
+    "and how it ended. With - the log is read from standard input.",
 )
 @click.argument("log", type=click.Path(allow_dash=True))
 @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
 def command(log: str, as_json: bool) -> None:
-    """Print the report on a log."""
+    """Print a report on the storms in a log."""
     from brookhinge.overload import log_report
 
     try:
--- a/brookhinge/cli/fleet.py
+++ b/brookhinge/cli/fleet.py
@@ -1,4 +1,4 @@
-"""The commands `brookhinge fleet show`, `watch`, `limits` and `verdicts`: what one router believes."""
+"""The commands `brookhinge fleet show`, `watch`, `limits` and `verdicts`: one router's view of the fleet."""
 
 import asyncio
 import time
@@ -11,65 +11,71 @@
 if TYPE_CHECKING:
     from brookhinge.operator.schema import Fleet
 
-# Columns as they are printed, and the keys of the JSON: names that operators' scripts rely on.
+# Column titles, which are also the JSON keys. Operators' scripts rely on them.
 LIMIT_COLUMNS = ["kind", "server", "own", "given", "lent", "in_use", "shrinks_in_s", "keeper"]
 VERDICT_COLUMNS = ["server", "state", "for_s", "why", "witnesses", "tries", "failed", "own_trouble"]
 MEMBER_COLUMNS = ["member", "state", "for_s", "by", "zone", "address"]
 
 
-def query(block: "Fleet", topic: int = 0, columns: list[str] = MEMBER_COLUMNS) -> tuple[list[dict], str]:
-    """Rows of a status topic of one router, and its view's digest; end the command if nothing answers."""
+def fetch_rows(block: "Fleet", topic: int = 0, columns: list[str] = MEMBER_COLUMNS) -> tuple[list[dict], str]:
+    """Return the rows of a status topic of one router and the digest of its view; exit without an answer."""
     from brookhinge.membership.status_query import query_status
 
     status = asyncio.run(query_status(block.listen, block.site, block.key, topic))
     if status is None:
         host, port = block.listen
-        refuse(f"{block.name}: no answer from {host}:{port}: not up, another key, or another site", 1)
+        refuse(f"{block.name}: no answer from {host}:{port}: it may be down or use another key or site", 1)
     return [dict(zip(columns, row, strict=False)) for row in status.rows], f"{status.digest:016x}"
 
 
 @click.group("fleet")
 def command() -> None:
-    """What a router believes of its peers."""
+    """Show a router's view of its peers."""
 
 
 @command.command(
     "show",
-    help="Each member's state, for how long, by whose word; and the view's digest: the same at two routers, "
-    "the same view.",
+    help="Show each member's state, its duration and the reporting router, and the digest of the view. "
+    "Routers with the same digest have the same view.",
 )
-@click.option("--file", required=True, type=click.Path(), help="The operator's file with the block fleet.")
-@click.option("--router", help="Whose view; the first block's without.")
+@click.option("--file", required=True, type=click.Path(), help="Operator's file with the `fleet` blocks.")
+@click.option("--router", help="Router to query (default: the first block).")
 @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
 def show(file: str, router: str | None, as_json: bool) -> None:
-    """Print the members."""
+    """Print the members of the fleet."""
     block = block_of(file, "fleet", router)[1]
-    rows, digest = query(block)
+    rows, digest = fetch_rows(block)
     if as_json:
         table([{"router": block.name, "digest": digest, "members": rows}], [], True)
         return
-    click.echo(f"{block.name} believes ({digest}):")
+    click.echo(f"view of {block.name} (digest {digest}):")
     table(rows, MEMBER_COLUMNS, False)
 
 
-def add_topic_command(topic: str, word: str, columns: list[str], line: str, text: str) -> None:
-    """Add a command that shows another status topic than the members."""
+def add_topic_command(topic: str, name: str, columns: list[str], header: str, help_text: str) -> None:
+    """Add a command that shows a status topic other than the members.
 
-    @command.command(word, help=text)
-    @click.option(
-        "--file", required=True, type=click.Path(), help="The operator's file with the block fleet."
-    )
-    @click.option("--router", help="Which one is asked; the first block's without.")
+    Args:
+        topic: Name of the topic in `StatusTopic`.
+        name: Name of the command, and the key of the rows in its JSON.
+        columns: Titles of the columns.
+        header: Line above the table, a format string of `name`, the router, and `count`, the rows.
+        help_text: Help text of the command.
+    """
+
+    @command.command(name, help=help_text)
+    @click.option("--file", required=True, type=click.Path(), help="Operator's file with the `fleet` blocks.")
+    @click.option("--router", help="Router to query (default: the first block).")
     @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
     def show_topic(file: str, router: str | None, as_json: bool) -> None:
         from brookhinge.membership.messages import StatusTopic
 
         block = block_of(file, "fleet", router)[1]
-        rows, _ = query(block, StatusTopic[topic], columns)
+        rows, _ = fetch_rows(block, StatusTopic[topic], columns)
         if as_json:
-            table([{"router": block.name, word: rows}], [], True)
+            table([{"router": block.name, name: rows}], [], True)
             return
-        click.echo(line.format(name=block.name, count=len(rows)))
+        click.echo(header.format(name=block.name, count=len(rows)))
         if rows:
             table(rows, columns, False)
 
@@ -78,37 +84,45 @@
     "LIMITS",
     "limits",
     LIMIT_COLUMNS,
-    "{name} shares {count} limits now; of all others it has its own part",
-    "What a router may use of each shared limit, as parts of the whole: its own, given away, lent, for how "
-    "long.",
+    "{name} shares {count} limits now; of every other limit it has its own quota",
+    "Show a router's quota of each shared limit, as fractions of the limit: its own quota, granted to "
+    "others, leased from others, in use, the seconds until it shrinks, and the lessor (keeper).",
 )
 add_topic_command(
     "VERDICTS",
     "verdicts",
     VERDICT_COLUMNS,
-    "{name}: {count} servers in question",
-    "Which servers are in question at a router, why one rests, by how many witnesses, and which is its own "
-    "trouble.",
+    "{name}: {count} servers suspected or ejected",
+    "Show the servers that a router suspects or has ejected: the reason, the number of witnesses, and "
+    "whether the fault is local to the router.",
 )
 
 
 @command.command("watch")
-@click.option("--file", required=True, type=click.Path(), help="The operator's file with the block fleet.")
-@click.option("--router", help="Whose view; the first block's without.")
-@click.option("--every", default=1.0, type=click.FloatRange(0.2, 60), show_default=True, help="Seconds.")
-@click.option("--rounds", default=0, type=click.IntRange(0), help="Ends after so many; 0: goes on.")
+@click.option("--file", required=True, type=click.Path(), help="Operator's file with the `fleet` blocks.")
+@click.option("--router", help="Router to query (default: the first block).")
+@click.option(
+    "--every",
+    default=1.0,
+    type=click.FloatRange(0.2, 60),
+    show_default=True,
+    help="Seconds between refreshes.",
+)
+@click.option(
+    "--rounds", default=0, type=click.IntRange(0), help="Number of refreshes; 0: until interrupted."
+)
 def watch(file: str, router: str | None, every: float, rounds: int) -> None:
-    """The same, drawn anew until interrupted."""
+    """Show the members and refresh until interrupted."""
     from rich.console import Console
     from rich.live import Live
     from rich.table import Table
 
     block = block_of(file, "fleet", router)[1]
-    done = 0
+    rounds_done = 0
 
-    def draw() -> Table:
-        rows, digest = query(block)
-        grid = Table(title=f"{block.name} believes ({digest})")
+    def render_view() -> Table:
+        rows, digest = fetch_rows(block)
+        grid = Table(title=f"view of {block.name} (digest {digest})")
         for column in MEMBER_COLUMNS:
             grid.add_column(column)
         for row in rows:
@@ -116,7 +130,7 @@
             grid.add_row(*(str(row[column]) for column in MEMBER_COLUMNS), style=style)
         return grid
 
-    with Live(draw(), console=Console(), refresh_per_second=4) as live:
-        while not rounds or (done := done + 1) < rounds:
+    with Live(render_view(), console=Console(), refresh_per_second=4) as live:
+        while not rounds or (rounds_done := rounds_done + 1) < rounds:
             time.sleep(every)
-            live.update(draw())
+            live.update(render_view())
--- a/brookhinge/cli/rollout.py
+++ b/brookhinge/cli/rollout.py
@@ -17,7 +17,7 @@
 EXIT_INTERRUPTED = 3
 BAR_WIDTH = 40
 
-journal_option = click.option("--journal", help="The rollout's journal; PLAN.roll without.")
+journal_option = click.option("--journal", help="Journal of the rollout (default: PLAN.roll).")
 
 
 def _read(plan: str) -> "Plan":
@@ -36,13 +36,13 @@
 
 @click.group("rollout")
 def command() -> None:
-    """Change program or settings of a fleet of routers, in stages that are judged."""
+    """Change the program or settings of a fleet of routers in judged stages."""
 
 
 @command.command("check")
 @click.argument("plan", type=click.Path())
 def check(plan: str) -> None:
-    """Read a plan and say what is wrong with it, and who would be changed in which stage."""
+    """Check a plan and print which routers are changed in which stage."""
     from brookhinge.rollout.plan import missing_on_disk
     from brookhinge.rollout.stages import stages_of
 
@@ -62,11 +62,11 @@
 @command.command("start")
 @click.argument("plan", type=click.Path())
 @journal_option
-@click.option("--json", "as_json", is_flag=True, help="Print a JSON line an event.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON line per event.")
 def start(plan: str, journal: str | None, as_json: bool) -> None:
-    """Carry a rollout out, or on from where it stood.
+    """Run a rollout, or resume it from its journal.
 
-    Exit 0: done; 1: taken back, left or superseded; 3: interrupted.
+    Exit 0: done; 1: rolled back, aborted or superseded; 3: interrupted.
     """
     import orjson
 
@@ -75,14 +75,14 @@
 
     settings = _read(plan)
     path = _journal_of(plan, journal)
-    began = time.monotonic()
+    started_at = time.monotonic()
 
     def log(event: str, **values: Any) -> None:  # noqa: ANN401 - JSON values
         if as_json:
             click.echo(orjson.dumps({"event": event, **values}).decode())
         else:
             fields = "  ".join(f"{name} {value}" for name, value in values.items())
-            click.echo(f"{time.monotonic() - began:8.1f} s  {event:9} {fields}")
+            click.echo(f"{time.monotonic() - started_at:8.1f} s  {event:9} {fields}")
         sys.stdout.flush()
 
     async def run() -> str | None:
@@ -105,13 +105,13 @@
 @journal_option
 @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
 def status(plan: str, journal: str | None, as_json: bool) -> None:
-    """Show where a rollout stands, with a bar of the routers that are changed."""
+    """Show the progress of a rollout with a bar of the changed routers."""
     from brookhinge.rollout.coordinator_service import read_status
 
     path = _journal_of(plan, journal)
     values = read_status(path)
     if values is None:
-        refuse(f"{path}: no rollout has begun on it", 1)
+        refuse(f"{path}: no rollout has started on this journal", 1)
     if as_json:
         table([values], [], True)
         return
@@ -119,7 +119,7 @@
     bar = "#" * width + "." * (BAR_WIDTH - width)
     click.echo(
         f"{values['plan']}: {values['phase']}, stage {values['stage']} of {values['stages']}  [{bar}] "
-        f"{values['new']} of {values['routers']} on the new one"
+        f"{values['new']} of {values['routers']} on the new version"
     )
     verdict = values["verdict"]
     if verdict:
@@ -130,10 +130,10 @@
     table(values["members"], ["router", "version", "should", "state", "crashes"], False)
 
 
-def _add_request(name: str, text: str) -> None:
-    """Add a command that leaves an operator's request for the coordinator."""
+def _add_request(name: str, help_text: str) -> None:
+    """Add a command that records an operator's request for the coordinator."""
 
-    @command.command(name, help=text)
+    @command.command(name, help=help_text)
     @click.argument("plan", type=click.Path())
     @journal_option
     def request(plan: str, journal: str | None) -> None:
@@ -147,11 +147,11 @@
         except OSError as error:
             refuse(f"{path}: {error.strerror}", 1)
         click.echo(
-            f"{name}: said; the coordinator on this journal takes it up, or the next one that is started"
+            f"{name}: recorded; the coordinator of this journal, or the next one started on it, acts on it"
         )
 
 
-_add_request("pause", "Changes nothing more until resumed; what runs goes on.")
-_add_request("resume", "Goes on after a pause.")
-_add_request("abort", "Ends the rollout where it stands: each router goes on with what it runs.")
-_add_request("back", "Takes all routers back to the old one.")
+_add_request("pause", "Stop changing routers until resumed; all routers keep running.")
+_add_request("resume", "Continue after a pause.")
+_add_request("abort", "End the rollout now; each router keeps the version that it runs.")
+_add_request("back", "Roll all routers back to the old version.")
--- a/brookhinge/cli/store.py
+++ b/brookhinge/cli/store.py
@@ -11,20 +11,25 @@
     from brookhinge.store import DiskTier
 
 _MIN_SEGMENT_BYTES = 4 << 20
-_SPARE_SEGMENTS = 16  # more than cleaning takes for itself
+_SPARE_SEGMENTS = 16  # more than cleaning needs as working space
 _COMPACTED_BELOW_LIVE_SHARE = 0.9
 
 
 class OpenedStore(NamedTuple):
-    """A store that was opened, and the damage that was met on the way."""
+    """An open store and the damage found while opening it."""
 
     tier: "DiskTier"
-    damaged_headers: list[tuple[str, str]]  # segment file and reason; opening removes such a file
+    damaged_headers: list[
+        tuple[str, str]
+    ]  # name of a segment file and reason; opening the store deletes such a file
     ledger_unreadable_bytes: list[int]
 
 
 def open_store(folder: str) -> OpenedStore:
-    """Open and so lock the store in a folder; exit if it is no store or in use, and create none."""
+    """Open and lock the store in a folder; exit if the folder holds no store or is in use.
+
+    Never creates a store.
+    """
     from brookhinge.store import DiskTier, StoreUnusableError
     from brookhinge.store.files import Files
     from brookhinge.store.folder_layout import STORE_FILE
@@ -49,7 +54,7 @@
 
 
 def _inspect_segment_files(folder: str) -> tuple[list[int], list[tuple[str, str]]]:
-    """Sizes of the segment files, and those whose header can't be read with the reason."""
+    """Return the sizes of the segment files, and the name and reason for each unreadable header."""
     from brookhinge.store.errors import DamagedError, UnsupportedVersionError
     from brookhinge.store.file_format import (
         FILE_HEADER_BYTES,
@@ -74,14 +79,14 @@
 
 @click.group("store")
 def command() -> None:
-    """Looks into the store in a folder that no process uses."""
+    """Examine the store in a folder that no process uses."""
 
 
 @command.command("inspect")
 @click.argument("folder", type=click.Path())
 @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
 def inspect(folder: str, as_json: bool) -> None:
-    """Segments, what lives in them, purges."""
+    """Show the segments, their live bytes, and the number of parts and purges."""
     tier = open_store(folder).tier
     rows = []
     for number, segment in sorted(tier.segments.items()):
@@ -103,7 +108,7 @@
 @click.argument("folder", type=click.Path())
 @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
 def verify(folder: str, as_json: bool) -> None:
-    """Reads every byte and names every place that is not what was written. Exit 1 if there is one."""
+    """Read every byte and list every damaged place. Exits with 1 if there is one."""
     from brookhinge.store.verification import DamagedPlace, verify_tier
 
     store = open_store(folder)
@@ -118,14 +123,14 @@
     rows = [place._asdict() for place in [*headers, *report.damaged]]
     table(rows, ["file", "place", "why"], as_json)
     if not as_json:
-        click.echo(f"{report.whole_records} records are whole, {len(rows)} places are not")
+        click.echo(f"{report.whole_records} records intact, {len(rows)} damaged places")
     raise SystemExit(1 if rows else 0)
 
 
 @command.command("compact")
 @click.argument("folder", type=click.Path())
 def compact(folder: str) -> None:
-    """Copies what lives out of segments that are less than nine tenths alive, and frees them."""
+    """Rewrite the live records of segments that are less than 90% live, and free those segments."""
     tier = open_store(folder).tier
     bytes_before = tier.stats()["disk_bytes"]
     sparse = [
--- a/brookhinge/logs.py
+++ b/brookhinge/logs.py
@@ -1,7 +1,7 @@
-"""Logs of all programs but the platform's router: structlog rendered by orjson, one JSON line an event.
+"""Logging for all programs except the platform's router: structlog and orjson, one JSON line per event.
 
-The lines have the form that the router writes. The router keeps its own small writer (engine/log.py):
-structlog would take 4.2 MB of its 32.
+The lines have the same form as the router's. The router has its own small log writer (engine/log.py) because
+structlog would use 4.2 MB of its 32 MB of memory.
 """
 
 import logging
@@ -19,30 +19,36 @@
     "warning": logging.WARNING,
     "error": logging.ERROR,
 }
-USUAL_LEVEL = "info"  # named in no line
+DEFAULT_LEVEL = "info"  # omitted from log lines
 
 
-def stamp(_logger: object, level: str, line: dict[str, Any]) -> dict[str, Any]:
-    """Put time, program and event first, and the level only where it is not the usual one."""
+def add_header(_logger: object, level: str, line: dict[str, Any]) -> dict[str, Any]:
+    """Put the time, the program and the event first, then the level unless it is the default."""
     head = {"at": round(time.time(), 3), "router": line.pop("router", ""), "event": line.pop("event")}
-    if level != USUAL_LEVEL:
+    if level != DEFAULT_LEVEL:
         head["level"] = level
     return {**head, **line}
 
 
 def render(line: dict[str, Any], default: Callable[[Any], Any] | None = None) -> bytes:
-    """Render a line as JSON; a value that has no JSON is shown by its repr."""
+    """Render a line as JSON; a value without a JSON form is written as its repr."""
     return orjson.dumps(line, default=default or repr)
 
 
-def make(name: str, level: str = USUAL_LEVEL, sink: BinaryIO | None = None) -> structlog.BoundLogger:
-    """Return a logger for one process, called as log.info("event", key=value)."""
+def make_logger(name: str, level: str = DEFAULT_LEVEL, sink: BinaryIO | None = None) -> structlog.BoundLogger:
+    """Return a logger of one process, to be called as `log.info("event", key=value)`.
+
+    Args:
+        name: Name of the program, the value of `router` in each line.
+        level: Lowest level that is logged.
+        sink: Binary stream for the lines; None is standard output.
+    """
     return structlog.wrap_logger(
         structlog.BytesLogger(sink or sys.stdout.buffer),
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
         processors=[
             structlog.processors.format_exc_info,
-            stamp,
+            add_header,
             structlog.processors.JSONRenderer(serializer=render),
         ],
         cache_logger_on_first_use=True,
--- a/brookhinge/metrics.py
+++ b/brookhinge/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics for Prometheus, served from a thread of the library's own."""
+"""Serves Prometheus metrics over HTTP from a thread started by the client library."""
 
 import threading
 from wsgiref.simple_server import WSGIServer
@@ -8,7 +8,10 @@
 
 
 def publish(collector: Collector, address: tuple[str, int]) -> tuple[WSGIServer, threading.Thread]:
-    """Serve a collector's metrics over HTTP; it is called on the returned thread."""
+    """Serve a collector's metrics over HTTP.
+
+    The collector is called on the returned thread.
+    """
     registry = CollectorRegistry()
     registry.register(collector)
     host, port = address
--- a/brookhinge/operator/__init__.py
+++ b/brookhinge/operator/__init__.py
@@ -1,11 +1,12 @@
-"""The operator's file: settings of what an installation turns on beside the platform's router, in HCL.
+"""The operator's file: HCL settings of the optional subsystems of an installation.
 
     from brookhinge.operator import read_file
     settings = read_file("deploy/operator.hcl")
     settings.box["s-1"].listen          # ("127.0.0.1", 9001)
 
-`OperatorError` names block, key, line and what was expected. A block that is not there is not on, and nothing
-of its subsystem is imported. Sizes are MB, times seconds, addresses (host, port).
+The platform's router has its own configuration. A subsystem without a block in this file is off, and none of
+its modules are imported. An `OperatorError` names the block, key and line and what was expected. Sizes are in
+MB, times in seconds, addresses are (host, port).
 """
 
 from brookhinge.operator.hcl import OperatorError
--- a/brookhinge/operator/capacity.py
+++ b/brookhinge/operator/capacity.py
@@ -1,10 +1,8 @@
-"""Schema of the `capacity` block.
+"""Schema of the `capacity` block: the layout of a fleet that `python -m benchmarks.capacity` models.
 
-Regions, zones, sites and links of a fleet that `python -m benchmarks.capacity` models.
-
-Delays are milliseconds one way, times are seconds from the start of the measured part, `loss` and `double`
-are the chances of one datagram. Places are written `region`, `region/zone` or `region/zone/number of the
-site`.
+A layout has regions, zones, sites and links. Delays are one-way and in milliseconds. Times are in seconds
+from the start of the measured phase. `loss` and `double` are the probabilities that a datagram is lost or
+duplicated. A place is written `region`, `region/zone` or `region/zone/site number`.
 """
 
 from collections.abc import Callable, Iterator
@@ -17,11 +15,11 @@
 Take = Callable[[Block, Keys], dict[str, Any]]
 
 MOST_SITES = 250  # a site is one octet of a loopback address
-MOST_ROUTERS = 5000
+MAX_ROUTERS = 5000
 
 
 class Zone(NamedTuple):
-    """One zone of a region and how many sites it has."""
+    """A zone of a region and its number of sites."""
 
     region: str
     name: str
@@ -29,12 +27,12 @@
 
     @property
     def place(self) -> str:
-        """Return the zone as a place."""
+        """Return the zone as `region/zone`."""
         return f"{self.region}/{self.name}"
 
 
 class Link(NamedTuple):
-    """The delay of one way between two regions."""
+    """The one-way delay between two regions."""
 
     first: str
     second: str
@@ -42,7 +40,7 @@
 
 
 class Control(NamedTuple):
-    """One control machine, its site, and regions whose routers prefer it beside those of its own."""
+    """A control machine, its site, and the other regions whose routers prefer it."""
 
     name: str
     site: str
@@ -50,15 +48,20 @@
 
     @property
     def region(self) -> str:
-        """Return the region that it stands in."""
+        """Return the region of the control machine."""
         return self.site.split("/", 1)[0]
 
 
 class Cut(NamedTuple):
-    """A cut between two places.
-
-    Datagrams from `source` to `target` are dropped from `at_s` on for `for_s` seconds; an empty `target` is
-    all else.
+    """A network partition between two places.
+
+    Attributes:
+        name: Label of the block.
+        source: Place whose datagrams to `target` are dropped.
+        target: Place to which they are dropped; empty means everything outside `source`.
+        at_s: When the partition begins.
+        for_s: How long it lasts.
+        both: Whether datagrams from `target` to `source` are dropped too.
     """
 
     name: str
@@ -70,7 +73,22 @@
 
 
 class Capacity(NamedTuple):
-    """A checked `capacity` block."""
+    """A checked `capacity` block.
+
+    Attributes:
+        routers: Number of routers.
+        caches: Number of cache servers.
+        purges_s: Purges per second.
+        site_ms: Delay within a site.
+        zone_ms: Delay between sites of a zone.
+        region_ms: Delay between zones of a region.
+        loss: Probability that a datagram is lost.
+        double: Probability that a datagram is duplicated.
+        zones: Zones of all regions.
+        links: Delays between regions, one for each pair.
+        controls: Control machines.
+        cuts: Network partitions.
+    """
 
     routers: int
     caches: int
@@ -81,12 +99,12 @@
     loss: float
     double: float
     zones: tuple[Zone, ...]
-    links: tuple[Link, ...]  # each pair of regions once
+    links: tuple[Link, ...]
     controls: tuple[Control, ...]
     cuts: tuple[Cut, ...]
 
     def sites(self) -> list[str]:
-        """Return the places of all sites, in the order of the file."""
+        """Return the places of all sites in the order of the file."""
         return [f"{zone.place}/{number + 1}" for zone in self.zones for number in range(zone.sites)]
 
 
@@ -99,10 +117,13 @@
     path: Callable,
     flag: Callable,
 ) -> tuple[int, Keys, dict]:
-    """Return the entry of the schema's table of blocks, made of the checks that all blocks share."""
+    """Return the entry of `capacity` for the schema's table of blocks.
+
+    The marker of required keys and the checks come from the schema module.
+    """
     delay = number(0, 10_000)
     settings = {
-        "routers": (whole(1, MOST_ROUTERS), 530),
+        "routers": (whole(1, MAX_ROUTERS), 530),
         "caches": (whole(1, 10_000), 95),
         "purges_s": (number(0, 1000), 5.1),
         "site_ms": (delay, 0.3),
@@ -131,27 +152,29 @@
 
 
 def read_capacity(block: Block, schema: tuple[int, Keys, dict], take: Take) -> Capacity:
-    """Return the Capacity of a parsed block whose nesting was checked.
+    """Return the Capacity of a parsed block whose nested blocks were checked by `check_blocks`.
 
     Raises:
-        OperatorError: names block, key and line.
+        OperatorError: A value is wrong or a place is unknown; the message names block, key and line.
     """
-    _, settings, inner = schema
+    _, settings, nested = schema
     values = take(block, settings)
-    regions = [one for one in block.blocks if one.kind == "region"]
-    zones = tuple(zone for region in regions for zone in read_zones(region, inner["region"][2]["zone"], take))
+    regions = [inner for inner in block.blocks if inner.kind == "region"]
+    zones = tuple(
+        zone for region in regions for zone in read_zones(region, nested["region"][2]["zone"], take)
+    )
     if not zones:
-        raise OperatorError(f"line {block.line}: capacity: region: expected one region with a zone at least")
+        raise OperatorError(f"line {block.line}: capacity: region: expected at least one region with a zone")
     names = [region.labels[0] for region in regions]
-    links = read_links(block, names, inner["link"][1], take)
+    links = read_links(block, names, nested["link"][1], take)
     capacity = Capacity(**values, zones=zones, links=links, controls=(), cuts=())
     if len(capacity.sites()) > MOST_SITES:
         raise OperatorError(
-            f"line {block.line}: capacity: expected {MOST_SITES} sites at most, got {len(capacity.sites())}"
+            f"line {block.line}: capacity: expected at most {MOST_SITES} sites, got {len(capacity.sites())}"
         )
     return capacity._replace(
-        controls=tuple(read_controls(block, capacity, inner["control"][1], take)),
-        cuts=tuple(read_cuts(block, capacity, inner["cut"][1], take)),
+        controls=tuple(read_controls(block, capacity, nested["control"][1], take)),
+        cuts=tuple(read_cuts(block, capacity, nested["cut"][1], take)),
     )
 
 
@@ -168,15 +191,17 @@
 
 
 def read_links(block: Block, regions: list[str], settings: Keys, take: Take) -> tuple[Link, ...]:
-    """Return the delay of each pair of regions; each pair must stand once."""
+    """Return the delays between regions; each pair must have exactly one."""
     links = {}
-    for inner in (one for one in block.blocks if one.kind == "link"):
+    for inner in (nested for nested in block.blocks if nested.kind == "link"):
         for label in inner.labels:
             if label not in regions:
-                raise OperatorError(f"line {inner.line}: {inner.title()}: no region {label!r:.60}")
+                raise OperatorError(f"line {inner.line}: {inner.title()}: unknown region {label!r:.60}")
         pair = tuple(sorted(inner.labels, key=regions.index))
         if pair[0] == pair[1] or pair in links:
-            raise OperatorError(f"line {inner.line}: {inner.title()}: expected each pair of regions once")
+            raise OperatorError(
+                f"line {inner.line}: {inner.title()}: expected exactly one link for each pair of regions"
+            )
         links[pair] = take(inner, settings)["delay_ms"]
     for pair in combinations(regions, 2):
         if pair not in links:
@@ -185,10 +210,10 @@
 
 
 def read_controls(block: Block, capacity: Capacity, settings: Keys, take: Take) -> Iterator[Control]:
-    """Yield the control machines; each stands at a site of the layout."""
+    """Yield the control machines; each must be at a site of the layout."""
     sites = set(capacity.sites())
     regions = {zone.region for zone in capacity.zones}
-    for inner in (one for one in block.blocks if one.kind == "control"):
+    for inner in (nested for nested in block.blocks if nested.kind == "control"):
         values = take(inner, settings)
         if values["site"] not in sites:
             raise OperatorError(
@@ -198,7 +223,7 @@
         for region in values["serves"]:
             if region not in regions:
                 raise OperatorError(
-                    f"line {inner.lines['serves']}: {inner.title()}: serves: no region {region!r:.60}"
+                    f"line {inner.lines['serves']}: {inner.title()}: serves: unknown region {region!r:.60}"
                 )
         yield Control(inner.labels[0], **values)
 
@@ -206,12 +231,13 @@
 def read_cuts(block: Block, capacity: Capacity, settings: Keys, take: Take) -> Iterator[Cut]:
     """Yield the cuts between places of the layout."""
     sites = capacity.sites()
-    for inner in (one for one in block.blocks if one.kind == "cut"):
+    for inner in (nested for nested in block.blocks if nested.kind == "cut"):
         values = take(inner, settings)
         for key in ("from", "to"):
             if values[key] and not any(inside(site, values[key]) for site in sites):
                 raise OperatorError(
-                    f"line {inner.lines[key]}: {inner.title()}: {key}: no such place, got {values[key]!r:.60}"
+                    f"line {inner.lines[key]}: {inner.title()}: {key}: expected a place of the layout, "
+                    f"got {values[key]!r:.60}"
                 )
         yield Cut(
             inner.labels[0], values["from"], values["to"], values["at_s"], values["for_s"], values["both"]
@@ -219,5 +245,5 @@
 
 
 def inside(site: str, place: str) -> bool:
-    """Whether a site stands in a place, which is a region, a zone or that site."""
+    """Return whether a site is in a place: a region, a zone or the site itself."""
     return site == place or site.startswith(place + "/")
--- a/brookhinge/operator/hcl.py
+++ b/brookhinge/operator/hcl.py
@@ -1,4 +1,4 @@
-"""HCL text as blocks that know their lines, read with python-hcl2; what they mean is decided elsewhere."""
+"""Parses HCL with python-hcl2 into blocks with line numbers. Keys and values are checked elsewhere."""
 
 from typing import Any
 
@@ -6,21 +6,25 @@
 from lark import Tree
 from lark.exceptions import UnexpectedCharacters, UnexpectedInput
 
-READ = hcl2.SerializationOptions(with_comments=False, strip_string_quotes=True, explicit_blocks=False)
+PARSE_OPTIONS = hcl2.SerializationOptions(
+    with_comments=False, strip_string_quotes=True, explicit_blocks=False
+)
 
 
 class OperatorError(ValueError):
-    """A file that can't be used: block, key, line and what was expected."""
+    """The file can't be used; the message names block, key, line and what was expected."""
 
 
 class Block:
     """One block of HCL.
 
     Attributes:
-        kind, labels, line: as it stands in the file.
-        values: by key.
-        lines: line of each key.
-        blocks: within it.
+        kind: Type of the block, the first word of its header.
+        labels: Labels after the type, without quotes.
+        line: Line on which the block begins.
+        values: Values of the block's keys, unchecked.
+        lines: Line of each key.
+        blocks: Blocks nested in this one, in the order of the file.
     """
 
     def __init__(self, kind: str, labels: list[str], line: int):
@@ -32,62 +36,68 @@
         self.blocks: list[Block] = []
 
     def title(self) -> str:
-        """Return type and labels as an error names them."""
+        """Return the block's header, its type and quoted labels, for error messages."""
         return " ".join([self.kind, *(f'"{label}"' for label in self.labels)])
 
 
 def parse(text: str) -> Block:
-    """Return the top of a file as a Block without a kind.
+    """Parse a file and return its top level as a Block with an empty kind.
 
     Raises:
-        OperatorError: the text is no HCL.
+        OperatorError: The text is not valid HCL.
     """
     try:
         tree = hcl2.parses_to_tree(text)
-        values = hcl2.loads(text, serialization_options=READ)
-    except UnexpectedInput as fault:
-        seen = fault.char if isinstance(fault, UnexpectedCharacters) else getattr(fault, "token", "")
+        values = hcl2.loads(text, serialization_options=PARSE_OPTIONS)
+    except UnexpectedInput as error:
+        found = error.char if isinstance(error, UnexpectedCharacters) else getattr(error, "token", "")
         raise OperatorError(
-            f"line {fault.line}: expected HCL, cannot read {str(seen).strip()!r:.40}"
+            f"line {error.line}: expected HCL, cannot read {str(found).strip()!r:.40}"
         ) from None
-    except Exception as fault:  # a parser's own failure must not pass for a fault of ours
-        raise OperatorError(f"expected HCL ({type(fault).__name__}: {fault!s:.80})") from None
-    return body(tree.children[0], values, Block("", [], 1))
+    except Exception as error:  # errors inside the parser are reported as invalid HCL too
+        raise OperatorError(f"expected HCL ({type(error).__name__}: {error!s:.80})") from None
+    return fill_block(tree.children[0], values, Block("", [], 1))
 
 
-def body(tree: Tree, values: dict[str, Any], block: Block) -> Block:
-    """Fill a block from its tree, which knows lines, and its values, which are read."""
-    seen = {}
+def fill_block(tree: Tree, values: dict[str, Any], block: Block) -> Block:
+    """Fill a block with its keys, values and nested blocks.
+
+    Args:
+        tree: Syntax tree of the body, which has the line numbers.
+        values: Decoded values of the same body.
+        block: The block to fill, which is returned.
+    """
+    counts_by_kind = {}
     for child in tree.children:
         if getattr(child, "data", None) == "attribute":
             key = str(child.children[0].children[0])
             if key in block.lines:
                 raise OperatorError(
-                    f"line {child.meta.line}: {key} stands twice, first in line {block.lines[key]}"
+                    f"line {child.meta.line}: {key} appears twice, first on line {block.lines[key]}"
                 )
             block.values[key] = values[key]
             block.lines[key] = child.meta.line
         elif getattr(child, "data", None) == "block":
-            kind, labels, inner = head(child)
-            place = seen.get(kind, 0)
-            seen[kind] = place + 1
-            within = values[kind][place]
+            kind, labels, inner = parse_header(child)
+            index = counts_by_kind.get(kind, 0)
+            counts_by_kind[kind] = index + 1
+            inner_values = values[kind][index]
             for label in labels:
-                within = within[label]
-            block.blocks.append(body(inner, within, Block(kind, labels, child.meta.line)))
+                inner_values = inner_values[label]
+            block.blocks.append(fill_block(inner, inner_values, Block(kind, labels, child.meta.line)))
     return block
 
 
-def head(tree: Tree) -> tuple[str, list[str], Any]:
-    """Return type, labels and body of a block's tree."""
-    words = []
+def parse_header(tree: Tree) -> tuple[str, list[str], Any]:
+    """Return the type, the labels and the body of a block's syntax tree."""
+    names = []
     inner = None
     for child in tree.children:
         data = getattr(child, "data", None)
         if data == "identifier":
-            words.append(str(child.children[0]))
+            names.append(str(child.children[0]))
         elif data == "string":
-            words.append(
+            names.append(
                 "".join(
                     str(part.children[0])
                     for part in child.children
@@ -96,4 +106,4 @@
             )
         elif data == "body":
             inner = child
-    return words[0], words[1:], inner
+    return names[0], names[1:], inner
--- a/brookhinge/operator/schema.py
+++ b/brookhinge/operator/schema.py
@@ -1,4 +1,4 @@
-"""The one schema of the operator's file: which blocks there are, their keys, checks and defaults."""
+"""Schema of the operator's file: its blocks, and the keys, checks and defaults of each."""
 
 from collections.abc import Callable
 from typing import Any, TypeVar
@@ -29,13 +29,13 @@
 
 T = TypeVar("T")
 Keys = dict[str, tuple[Check[Any], Any]]
-"""Of each key its check and its default."""
+"""The check and the default of each key."""
 
-MUST = object()  # no default
-LEAST_CONTROLS = 3  # a majority of two is both: the loss of one machine would stop the log
-LEAST_SEGMENTS = 8  # of a disk tier
-LONGEST_NAME = 64  # of a router, to fit into a datagram
-OBSERVER_PREFIX = "?"  # of names in status queries, which no router may have
+MUST = object()  # in place of a default: the key is required
+MIN_CONTROLS = 3  # with two, both are needed for a majority, so losing one would stop the log
+MIN_SEGMENTS = 8  # of a disk tier
+MAX_NAME_LENGTH = 64  # of a router, so that it fits into a datagram
+OBSERVER_PREFIX = "?"  # reserved for the names of clients that send status queries
 
 STORE = {
     "dir": (path, ""),
@@ -88,7 +88,7 @@
     "channel": (address, None),
     "metrics": (address, None),
 }
-# kind: (labels, keys, blocks within)
+# block type: (number of labels, keys, nested blocks)
 BLOCKS: dict[str, tuple[int, dict, dict]] = {
     "box": (1, BOX, {"store": (0, STORE, {}), "track": (1, TRACK, {})}),
     "fleet": (1, FLEET, {}),
@@ -100,10 +100,10 @@
 
 
 def take(block: Block, keys: Keys) -> dict[str, Any]:
-    """Return the checked values of a block, defaults filled in.
+    """Return the checked values of a block, with defaults for absent keys.
 
     Raises:
-        OperatorError: a key is unknown, missing or wrong.
+        OperatorError: A key is unknown, a required key is missing or a value is wrong.
     """
     for name, line in block.lines.items():
         if name not in keys:
@@ -133,40 +133,41 @@
 
 
 def check_blocks(block: Block, known: dict[str, tuple[int, dict, dict]]) -> None:
-    """Check that every inner block is known, has its labels, and stands once.
+    """Check that each nested block is known, has the right number of labels, and appears only once.
 
     Raises:
-        OperatorError: one does not.
+        OperatorError: A block is unknown, duplicate or has the wrong number of labels.
     """
-    seen = set()
+    titles = set()
     for inner in block.blocks:
         if inner.kind not in known:
             raise OperatorError(
                 f"line {inner.line}: {inner.kind}: no such block, expected one of "
                 f"{', '.join(sorted(known)) or 'none'}"
             )
-        labels, _, within = known[inner.kind]
-        if len(inner.labels) != labels:
+        label_count, _, nested = known[inner.kind]
+        if len(inner.labels) != label_count:
             raise OperatorError(
-                f"line {inner.line}: {inner.kind}: expected {labels} label"
-                f"{'' if labels == 1 else 's'}, got {len(inner.labels)}"
+                f"line {inner.line}: {inner.kind}: expected {label_count} label"
+                f"{'' if label_count == 1 else 's'}, got {len(inner.labels)}"
             )
-        if inner.title() in seen:
-            raise OperatorError(f"line {inner.line}: {inner.title()} stands twice")
-        seen.add(inner.title())
-        check_blocks(inner, within)
+        if inner.title() in titles:
+            raise OperatorError(f"line {inner.line}: {inner.title()} appears twice")
+        titles.add(inner.title())
+        check_blocks(inner, nested)
 
 
 def member_name(block: Block) -> str:
-    """Return a router's or control machine's name.
+    """Return the name of a router or control machine, the label of its block.
 
     Raises:
-        OperatorError: it does not fit into a datagram or is reserved.
+        OperatorError: The name does not fit into a datagram, is not printable or is reserved.
     """
     name = block.labels[0]
-    if not 0 < len(name) <= LONGEST_NAME or name.startswith(OBSERVER_PREFIX) or not name.isprintable():
+    if not 0 < len(name) <= MAX_NAME_LENGTH or name.startswith(OBSERVER_PREFIX) or not name.isprintable():
         raise OperatorError(
-            f"line {block.line}: {block.title()}: expected a name of 1 to {LONGEST_NAME} letters, "
+            f"line {block.line}: {block.title()}: expected a name of 1 to {MAX_NAME_LENGTH} printable "
+            f"characters without a leading '?', "
             f"got {name!r:.80}"
         )
     return name
@@ -176,11 +177,11 @@
     """Read an operator's file from its text.
 
     Raises:
-        OperatorError: names block, key and line and what was expected.
+        OperatorError: The text can't be used; the message names block, key and line and what was expected.
     """
     top = parse(source)
     for name, line in top.lines.items():
-        raise OperatorError(f"line {line}: {name}: expected a block, got a key outside of any")
+        raise OperatorError(f"line {line}: {name}: expected a block, got a key outside all blocks")
     check_blocks(top, BLOCKS)
     settings = OperatorSettings({}, {}, {}, "info", None)
     for block in top.blocks:
@@ -205,10 +206,10 @@
 
 
 def read_file(name: str, read: Callable[[str], T] = read_text) -> T:
-    """Return what `read` makes of a file's text.
+    """Return the result of `read` for the text of a file.
 
     Raises:
-        OperatorError: the file cannot be read, or as `read`.
+        OperatorError: The file cannot be read, or `read` rejects its text.
     """
     try:
         with open(name, encoding="utf-8") as file:
@@ -220,13 +221,17 @@
 
 
 def _cache_server(block: Block, values: dict[str, Any]) -> CacheServerSettings:
-    inner = next((one for one in block.blocks if one.kind == "store"), None)
-    tracks = {one.labels[0]: tuple(take(one, TRACK).values()) for one in block.blocks if one.kind == "track"}
-    store = take(inner, STORE) if inner else {name: default for name, (_, default) in STORE.items()}
-    if inner and store["dir"] and store["disk_mb"] < LEAST_SEGMENTS * store["segment_mb"]:
+    store_block = next((inner for inner in block.blocks if inner.kind == "store"), None)
+    tracks = {
+        inner.labels[0]: tuple(take(inner, TRACK).values()) for inner in block.blocks if inner.kind == "track"
+    }
+    store = (
+        take(store_block, STORE) if store_block else {name: default for name, (_, default) in STORE.items()}
+    )
+    if store_block and store["dir"] and store["disk_mb"] < MIN_SEGMENTS * store["segment_mb"]:
         raise OperatorError(
-            f"line {inner.line}: {block.title()}: store: disk_mb: expected {LEAST_SEGMENTS} times segment_mb "
-            f"({store['segment_mb']:g}) at least, got {store['disk_mb']:g}"
+            f"line {store_block.line}: {block.title()}: store: disk_mb: expected at least {MIN_SEGMENTS} "
+            f"times segment_mb ({store['segment_mb']:g}), got {store['disk_mb']:g}"
         )
     return CacheServerSettings(
         name=text(block.labels[0]), store=StoreSettings(**store), tracks=tracks, **values
@@ -234,22 +239,24 @@
 
 
 def _check_folders(cache_servers: dict[str, CacheServerSettings]) -> None:
-    """Check that no two cache servers have one folder."""
+    """Check that no two cache servers use the same folder."""
     owners: dict[str, str] = {}
     for name, settings in cache_servers.items():
         folder = settings.store.dir
         if folder and owners.setdefault(folder, name) != name:
-            raise OperatorError(f'box "{name}": store: dir: {folder!r} is that of box "{owners[folder]}" too')
+            raise OperatorError(
+                f'box "{name}": store: dir: {folder!r} is also used by box "{owners[folder]}"'
+            )
 
 
 def _check_purge_log(top: Block, settings: OperatorSettings) -> None:
-    """Check that control machines can make a majority, and that readers are of their site and key."""
+    """Check that there are enough control machines and that they and their readers share site and key."""
     lines = {(block.kind, block.labels[0]): block.line for block in top.blocks if block.labels}
     first = next(iter(settings.control.values()), None)
-    if first is not None and len(settings.control) < LEAST_CONTROLS:
+    if first is not None and len(settings.control) < MIN_CONTROLS:
         raise OperatorError(
             f'line {lines["control", first.name]}: control "{first.name}": expected '
-            f"{LEAST_CONTROLS} blocks control at least, got {len(settings.control)}"
+            f"{MIN_CONTROLS} blocks control at least, got {len(settings.control)}"
         )
     readers = [member for member in settings.fleet.values() if member.purge_log]
     for member in [*settings.control.values(), *readers]:
--- a/brookhinge/operator/settings.py
+++ b/brookhinge/operator/settings.py
@@ -1,4 +1,4 @@
-"""Records of what an operator's file turns on. Sizes are MB, times seconds, addresses (host, port)."""
+"""Records of the settings in an operator's file. Sizes are in MB, times in seconds."""
 
 from typing import NamedTuple
 
@@ -8,13 +8,16 @@
 
 
 class StoreSettings(NamedTuple):
-    """A two-tier store, see brookhinge/store.
+    """Settings of a two-tier store, see brookhinge/store.
 
     Attributes:
-        dir: folder of the disk tier; empty for memory alone.
-        sync_s: between two syncs of what was appended.
-        snapshot_s: between two snapshots of the index.
-        stall_s: a read that takes longer is a miss, and the disk suspect.
+        dir: Folder of the disk tier; empty if there is only the memory tier.
+        memory_mb: Size of the memory tier.
+        disk_mb: Size of the disk tier.
+        segment_mb: Size of a segment file.
+        sync_s: Interval between syncs of appended data to the disk.
+        snapshot_s: Interval between snapshots of the index.
+        stall_s: A disk read that takes longer counts as a miss and marks the disk as suspect.
     """
 
     dir: str
@@ -27,18 +30,23 @@
 
 
 class CacheServerSettings(NamedTuple):
-    """A cache server, see brookhinge/cache_server.
+    """Settings of a cache server, see brookhinge/cache_server.
 
     Attributes:
-        channel: address of the command channel.
-        fills: at once.
-        fill_s: a fill is given up if nothing has come after so long.
-        idle_s: an idle connection is closed after so long.
-        drain_s: time for open requests during graceful shutdown.
-        parent_kind, origin_kind: `class` of parents and of the origin in the endpoint list.
-        reports: fields of the load report in responses.
-        tracks: of each request class (seconds a copy is fresh, how much older it may be); copies of
-            others are good until purged.
+        name: Name of the server in the endpoint list.
+        listen: Address on which routers and other cache servers connect.
+        channel: Address of the command channel.
+        fills: Maximum number of concurrent fills.
+        fill_s: Timeout of a fill.
+        idle_s: An idle connection is closed after this time.
+        connect_s: Timeout for connecting to another server.
+        drain_s: Time for open requests during graceful shutdown.
+        parent_kind: `class` of parents in the endpoint list.
+        origin_kind: `class` of the origin in the endpoint list.
+        reports: Fields of the load report in responses.
+        tracks: By request class, how long a copy is fresh and how much longer it may be served stale. Copies
+            of other classes are fresh until purged.
+        store: Settings of the store.
     """
 
     name: str
@@ -57,24 +65,27 @@
 
 
 class Fleet(NamedTuple):
-    """One router among its peers, see brookhinge/membership.
+    """Settings of one router as a member of a fleet, see brookhinge/membership.
 
     Attributes:
+        name: Name of the router in the fleet.
         listen: UDP address.
-        advertise: where peers reach it, if that is elsewhere.
-        join: addresses of peers, any of which will do.
-        site: peers of another site are not listened to.
-        key: of the checksums of all datagrams, the same for the whole fleet.
-        lease_s: how long a router that was lost still counts.
-        metrics: address on which its metrics are served.
-        share_limits: quotas of limits move to where the requests are, see brookhinge/limits.
-        share_memory: a starting router asks a peer for its warm-start state.
-        share_verdicts: outliers are detected by what all routers saw, see brookhinge/verdicts.
-        region: control machines of the same region are read first.
-        purge_log: purges come from the control machines, see brookhinge/purgelog.
-        purge_notices: peers are notified of purges though the log has them, for those without it.
-        log_listen: UDP address for the purge log; without it the host of `listen` and any port.
-        log_advertise: where control machines reach that, if elsewhere.
+        advertise: Address at which peers reach the router; None if it is `listen`.
+        join: Addresses of peers; one that answers is enough to join.
+        site: Datagrams of peers with another site are ignored.
+        key: Key of the checksums of all datagrams, the same for the whole fleet.
+        zone: Zone of the router; empty if none is set.
+        lease_s: How long a lost router still counts as a member.
+        metrics: Address on which the router's metrics are served; None if they are not.
+        share_limits: Whether quotas of limits move to the routers with the demand, see brookhinge/limits.
+        share_verdicts: Whether outliers are detected from the results of all routers, see
+            brookhinge/verdicts.
+        share_memory: Whether the router asks a peer for warm-start state when it starts.
+        region: Control machines of the same region are read first.
+        purge_log: Whether purges come from the control machines, see brookhinge/purgelog.
+        purge_notices: Whether peers are notified of purges in addition to the log, for peers without it.
+        log_listen: UDP address for the purge log; None is the host of `listen` and any port.
+        log_advertise: Address at which control machines reach `log_listen`; None if it is the same.
     """
 
     name: str
@@ -97,18 +108,19 @@
 
 
 class Control(NamedTuple):
-    """One control machine of the purge log, see brookhinge/purgelog.
+    """Settings of one control machine of the purge log, see brookhinge/purgelog.
 
     Attributes:
+        name: Name of the control machine.
         listen: UDP address.
-        advertise: where routers and other control machines reach it, if that is elsewhere.
-        site: routers and control machines of another site are not listened to.
-        key: of the checksums of all datagrams, the same for the whole fleet.
-        region: routers of the same region read here first.
-        serves: regions whose routers read here first as well.
-        proof_s: how long a router uses its own copies on one proof that it knows all purges.
-        channel: the command channel whose purges it appends.
-        metrics: address on which its metrics are served.
+        advertise: Address at which routers and other control machines reach it; None if it is `listen`.
+        site: Datagrams of routers and control machines with another site are ignored.
+        key: Key of the checksums of all datagrams, the same for the whole fleet.
+        region: Routers of the same region read from this machine first.
+        serves: Other regions whose routers read from this machine first.
+        proof_s: How long a router may use its own copies after one proof that it knows all purges.
+        channel: Command channel whose purges the machine appends; None if there is none.
+        metrics: Address on which its metrics are served; None if they are not.
     """
 
     name: str
@@ -124,13 +136,15 @@
 
 
 class OperatorSettings(NamedTuple):
-    """What a file turns on.
+    """All settings of an operator's file.
 
     Attributes:
-        box, fleet, control: blocks of that kind by name.
-        log: least level that is logged.
-        metrics: address on which metrics are served.
-        capacity: the layout of a modelled fleet.
+        box: Cache servers by name.
+        fleet: Routers by name.
+        control: Control machines by name.
+        log: Lowest level that is logged.
+        metrics: Address on which metrics of cache servers are served; None if they are not.
+        capacity: Layout of a modeled fleet; None without a `capacity` block.
     """
 
     box: dict[str, CacheServerSettings]
--- a/tests/membership/test_cli.py
+++ b/tests/membership/test_cli.py
@@ -1,4 +1,4 @@
-"""The operator's look at a fleet of real routers, and what may not be imported where it is off."""
+"""Tests the fleet commands on real routers, and that a router without a fleet block imports none of it."""
 
 import asyncio
 import json
@@ -10,25 +10,25 @@
 
 
 def run(*args):
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "brookhinge", *args], capture_output=True, text=True, timeout=30
     )
-    return done.returncode, done.stdout, done.stderr
+    return process.returncode, process.stdout, process.stderr
 
 
-def test_show_watch_and_what_cannot_be_shown(tmp_path):
-    async def script():
-        async with ProcessCluster(tmp_path, routers=3, boxes=1) as rig:
-            assert await rig.until(rig.one_view, 60.0)
-            await rig.kill("n3")
-            assert await rig.until(rig.one_view, 60.0)
-            told = await asyncio.to_thread(
+def test_show_and_watch_print_members_and_name_unreachable_or_unknown_routers(tmp_path):
+    async def scenario():
+        async with ProcessCluster(tmp_path, routers=3, boxes=1) as cluster:
+            assert await cluster.until(cluster.one_view, 60.0)
+            await cluster.kill("n3")
+            assert await cluster.until(cluster.one_view, 60.0)
+            shown = await asyncio.to_thread(
                 lambda: [
-                    run("fleet", "show", "--file", str(tmp_path / "fleet.hcl"), *rest)
-                    for rest in (("--router", "n2", "--json"), (), ("--router", "n3"), ("--router", "n9"))
+                    run("fleet", "show", "--file", str(tmp_path / "fleet.hcl"), *options)
+                    for options in (("--router", "n2", "--json"), (), ("--router", "n3"), ("--router", "n9"))
                 ]
             )
-            drawn = await asyncio.to_thread(
+            watched = await asyncio.to_thread(
                 run,
                 "fleet",
                 "watch",
@@ -39,93 +39,95 @@
                 "--every",
                 "0.2",
             )
-            return told, drawn
+            return shown, watched
 
-    (seen, text, dead, none), drawn = asyncio.run(script())
-    rows = json.loads(seen[1])[0]["members"]
+    (as_json, as_table, unreachable, unknown), watched = asyncio.run(scenario())
+    rows = json.loads(as_json[1])[0]["members"]
     assert [(row["member"], row["state"]) for row in rows] == [
         ("n1", "alive"),
         ("n2", "alive"),
         ("n3", "lost"),
     ]
-    assert text[1].splitlines()[0].startswith("n1 believes (") and "n3" in text[1]
-    assert dead[0] == 1 and "no answer from" in dead[2] and dead[2].count("\n") == 1
-    assert none[0] == 2 and 'no block fleet "n9"' in none[2]
-    assert drawn[0] == 0 and "lost" in drawn[1]
+    assert as_table[1].splitlines()[0].startswith("view of n1 (digest ") and "n3" in as_table[1]
+    assert unreachable[0] == 1 and "no answer from" in unreachable[2] and unreachable[2].count("\n") == 1
+    assert unknown[0] == 2 and 'no block fleet "n9"' in unknown[2]
+    assert watched[0] == 0 and "lost" in watched[1]
 
 
-def test_off_imports_nothing_of_it():
+def test_router_without_a_fleet_block_imports_no_fleet_modules():
     code = (
         "import sys, brookhinge.net.program, brookhinge.net.service; print([m for m in sys.modules if m.startswith("
         "('msgspec', 'rich', 'brookhinge.membership', 'brookhinge.operator', 'brookhinge.purgelog'))])"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=30)
-    assert done.stdout == "[]\n"
+    process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=30)
+    assert process.stdout == "[]\n"
 
 
-def test_a_block_that_is_missing_refuses_the_start(tmp_path):
+def test_invalid_fleet_key_is_named_with_its_line(tmp_path):
     file = tmp_path / "f.hcl"
     file.write_text(
         'fleet "a" {\n  listen = "127.0.0.1:0"\n  join = ["127.0.0.1:1"]\n  site = "s"\n  key = "xyz"\n}\n'
     )
-    code, _, why = run("check", str(file))
-    assert code == 2 and 'line 5: fleet "a": key: expected 32 to 128 hex digits' in why
+    code, _, error = run("check", str(file))
+    assert code == 2 and 'line 5: fleet "a": key: expected 32 to 128 hex digits' in error
 
 
-def test_a_script_is_played_and_a_bad_one_named(tmp_path):
-    script = tmp_path / "s.hcl"
-    script.write_text(
+def test_fleet_script_runs_and_an_invalid_one_is_named(tmp_path):
+    script_file = tmp_path / "s.hcl"
+    script_file.write_text(
         'rig {\n  routers = 3\n}\nstep {\n  until = "one view"\n  within_s = 60\n}\nstep {\n  kill = ["n3"]\n}\n'
         'step {\n  until = "one view"\n  within_s = 60\n}\n'
     )
-    code, out, err = run("emulator", "fleet", str(script))
+    code, out, err = run("emulator", "fleet", str(script_file))
     assert code == 0 and "kill n3" in out and out.count("one view after") == 2, out + err
     assert out.splitlines()[-1].split()[:4] == ["n3", "False", "0", "0"]
-    script.write_text('step {\n  kill = ["n9"]\n}\n')
-    assert run("emulator", "fleet", str(script))[::2] == (
+    script_file.write_text('step {\n  kill = ["n9"]\n}\n')
+    assert run("emulator", "fleet", str(script_file))[::2] == (
         2,
-        f"brookhinge: {script}: line 1: step: no router n9\n",
+        f"brookhinge: {script_file}: line 1: step: no router n9\n",
     )
-    script.write_text('step {\n  kill = ["n1"]\n  heal = true\n}\n')
-    assert "expected one of wires, kill" in run("emulator", "fleet", str(script))[2]
+    script_file.write_text('step {\n  kill = ["n1"]\n  heal = true\n}\n')
+    assert "expected one of wires, kill" in run("emulator", "fleet", str(script_file))[2]
 
 
-def test_figures_are_served_where_they_are_asked_for(tmp_path):
-    async def script():
-        async with ProcessCluster(tmp_path, routers=2, boxes=1, more='metrics = "127.0.0.1:0"') as rig:
-            assert await rig.until(rig.one_view, 60.0)
-            port = next(line["metrics"] for line in rig.log("n1", "fleet") if line["change"] == "listening")
+def test_metrics_are_served_at_the_configured_address(tmp_path):
+    async def scenario():
+        async with ProcessCluster(tmp_path, routers=2, boxes=1, more='metrics = "127.0.0.1:0"') as cluster:
+            assert await cluster.until(cluster.one_view, 60.0)
+            port = next(
+                line["metrics"] for line in cluster.log("n1", "fleet") if line["change"] == "listening"
+            )
             return await asyncio.to_thread(
                 lambda: urllib.request.urlopen(f"http://127.0.0.1:{port}/metrics").read().decode()
             )
 
-    told = asyncio.run(script())
+    text = asyncio.run(scenario())
     assert (
-        'brookhinge_fleet_members{state="alive"} 2.0' in told
-        and 'brookhinge_fleet_sharers{where="all"} 2.0' in told
+        'brookhinge_fleet_members{state="alive"} 2.0' in text
+        and 'brookhinge_fleet_sharers{where="all"} 2.0' in text
     )
-    assert 'brookhinge_fleet_changes_total{kind="joined"} 1.0' in told
+    assert 'brookhinge_fleet_changes_total{kind="joined"} 1.0' in text
 
 
-def test_limits_and_verdicts_are_shown(tmp_path):
-    async def script():
+def test_limits_and_verdicts_commands_print_json(tmp_path):
+    async def scenario():
         async with ProcessCluster(
             tmp_path, routers=2, boxes=1, more="share_limits = true\nshare_verdicts = true"
-        ) as rig:
-            assert await rig.until(rig.one_view, 60.0)
-            await rig.cold("s-1")
-            caller = await rig.caller("n1")
-            await caller.ask("0000000000000007")
-            assert await rig.until(lambda: rig.parts("n1"), 60.0)
-            for word in ("limits", "verdicts"):
+        ) as cluster:
+            assert await cluster.until(cluster.one_view, 60.0)
+            await cluster.cold("s-1")
+            client = await cluster.caller("n1")
+            await client.ask("0000000000000007")
+            assert await cluster.until(lambda: cluster.parts("n1"), 60.0)
+            for topic in ("limits", "verdicts"):
                 yield await asyncio.to_thread(
-                    run, "fleet", word, "--file", str(tmp_path / "fleet.hcl"), "--router", "n1", "--json"
+                    run, "fleet", topic, "--file", str(tmp_path / "fleet.hcl"), "--router", "n1", "--json"
                 )
-            caller.close()
+            client.close()
 
-    async def all_of():
-        return [json.loads(out)[0] async for code, out, _ in script() if code == 0]
+    async def read_all():
+        return [json.loads(out)[0] async for code, out, _ in scenario() if code == 0]
 
-    limits, verdicts = asyncio.run(all_of())
+    limits, verdicts = asyncio.run(read_all())
     assert [(row["kind"], row["server"], row["own"]) for row in limits["limits"]] == [("cache", "s-1", 0.5)]
     assert verdicts == {"router": "n1", "verdicts": []}
--- a/tests/rollout/test_plan.py
+++ b/tests/rollout/test_plan.py
@@ -94,11 +94,11 @@
     plan.write_text(GOOD)
     assert run("rollout", "status", str(plan))[::2] == (
         1,
-        f"brookhinge: {plan}.roll: no rollout has begun on it\n",
+        f"brookhinge: {plan}.roll: no rollout has started on this journal\n",
     )
     assert run("agent", str(plan), "--place", "k9")[::2] == (
         2,
-        f'brookhinge: {plan}: no keeper "k9", there is k1\n',
+        f'brookhinge: {plan}: no keeper "k9", expected one of k1\n',
     )
     (tmp_path / "p.hcl.roll").write_bytes(b"0" * 16 + b' {"form": 1}\n' + b"0" * 16 + b' {"what": 1}\n')
     code, _, why = run("rollout", "start", str(plan))
