--- a/brookhinge/cache_server/__init__.py
+++ b/brookhinge/cache_server/__init__.py
@@ -2,9 +2,9 @@
 
     server = CacheServer(settings, log); address = await server.start(); ...; await server.stop()
 
-It answers PULL, KILL and ECHO, fills from parent, sibling or origin, joins fills, revalidates ageing copies
-behind the answer, and takes the server list and purges from the command channel. What it decides on a request
-stands in cache_policy.py, without I/O or clock.
+It answers PULL, KILL and ECHO. It fills from a parent, a sibling or the origin, lets requests join fills, and
+revalidates aging copies in the background. The endpoint list and purges come from the command channel.
+The decisions about a request are in cache_policy.py, which uses no I/O and no clock.
 """
 
 from brookhinge.cache_server.service import CacheServer
--- a/brookhinge/cache_server/cache_policy.py
+++ b/brookhinge/cache_server/cache_policy.py
@@ -1,8 +1,8 @@
-"""What a cache server does with a request: serve, revalidate, fill, join a fill, or reject. No I/O, no clock.
+"""Decides what a cache server does with a request: serve, revalidate, fill, join a fill or reject.
 
-The platform's rules hold at a cache server as well: a fill source that drains or has gone is asked for
-nothing new, a copy from before a known purge is not served (the store sees to it), and a copy that needs
-revalidation is served only when its source has called it unchanged.
+The module uses no I/O and no clock. The platform's rules also apply at a cache server: a fill source that is
+draining or gone gets no new requests, a copy older than a known purge is not served (the store ensures this),
+and a copy that needs revalidation is served only after its source has confirmed that it is unchanged.
 """
 
 from enum import Enum
@@ -13,15 +13,16 @@
 from brookhinge.decisions.rules import AttemptResult
 from brookhinge.net.cachewire import NOTES
 
-SERVER_READY = "ready"  # health of a server that may be asked
-_NOTES_OF_FILLS = frozenset({NOTES[b"filled"], NOTES[b"via_origin"]})  # of a source that filled in its turn
+SERVER_READY = "ready"  # health of a server that accepts requests
+# notes of a source that had to fill from another server itself
+_FILL_NOTES = frozenset({NOTES[b"filled"], NOTES[b"via_origin"]})
 
 
 class Action(Enum):
-    """What is done with a request."""
+    """The possible actions on a request."""
 
     SERVE = "serve"
-    SERVE_AND_REVALIDATE = "serve, revalidate behind the answer"
+    SERVE_AND_REVALIDATE = "serve, revalidate in the background"
     FILL = "fill"
     JOIN_FILL = "join a fill"
     ABSENT = "answer absent"
@@ -29,7 +30,7 @@
 
 
 class Decision(NamedTuple):
-    """An action, and the note that its answer bears."""
+    """An action and the note in its answer; the note is empty if the answer has none yet."""
 
     action: Action
     note: str
@@ -42,44 +43,51 @@
 _JOIN_FILL = Decision(Action.JOIN_FILL, "joined")
 _ABSENT = Decision(Action.ABSENT, "")
 _SOURCE_NOT_READY = Decision(Action.FULL, "src_refused")
-_NO_FILL_LEFT = Decision(Action.FULL, "no_slot")
+_FILL_LIMIT_REACHED = Decision(Action.FULL, "no_slot")
 
 
 class Freshness(NamedTuple):
-    """How long copies of a request class are fresh, in seconds."""
+    """How long copies of a request class are fresh and may be served stale."""
 
-    fresh_s: float = 0.0  # 0: until they are purged
-    stale_s: float = 0.0  # how much older they may be
+    fresh_s: float = 0.0  # 0: fresh until purged
+    stale_s: float = 0.0  # how long after that a copy may be served stale
 
 
 FRESH_UNTIL_PURGED = Freshness()
 
 
 class CachedCopy(NamedTuple):
-    """What matters of a stored copy."""
+    """The properties of a stored copy that a decision depends on."""
 
     age_s: float
     needs_revalidation: bool
 
 
 class FillState(NamedTuple):
-    """The source that a request names, and the fills under way."""
+    """The state of the source that a request names and of the running fills."""
 
     source_is_ready: bool
-    can_join: bool  # a fill of this part that would do is under way
+    can_join: bool  # whether a running fill of this part brings a copy that is young enough
     running: int
     limit: int
 
 
 class FillAnswer(NamedTuple):
-    """Word and note of the answer to a request that a fill served."""
+    """Status and note of the answer to a request after its fill."""
 
-    word: bytes
+    status: bytes
     note: str
 
 
 def decide(request: Request, freshness: Freshness, copy: CachedCopy | None, fills: FillState) -> Decision:
-    """Decide on a request."""
+    """Return the action on a request and the note of its answer.
+
+    Args:
+        request: The request.
+        freshness: Freshness of copies of its class.
+        copy: The stored copy; None if there is none.
+        fills: The state of its source and of the running fills.
+    """
     if copy is not None and not copy.needs_revalidation:
         max_age_s = request.max_age_s or freshness.fresh_s or float("inf")
         if copy.age_s <= max_age_s:
@@ -91,14 +99,14 @@
     if not fills.source_is_ready:
         return _SOURCE_NOT_READY
     if fills.running >= fills.limit:
-        return _NO_FILL_LEFT
+        return _FILL_LIMIT_REACHED
     return _FILL
 
 
 def _serve(request: Request, freshness: Freshness, copy: CachedCopy, fills: FillState) -> Decision:
     if not freshness.fresh_s or copy.age_s <= freshness.fresh_s:
         return _SERVE_HIT
-    # a revalidation must not cost anybody a fill: it takes a place only while half of them are free
+    # Revalidations run only while over half of the fill slots are free: requests need the rest.
     has_spare_fills = 2 * fills.running < fills.limit
     if request.revalidate and fills.source_is_ready and has_spare_fills:
         return _SERVE_STALE_AND_REVALIDATE
@@ -112,15 +120,16 @@
     since_current_s: float | None,
     needs_revalidation: bool,
 ) -> float:
-    """The oldest copy that a fill may bring, in seconds; 0 is any.
+    """Return the maximum age in seconds of a copy that a fill may bring; 0 is any age.
 
     Args:
         request: The request.
-        freshness: Of its class.
-        since_purge_s: Since the last purge known of the object; the copy must be younger.
-        since_current_s: Since when no purge can have been missed; bounds what replaces a copy that needs
-            revalidation.
-        needs_revalidation: Whether the stored copy does.
+        freshness: Freshness of copies of its class.
+        since_purge_s: Time since the last known purge of the object; the copy must be younger. None if there
+            is none.
+        since_current_s: Time since which no purge can have been missed; bounds the age of a copy that
+            replaces one that needs revalidation. None if purges may be unknown.
+        needs_revalidation: Whether the stored copy needs revalidation.
     """
     bounds = [request.max_age_s or freshness.fresh_s]
     if since_purge_s is not None:
@@ -133,18 +142,18 @@
 def answer_to_fill(
     result: AttemptResult, source_note: int, source_is_origin: bool, unchanged: bool
 ) -> FillAnswer:
-    """Answer a request whose fill has ended.
+    """Return the answer to a request whose fill has ended.
 
     Args:
-        result: Of the fill.
-        source_note: The note of the source's answer, by number.
+        result: Result of the fill.
+        source_note: Number of the note in the source's answer.
         source_is_origin: Whether the source is the origin.
-        unchanged: The source called the stored copy unchanged, so no bytes came.
+        unchanged: Whether the source confirmed the stored copy as unchanged and sent no body.
     """
     if result == AttemptResult.SATISFIED and unchanged:
         return FillAnswer(protocol.DATA, "hit")
     if result == AttemptResult.SATISFIED:
-        via_origin = source_is_origin or source_note in _NOTES_OF_FILLS
+        via_origin = source_is_origin or source_note in _FILL_NOTES
         return FillAnswer(protocol.DATA, "via_origin" if via_origin else "filled")
     if result == AttemptResult.MISS:
         return FillAnswer(protocol.ABSENT, "src_lacks")
--- a/brookhinge/cache_server/command_handler.py
+++ b/brookhinge/cache_server/command_handler.py
@@ -1,4 +1,4 @@
-"""Carries out the commands of the channel: the server list, purges, and what a gap between them asks for."""
+"""Applies the commands of the command channel: endpoint lists, purges, and the effects of a gap."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,15 +13,15 @@
 from brookhinge.store.copies import MAX_GROUP, MAX_OBJECT_NAME_BYTES
 from brookhinge.store.purge_ledger import Purge, PurgeKind
 
-_SHOWN_CHARS = 80  # of a purge that can't be used
+_MAX_LOGGED_CHARS = 80  # of the name in an invalid purge
 
 
 class CommandHandler:
-    """Takes the commands of one cache server.
+    """Applies the commands of one cache server.
 
     Attributes:
-        current_since: Since when no command can have been missed, in seconds of the server's clock; None
-        before that.
+        current_since: Time since which no command can have been missed, in seconds of the server's clock;
+            None if commands may be missing.
     """
 
     def __init__(
@@ -35,16 +35,16 @@
         log_event: Callable[..., None],
         is_synchronized: Callable[[], bool],
     ) -> None:
-        """Make a handler that has heard nothing.
+        """Create a handler that has received no command.
 
         Args:
-            store: Takes the purges.
-            servers: Takes the lists.
-            fills: Is told of both.
+            store: The store, to which purges are applied.
+            servers: The server list, to which endpoint lists are applied.
+            fills: The fills under way, which are notified of purges and of replaced servers.
             clocks: The clocks of the server.
-            counters: Of the server; `purges` and `gaps` are counted here.
-            log_event: Called with the event's name and its values as keywords.
-            is_synchronized: Whether all that the channel knew at the start has been told.
+            counters: Counters of the server; `purges` and `gaps` are counted here.
+            log_event: Called with the name of an event and its values as keyword arguments.
+            is_synchronized: Returns whether all commands that the channel had at the start were received.
         """
         self.current_since: float | None = None
         self._store = store
@@ -54,10 +54,12 @@
         self._counters = counters
         self._log_event = log_event
         self._is_synchronized = is_synchronized
-        self._pending_purges: dict[int, asyncio.Future] = {}  # not durable yet, by number, in order
+        self._pending_purges: dict[
+            int, asyncio.Future
+        ] = {}  # purges that are not durable yet, by number, in ascending order
 
     def handle(self, command: Command) -> None:
-        """Carry out one command."""
+        """Apply one command."""
         if isinstance(command, EndpointsListed):
             self._fills.retire(self._servers.apply(command))
         elif isinstance(command, ObjectsPurged):
@@ -74,39 +76,43 @@
             purge = Purge(PurgeKind.GROUP, command.purge_group, when)
             is_valid = 0 <= purge.name <= MAX_GROUP
         if not is_valid:
-            self._log_event("command skipped", why=f"a purge of {purge.name!r:.{_SHOWN_CHARS}}")
+            self._log_event("command skipped", why=f"invalid purge of {purge.name!r:.{_MAX_LOGGED_CHARS}}")
             return
         self._counters["purges"] += 1
-        # what the channel tells first happened before, by dates alone; all else happened just now
-        taken_for = command.purged_at
+        # A purge that the channel had at the start is known only by its date. A later one with an
+        # implausible date counts as happening now.
+        effective_time = command.purged_at
         if self._is_synchronized():
-            taken_for = rules.event_time(self._clocks.now(), command.purged_at)
-        date_is_certain = taken_for == command.purged_at
-        self._fills.note_purge(purge, date_is_certain)
+            effective_time = rules.event_time(self._clocks.now(), command.purged_at)
+        is_date_certain = effective_time == command.purged_at
+        self._fills.note_purge(purge, is_date_certain)
         wall_now = self._clocks.wall_now()
-        done = self._store.purge(purge._replace(when=min(when, wall_now) if date_is_certain else wall_now))
-        if not done.done():
-            self._pending_purges[command.number] = done
-            done.add_done_callback(lambda _: self._on_durable(command.number, done))
+        durable = self._store.purge(purge._replace(when=min(when, wall_now) if is_date_certain else wall_now))
+        if not durable.done():
+            self._pending_purges[command.number] = durable
+            durable.add_done_callback(lambda _: self._on_durable(command.number, durable))
 
-    def _on_durable(self, number: int, done: asyncio.Future) -> None:
-        if self._pending_purges.get(number) is done:  # else the channel has begun to count anew
+    def _on_durable(self, number: int, durable: asyncio.Future) -> None:
+        if self._pending_purges.get(number) is durable:  # else a gap has reset the numbers
             del self._pending_purges[number]
 
     def durable_up_to(self, number: int) -> int:
-        """The highest number, up to the given one, of which every purge is durable or the disk is off."""
+        """Return the highest number up to `number` below the first purge that is not durable.
+
+        With the disk off every purge counts as durable.
+        """
         return min(number, min(self._pending_purges, default=number + 1) - 1)
 
     def on_current(self) -> None:
-        """Note that the channel has told all that it knows."""
+        """Record that all commands of the channel have been received."""
         if self.current_since is None:
             self.current_since = self._clocks.now()
 
     def on_gap(self, reason: str) -> None:
-        """Distrust what is known, because commands may have been missed."""
+        """Forget the servers and require revalidation of all copies, as commands may have been missed."""
         self._counters["gaps"] += 1
         self._log_event("channel gap", why=reason)
         self.current_since = None
         self._servers.forget()
-        self._pending_purges.clear()  # their numbers are of an earlier count
+        self._pending_purges.clear()  # their numbers are from before the gap
         self._store.require_revalidation()
--- a/brookhinge/cache_server/fills.py
+++ b/brookhinge/cache_server/fills.py
@@ -1,6 +1,6 @@
-"""Fills: copies that are fetched from other servers, and what becomes of them.
+"""Fills: fetches copies from other servers and stores them.
 
-A fill runs on when the request that began it leaves, because others may want it.
+A fill continues when the request that started it is withdrawn, because other requests may have joined it.
 """
 
 import asyncio
@@ -24,15 +24,21 @@
 from brookhinge.store.copies import MAX_GROUP, UNKNOWN_GROUP
 from brookhinge.store.purge_ledger import NEVER, Purge, PurgeKind
 
-_CONNECTIONS = 256
+_MAX_CONNECTIONS = 256
 _REQUESTS_PER_CONNECTION = 64
 _ONLY_ATTEMPT = 1
-# a copy that was asked to be younger than a purge is not taken for as old as the purge
+# keeps a copy that was requested as younger than a purge from counting as exactly as old as the purge
 _AGE_BOUND_MARGIN_S = 0.001
 
 
 class FillResult(NamedTuple):
-    """How a fill ended; `source_note` is numbered by `net/cachewire.py`."""
+    """The outcome of a fill.
+
+    Attributes:
+        result: Result of the attempt at the source.
+        copy: The copy; None unless the fill succeeded.
+        source_note: Number of the note in the source's answer, as in `net/cachewire.py`.
+    """
 
     result: AttemptResult
     copy: ReadResult | None
@@ -41,19 +47,33 @@
 
 @dataclass(slots=True, eq=False)
 class Fill:
-    """One fill under way."""
+    """One fill under way.
+
+    Attributes:
+        object_key: Key of the object.
+        part: Number of the part.
+        rank: Eviction rank of the copy.
+        max_age_s: Maximum age of the copy that the fill may bring; 0 is any age.
+        started_at: When the fill began, in seconds of the server's clock.
+        stored_copy: The stored copy, which the source may confirm as unchanged; None if there is none.
+        keeps_copy: Whether a new copy is stored.
+        source_is_origin: Whether the source is the origin.
+        done: Completed with the FillResult.
+        purged_at: Unix time of the last purge that hit the object during the fill.
+        purge_date_is_uncertain: Whether dates cannot tell if that purge hits what the source issues.
+    """
 
     object_key: bytes
     part: int
     rank: int
-    max_age_s: float  # the oldest copy that it may bring; 0: any
+    max_age_s: float
     started_at: float
-    held_copy: ReadResult | None  # the stored copy, which the source may call unchanged
+    stored_copy: ReadResult | None
     keeps_copy: bool
     source_is_origin: bool
-    done: asyncio.Future  # of a FillResult
-    purged_at: float = NEVER  # the last purge that hit the object meanwhile, Unix seconds
-    purge_date_is_uncertain: bool = False  # dates don't tell whether that purge hits what the source issues
+    done: asyncio.Future
+    purged_at: float = NEVER
+    purge_date_is_uncertain: bool = False
 
 
 class FillManager:
@@ -68,15 +88,15 @@
         settings: CacheServerSettings,
         log_event: Callable[..., None],
     ) -> None:
-        """Make a manager without connections.
+        """Create a manager without connections.
 
         Args:
-            store: Where copies are stored.
-            servers: Where the sources are found.
+            store: The store for the copies.
+            servers: The server list, with the sources.
             clocks: The clocks of the server.
-            counters: Of the server; `filled_bytes` is counted here.
-            settings: Of the server: how many fills at once, and what they and their connections may take.
-            log_event: Called with the event's name and its values as keywords.
+            counters: Counters of the server; `filled_bytes` is counted here.
+            settings: Settings of the server, with the limit and the timeouts of fills and their connections.
+            log_event: Called with the name of an event and its values as keyword arguments.
         """
         self.limit = settings.fills
         self._store = store
@@ -93,26 +113,30 @@
             now=clocks.now,
             started_at=clocks.started_at,
             settings=UpstreamSettings(settings.connect_s, settings.idle_s, _REQUESTS_PER_CONNECTION),
-            max_connections=_CONNECTIONS,
+            max_connections=_MAX_CONNECTIONS,
         )
 
-    # Starting and finding
+    # Starting and joining fills
 
     def running(self) -> int:
-        """The number of fills under way."""
+        """Return the number of fills under way."""
         return len(self._fills)
 
     def joinable(self, object_key: bytes, part: int, max_age_s: float) -> Fill | None:
-        """The last fill of a part, if it brings a copy that is young enough."""
+        """Return the latest fill of a part; None if its copy may be older than `max_age_s` (0 is any age)."""
         fill = self._joinable.get((object_key, part))
         if fill is None or not max_age_s or (fill.max_age_s and fill.max_age_s <= max_age_s):
             return fill
         return None
 
-    def start(self, request: Request, held_copy: ReadResult | None, max_age_s: float) -> Fill:
-        """Begin a fill from the source that a request names.
+    def start(self, request: Request, stored_copy: ReadResult | None, max_age_s: float) -> Fill:
+        """Start a fill from the source that a request names.
 
-        With the tag of a stored copy, a source that has the same answers in a few bytes.
+        Args:
+            request: The request.
+            stored_copy: The stored copy, or None. Its tag is sent to the source, which then answers without a
+                body if it has the same copy.
+            max_age_s: Maximum age of the copy that the fill may bring; 0 is any age.
         """
         self._last_number += 1
         number = self._last_number
@@ -123,7 +147,7 @@
             rank=request.rank,
             max_age_s=max_age_s,
             started_at=self._clocks.now(),
-            held_copy=held_copy,
+            stored_copy=stored_copy,
             keeps_copy=not (request.skips_cache and self._servers.is_parent),
             source_is_origin=self._servers.is_origin(endpoint),
             done=asyncio.get_running_loop().create_future(),
@@ -136,7 +160,7 @@
     def _send(self, number: int, request: Request, fill: Fill, source: ListedEndpoint) -> None:
         origin = self._servers.origin
         may_fill = not (fill.source_is_origin or request.cached_only or request.source == origin)
-        held_tag = fill.held_copy.tag if fill.held_copy is not None else b""
+        stored_tag = fill.stored_copy.tag if fill.stored_copy is not None else b""
         self._upstream.send_attempt(
             SendAttempt(
                 request_id=number,
@@ -153,28 +177,28 @@
                 joins_fill=request.joins_fill,
                 cached_only=request.cached_only,
                 revalidates=False,
-                known_version=held_tag or None,
+                known_version=stored_tag or None,
                 body=b"",
                 skips_cache=request.skips_cache,
             )
         )
 
-    # Meanwhile
+    # Events during fills
 
-    def note_purge(self, purge: Purge, date_is_certain: bool) -> None:
-        """Note a purge for the fills under way: what they bring may be from before it."""
+    def note_purge(self, purge: Purge, is_date_certain: bool) -> None:
+        """Record a purge for the fills under way, whose copies may be older than the purge."""
         for fill in self._fills.values():
             if purge.kind == PurgeKind.GROUP or fill.object_key == purge.name:
                 fill.purged_at = max(fill.purged_at, purge.when)
-                fill.purge_date_is_uncertain |= not date_is_certain
+                fill.purge_date_is_uncertain |= not is_date_certain
 
     def retire(self, instances: list[ServerInstance]) -> None:
-        """Use the connections to these starts of servers for nothing new."""
+        """Send no new requests on the connections to these server instances."""
         for instance in instances:
             self._upstream.retire_server(RetireServer(instance))
 
     def sweep(self) -> None:
-        """Close connections that are idle or silent, and give up fills that take too long."""
+        """Close idle and unresponsive connections, and end fills that have timed out."""
         self._upstream.sweep()
         now = self._clocks.now()
         for number, fill in list(self._fills.items()):
@@ -185,10 +209,10 @@
                 )
 
     def close(self) -> None:
-        """Close all connections; what is open on them is broken."""
+        """Close all connections, which breaks the open attempts on them."""
         self._upstream.close_all()
 
-    # Endings
+    # Ends of fills
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
         if event.request_id in self._fills:
@@ -209,21 +233,21 @@
             fill.done.set_result(FillResult(result, copy, event.note))
 
     def _issued_at(self, event: AttemptEnded) -> float | None:
-        """When the source issued its answer, Unix seconds; None if it did not say."""
+        """Return the Unix time at which the source issued its answer; None if the answer has no date."""
         return None if event.dated_at is None else event.dated_at + self._clocks.started_at
 
     def _revalidated_copy(self, fill: Fill, event: AttemptEnded) -> ReadResult | None:
-        """The stored copy, called unchanged by its source; None if a purge has hit what the source issued."""
+        """Return the stored copy after its source confirmed it; None if a purge may have hit the answer."""
         issued_at = self._issued_at(event)
-        if fill.held_copy is None or issued_at is None or issued_at <= fill.purged_at:
+        if fill.stored_copy is None or issued_at is None or issued_at <= fill.purged_at:
             return None
         if fill.purge_date_is_uncertain:
             return None
-        dated = max(self._date_of(fill, issued_at), fill.held_copy.dated)
-        return self._store.mark_revalidated(fill.object_key, fill.part, fill.held_copy, dated)
+        dated = max(self._date_of(fill, issued_at), fill.stored_copy.dated)
+        return self._store.mark_revalidated(fill.object_key, fill.part, fill.stored_copy, dated)
 
     def _new_copy(self, fill: Fill, event: AttemptEnded) -> ReadResult | None:
-        """New bytes, stored unless the request said otherwise; None if a purge has hit them."""
+        """Return the new copy, stored unless the fill does not keep it; None if a purge may have hit it."""
         self._counters["filled_bytes"] += len(event.body)
         if fill.purge_date_is_uncertain:
             return None
@@ -247,11 +271,11 @@
         return copy.as_read_result()
 
     def _date_of(self, fill: Fill, issued_at: float | None) -> float:
-        """The moment from which a copy's age counts here, Unix seconds.
+        """Return the Unix time from which the copy's age is counted.
 
-        A date of the future is that of another setting of the clocks, and so may be any for a while after a
-        step back. The copy is then as old as it may be: from the origin as the fill, from others as the fill
-        allowed, which may be any age.
+        A date in the future was set by a clock that differs from this one, and for a while after a step back
+        any date may be. The copy is then taken as old as it can be: as the fill itself if it came from the
+        origin, else as the maximum age of the fill, or of unlimited age if there is no maximum.
         """
         now = self._clocks.wall_now()
         if issued_at is None:
--- a/brookhinge/cache_server/line_server.py
+++ b/brookhinge/cache_server/line_server.py
@@ -1,4 +1,4 @@
-"""Connections of routers and other cache servers: bytes to commands, answers to bytes. Decides nothing."""
+"""Serves connections of routers and other cache servers: passes on their requests and writes the answers."""
 
 import asyncio
 import socket
@@ -14,8 +14,8 @@
 from brookhinge.net.stream import Stream
 
 _READ_BYTES = 64 * 1024
-_MAX_UNREAD_BYTES = 8 * 1024 * 1024  # a client with more answers unread is not read from
-_MAX_OPEN_REQUESTS = 512  # on one connection
+_MAX_UNREAD_BYTES = 8 * 1024 * 1024  # above this, a client that does not read its answers is not read from
+_MAX_OPEN_REQUESTS = 512  # per connection
 _SWEEP_INTERVAL_S = 0.2
 _DRAIN_POLL_S = 0.01
 
@@ -24,7 +24,15 @@
 
 
 class ClientConnection:
-    """One connection and the requests that are open on it."""
+    """A client connection and its open requests.
+
+    Attributes:
+        stream: The connection's stream.
+        used_at: Time of the last command or answer.
+        open_requests: Tasks of the open requests by request id.
+        may_read: Cleared while too many bytes of answers are unread.
+        unread_bytes: Bytes written but not yet flushed to the socket.
+    """
 
     def __init__(self, stream: Stream, now: float) -> None:
         self.stream = stream
@@ -35,7 +43,7 @@
         self.unread_bytes = 0
 
     def write(self, data: bytes) -> None:
-        """Send bytes; stop reading from a client that does not read its answers."""
+        """Send bytes, and stop reading from the client while it does not read its answers."""
         try:
             flushed = self.stream.write(data)
         except StreamClosedError:
@@ -43,11 +51,11 @@
         self.unread_bytes += len(data)
         if self.unread_bytes > _MAX_UNREAD_BYTES:
             self.may_read.clear()
-        flushed.add_done_callback(lambda done: self._on_flushed(len(data), done))
+        flushed.add_done_callback(lambda future: self._on_flushed(len(data), future))
 
-    def _on_flushed(self, size: int, done: asyncio.Future) -> None:
-        if not done.cancelled():
-            done.exception()  # the reader notices the end of the connection
+    def _on_flushed(self, size: int, future: asyncio.Future) -> None:
+        if not future.cancelled():
+            future.exception()  # marked as retrieved; the reader handles the end of the connection
         self.unread_bytes -= size
         if self.unread_bytes <= _MAX_UNREAD_BYTES // 2:
             self.may_read.set()
@@ -56,19 +64,19 @@
 class LineServer:
     """Listens for routers and runs a handler for each of their requests.
 
-    The handler returns the bytes of the answer; it is cancelled at a KILL and when its connection ends.
+    The handler returns the encoded answer. It is cancelled by a KILL and when its connection closes.
     """
 
     def __init__(
         self, handle: RequestHandler, log_event: LogEvent, now: Callable[[], float], idle_s: float
     ) -> None:
-        """Make a server that does not listen yet.
+        """Create a server that does not listen yet.
 
         Args:
-            handle: Answers one request.
-            log_event: Called with the event's name and its values as keywords.
-            now: A clock that nobody sets, in seconds.
-            idle_s: A connection without requests is closed after so long.
+            handle: Returns the encoded answer to one request.
+            log_event: Called with the name of an event and its values as keyword arguments.
+            now: Returns the seconds of a monotonic clock.
+            idle_s: Time after which a connection without requests is closed.
         """
         self._handle = handle
         self._log_event = log_event
@@ -76,46 +84,46 @@
         self._idle_s = idle_s
         self._connections: set[ClientConnection] = set()
         self._tasks: set[asyncio.Task] = set()
-        self._sweeping: asyncio.Task | None = None
+        self._sweep_task: asyncio.Task | None = None
         self._listener = Listener(self._accept, log_event)
 
     def listen(self, host: str, port: int) -> tuple[str, int]:
-        """Begin to accept connections and return the address.
+        """Begin accepting connections and return the bound address.
 
         Raises:
             OSError: The address can't be bound.
         """
         address = self._listener.listen(host, port)
-        self._sweeping = asyncio.ensure_future(self._sweep())
+        self._sweep_task = asyncio.ensure_future(self._sweep())
         return address
 
     def open_requests(self) -> int:
-        """Requests that wait for their answer."""
+        """Return the number of requests that wait for their answer."""
         return sum(len(connection.open_requests) for connection in self._connections)
 
     def stop(self) -> None:
-        """Accept no new connections, but for those that came before."""
+        """Accept no further connections except those already established by their clients."""
         self._listener.stop()
 
-    async def drain(self, within_s: float) -> None:
-        """Wait until no request is open, but no longer than `within_s`."""
-        end = time.monotonic() + within_s
-        while self.open_requests() and time.monotonic() < end:
+    async def drain(self, timeout_s: float) -> None:
+        """Wait until no request is open, at most for `timeout_s` seconds."""
+        deadline = time.monotonic() + timeout_s
+        while self.open_requests() and time.monotonic() < deadline:
             tasks = [task for connection in self._connections for task in connection.open_requests.values()]
             await asyncio.wait(tasks, timeout=_DRAIN_POLL_S)
             await asyncio.sleep(_DRAIN_POLL_S)  # the last answers are still being sent
 
     def close(self) -> None:
-        """Close all connections."""
+        """Close the listener and all connections."""
         self._listener.close()
-        if self._sweeping:
-            self._sweeping.cancel()
+        if self._sweep_task:
+            self._sweep_task.cancel()
         for connection in list(self._connections):
             self._close_connection(connection)
 
-    def _start(self, work: Coroutine[None, None, None]) -> asyncio.Task:
-        """Run a coroutine; the server keeps its task until it ends."""
-        task = asyncio.ensure_future(work)
+    def _start(self, coroutine: Coroutine[None, None, None]) -> asyncio.Task:
+        """Run a coroutine as a task; the server keeps a reference until it ends."""
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
@@ -137,7 +145,7 @@
             pass
         except UnreadableError as error:
             self._log_event("peer", why=f"unreadable: {error}")
-        except Exception as error:  # a fault of the program ends one connection alone
+        except Exception as error:  # an internal error closes only this connection
             self._log_event("fault", where="peer", why=f"{type(error).__name__}: {error}")
         finally:
             self._close_connection(connection)
@@ -158,7 +166,7 @@
             if request_id in open_requests:
                 open_requests.pop(request_id).cancel()
         elif request_id in open_requests:
-            raise UnreadableError(f"the id {request_id[:40]!r} that is open")
+            raise UnreadableError(f"expected a new request id, got {request_id[:40]!r} of an open request")
         elif len(open_requests) >= _MAX_OPEN_REQUESTS:
             connection.write(protocol.encode_answer(request_id, protocol.FULL))
         else:
@@ -175,10 +183,10 @@
             answer = protocol.encode_answer(request_id, protocol.FAILED)
         except asyncio.CancelledError:
             return
-        except Exception as error:  # a fault of the program ends one request alone
+        except Exception as error:  # an internal error fails only this request
             self._log_event("fault", where="query", why=f"{type(error).__name__}: {error}")
             answer = protocol.encode_answer(request_id, protocol.FAILED)
-        if connection.open_requests.get(request_id) is task:  # else it was withdrawn
+        if connection.open_requests.get(request_id) is task:  # else the request was cancelled by a KILL
             del connection.open_requests[request_id]
             connection.used_at = self._now()
             connection.write(answer)
@@ -192,11 +200,11 @@
         connection.open_requests.clear()
 
     async def _sweep(self) -> None:
-        """Close connections that have been idle for too long, and those whose time lies in the future."""
+        """Close connections that have been idle for too long, or whose last use lies in the future."""
         while True:
             await asyncio.sleep(_SWEEP_INTERVAL_S)
             now = self._now()
             for connection in list(self._connections):
-                is_unused = not connection.open_requests and not connection.unread_bytes
-                if is_unused and not 0 <= now - connection.used_at <= self._idle_s:
+                is_idle = not connection.open_requests and not connection.unread_bytes
+                if is_idle and not 0 <= now - connection.used_at <= self._idle_s:
                     self._close_connection(connection)
--- a/brookhinge/cache_server/metrics.py
+++ b/brookhinge/cache_server/metrics.py
@@ -1,4 +1,4 @@
-"""The figures of a cache server for Prometheus."""
+"""Prometheus metrics of a cache server."""
 
 from collections.abc import Iterator
 
@@ -26,10 +26,10 @@
         self._server = server
 
     def collect(self) -> Iterator[GaugeMetricFamily | CounterMetricFamily]:
-        """The metrics as they stand."""
+        """Yield the current values of all metrics."""
         stats = self._server.stats()
-        is_on = stats.pop("disk") == "on"
-        yield GaugeMetricFamily("brookhinge_box_disk_on", "1 while the disk tier is used", is_on)
+        disk_is_on = stats.pop("disk") == "on"
+        yield GaugeMetricFamily("brookhinge_box_disk_on", "1 while the disk tier is used", disk_is_on)
         yield GaugeMetricFamily(
             "brookhinge_box_open", "queries open", self._server.line_server.open_requests()
         )
--- a/brookhinge/cache_server/protocol.py
+++ b/brookhinge/cache_server/protocol.py
@@ -1,7 +1,7 @@
-"""Lines of routers as a cache server reads and writes them. No I/O.
+"""The line protocol between routers and cache servers, on the side of the cache server. No I/O.
 
-This module is the only one of the cache server that knows the names of this wire; `net/cachewire.py` is the
-router's side.
+Only this module of the cache server knows the protocol's field names. The router's side is
+`net/cachewire.py`.
 """
 
 from collections.abc import Iterable
@@ -27,7 +27,7 @@
 _HINT_REVALIDATE = b"revalidate"
 _HINTS = frozenset({_HINT_JOIN_FILL, _HINT_CACHED_ONLY, _HINT_SKIP_CACHE, _HINT_REVALIDATE})
 
-# Words of answers.
+# Statuses of answers.
 DATA = b"data"
 UNCHANGED = b"unchanged"
 ABSENT = b"absent"
@@ -39,11 +39,11 @@
 
 
 class UnusableRequestError(ValueError):
-    """A request that can be read and not used: it is answered `failed`, its connection stays."""
+    """A request has an invalid field: it is answered with `failed`, and its connection stays open."""
 
 
 class CommandKind(StrEnum):
-    """Commands of a router."""
+    """The commands that a router sends."""
 
     PULL = "pull"
     KILL = "kill"
@@ -51,45 +51,60 @@
 
 
 class Request(NamedTuple):
-    """One request for a part. Times are seconds."""
+    """A request for one part of an object. Times are in seconds.
+
+    Attributes:
+        request_class: Name of the request class.
+        object_key: Key of the object.
+        part: Number of the part.
+        timeout_s: Time within which the client needs the answer.
+        source: Name of the server to fill from; empty if the server must not fill.
+        rank: Rank of the copy for eviction.
+        max_age_s: Maximum age of a copy; 0 is the fresh time of the class.
+        joins_fill: Whether the request may wait for a fill that is under way.
+        cached_only: Whether the source must answer from its cache and not fill.
+        skips_cache: Whether a parent must not keep the copy.
+        revalidate: Whether a stale copy is to be revalidated in the background.
+        known_tag: Tag of the client's copy; empty if it has none.
+    """
 
     request_class: bytes
     object_key: bytes
     part: int
     timeout_s: float
-    source: str  # the server to fill from; "": no fill
-    rank: int  # for eviction
-    max_age_s: float  # the oldest copy that will do; 0: the fresh time of the class
-    joins_fill: bool  # may wait for a fill that is under way
-    cached_only: bool  # the source may not fill in its turn
-    skips_cache: bool  # a parent does not keep the copy
-    revalidate: bool  # an ageing copy is to be revalidated behind the answer
-    known_tag: bytes  # tag of the client's copy, or b""
+    source: str
+    rank: int
+    max_age_s: float
+    joins_fill: bool
+    cached_only: bool
+    skips_cache: bool
+    revalidate: bool
+    known_tag: bytes
 
 
 class CommandSplitter(LineSplitter):
-    """Cuts what a router sends into commands: (PULL, id, fields, body), (KILL, id) and (ECHO, id)."""
+    """Splits the bytes from a router into commands: (PULL, id, fields, body), (KILL, id) and (ECHO, id)."""
 
     @staticmethod
     def parse_line(line: bytes) -> tuple[tuple, int | None]:
-        """Return the values of a command, and the size of its body; None where none follows.
+        """Return the values of a command and the size of its body; the size is None if no body follows.
 
         Raises:
-            UnreadableError: The line is no command.
+            UnreadableError: The line is not a command.
         """
         words = line.split(b" ")
         if len(words) == 2 and words[0] in (b"KILL", b"ECHO") and words[1]:
             return (CommandKind(words[0].decode().lower()), words[1]), None
         if len(words) != 4 or words[0] != b"PULL" or not words[1] or not is_body_size(words[3]):
-            raise UnreadableError(f"the line {line[:80]!r}")
+            raise UnreadableError(f"expected PULL, KILL or ECHO with its fields, got {line[:80]!r}")
         return (CommandKind.PULL, words[1], words[2]), int(words[3])
 
 
 def decode_request(text: bytes) -> Request:
-    """Read and check the fields of a PULL.
+    """Decode and check the fields of a PULL.
 
     Raises:
-        UnusableRequestError: Names the field that is missing or out of range.
+        UnusableRequestError: A field is missing or out of range; the message names it.
     """
     fields = read_fields(text)
     object_key = fields.get(b"asset", b"")
@@ -97,14 +112,16 @@
         raise UnusableRequestError(f"asset: expected 16 hex digits, got {object_key!r:.40}")
     request_class = fields.get(b"sort", b"")
     if not request_class or len(request_class) > _MAX_CLASS_BYTES:
-        raise UnusableRequestError(f"sort: expected a class, got {request_class!r:.40}")
+        raise UnusableRequestError(
+            f"sort: expected a request class of at most 64 bytes, got {request_class!r:.40}"
+        )
     hints = set(fields.get(b"hints", b"").split(b"+")) - {b""}
     if not hints <= _HINTS:
         raise UnusableRequestError(f"hints: unknown {sorted(hints - _HINTS)!r:.60}")
     source = fields.get(b"parent", b"")
     known_tag = fields.get(b"got", b"")
     if len(source) > _MAX_NAME_BYTES or len(known_tag) > _MAX_NAME_BYTES:
-        raise UnusableRequestError("parent or got: too long")
+        raise UnusableRequestError("parent or got: expected at most 255 bytes")
     return Request(
         request_class=request_class,
         object_key=object_key,
@@ -136,10 +153,10 @@
     return int(text)
 
 
-def encode_answer(request_id: bytes, word: bytes, fields: AnswerFields = (), body: bytes = b"") -> bytes:
-    """Encode an answer with its fields, pairs of name and value, and its body."""
+def encode_answer(request_id: bytes, status: bytes, fields: AnswerFields = (), body: bytes = b"") -> bytes:
+    """Encode an answer; its fields are pairs of name and value."""
     text = b",".join(b"%b=%b" % pair for pair in fields) or b"-"
-    return b"%b %b %b %d\r\n%b\r\n" % (request_id, word, text, len(body), body)
+    return b"%b %b %b %d\r\n%b\r\n" % (request_id, status, text, len(body), body)
 
 
 def encode_copy_fields(
@@ -148,11 +165,11 @@
     """Encode the fields of an answer with a copy.
 
     Args:
-        note: How the server came by the copy.
-        tag: Of the copy.
-        dated: When the origin issued it, Unix seconds.
-        group: Its purge group; None if it is not known.
-        source_wait_s: What the answer waited for a fill; 0 if it did not.
+        note: How the server obtained the copy.
+        tag: Tag of the copy; empty if it has none.
+        dated: Unix time at which the origin issued the copy.
+        group: Purge group of the copy; None if it is unknown.
+        source_wait_s: How long the answer waited for a fill; 0 if it did not.
     """
     fields = [
         (b"n", note.encode()),
@@ -167,22 +184,22 @@
 
 
 def encode_note(note: str) -> list[tuple[bytes, bytes]]:
-    """Encode the fields of an answer without a copy."""
+    """Encode the fields of an answer without a copy; an empty note is left out."""
     return [(b"n", note.encode())] if note else []
 
 
 def encode_load_report(values: Iterable[tuple[str, float]]) -> tuple[bytes, bytes]:
-    """Encode the load report of an answer, pairs of name and value, as one field."""
+    """Encode the load report of an answer as one field, from pairs of name and value."""
     return b"l", b";".join(b"%b:%.3g" % (name.encode(), value) for name, value in values)
 
 
 def decode_tag(text: bytes | None) -> bytes:
-    """Read the tag of an answer; `-` stands for none."""
+    """Decode the tag of an answer; `-` means that there is none."""
     return b"" if text in (None, b"-") else text
 
 
 def decode_group(text: bytes | None, max_group: int) -> int | None:
-    """Read the purge group of an answer; None if it has none that can be used."""
+    """Decode the purge group of an answer; None if it is missing or invalid."""
     if text and text.isdigit() and int(text) <= max_group:
         return int(text)
     return None
--- a/brookhinge/cache_server/server_list.py
+++ b/brookhinge/cache_server/server_list.py
@@ -1,4 +1,4 @@
-"""The servers that the command channel lists, as a cache server sees them. No I/O."""
+"""The servers in the endpoint list of the command channel, as a cache server uses them. No I/O."""
 
 from brookhinge.cache_server.cache_policy import SERVER_READY
 from brookhinge.engine.endpoints import ListedEndpoint, ServerInstance
@@ -8,11 +8,11 @@
 
 
 class ServerList:
-    """Servers by name, the origin among them, and the kind of this server.
+    """The listed servers by name, the origin, and the kind of this server.
 
     Attributes:
-        servers: All that are listed and have not gone.
-        origin: Name of an origin that is ready, or None.
+        servers: Listed servers by name, without those that are gone.
+        origin: Name of an origin that is ready; None if there is none.
         is_parent: Whether this server is listed as a parent.
     """
 
@@ -25,15 +25,15 @@
         self._origin_kind = origin_kind
 
     def apply(self, event: EndpointsListed) -> list[ServerInstance]:
-        """Take a list or its changes; return the instances that were replaced or have gone."""
+        """Apply a complete list or changes; return the server instances that were replaced or are gone."""
         if event.is_complete:
             self.servers = {}
-        ended = []
+        retired = []
         for row in event.endpoints:
             endpoint = ListedEndpoint(*row)
             known = self.servers.get(endpoint.server)
             if known and instance_of(known) != instance_of(endpoint):
-                ended.append(instance_of(known))
+                retired.append(instance_of(known))
             if endpoint.health == _HEALTH_GONE:
                 self.servers.pop(endpoint.server, None)
             else:
@@ -41,7 +41,7 @@
         self.origin = self._find_origin()
         own = self.servers.get(self._own_name)
         self.is_parent = own is not None and own.kind == self._parent_kind
-        return ended
+        return retired
 
     def _find_origin(self) -> str | None:
         for name, endpoint in sorted(self.servers.items()):
@@ -50,19 +50,19 @@
         return None
 
     def forget(self) -> None:
-        """Forget all servers, because changes of the list may have been missed."""
+        """Forget all servers, because changes to the list may have been missed."""
         self.servers = {}
 
     def health_of(self, name: str) -> str | None:
-        """The health of a server as last told; None if it is not listed."""
+        """Return the last listed health of a server; None if it is not listed."""
         endpoint = self.servers.get(name)
         return endpoint.health if endpoint else None
 
     def is_origin(self, endpoint: ListedEndpoint) -> bool:
-        """Whether a server is an origin."""
+        """Return whether a server is an origin."""
         return endpoint.kind == self._origin_kind
 
 
 def instance_of(endpoint: ListedEndpoint) -> ServerInstance:
-    """The start of a server that a row of the list names."""
+    """Return the server instance of a row of the list: name, address and start time."""
     return ServerInstance(endpoint.server, endpoint.address, endpoint.started_at)
--- a/brookhinge/cache_server/service.py
+++ b/brookhinge/cache_server/service.py
@@ -1,4 +1,4 @@
-"""A cache server as one object: the line server in front, the store behind, fills from other servers."""
+"""The cache server: connects the line server, the store, the command channel and the fills."""
 
 import asyncio
 import time
@@ -32,9 +32,9 @@
 _MB = 1024 * 1024
 _LOG_INTERVAL_S = 10.0
 _SWEEP_INTERVAL_S = 0.05
-_MIN_AGE_BOUND_S = 0.001  # 0 would stand for any age
+_MIN_AGE_BOUND_S = 0.001  # 0 would mean any age
 
-# Names stand in logs and metrics.
+# These names appear in logs and metrics.
 _COUNTERS = (
     "queries",
     "hit",
@@ -55,11 +55,11 @@
 
 
 def _ignore_event(event: str, **values: object) -> None:
-    """Log nothing."""
+    """Discard an event."""
 
 
 class CacheServer:
-    """One cache server of the platform's protocol."""
+    """A cache server of the platform's protocol."""
 
     def __init__(
         self,
@@ -70,14 +70,14 @@
         wall: Callable[[], float] = time.time,
         monotonic: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Make a server that has not started.
+        """Create a server that has not started.
 
         Args:
-            settings: The server's block of the operator's file.
-            log_event: Called with the event's name and its values as keywords.
-            files: A file layer in place of the folder that is named in the settings.
-            wall: The clock by which copies are dated.
-            monotonic: A clock that nobody sets.
+            settings: Settings from the server's block in the operator's file.
+            log_event: Called with the name of an event and its values as keyword arguments.
+            files: File layer to use in place of the folder in the settings.
+            wall: Wall clock, which dates the copies.
+            monotonic: Monotonic clock.
         """
         self._settings = settings
         self._log_event = log_event
@@ -116,22 +116,22 @@
         self._answers = AnswerEncoder(self.counters, settings.reports, self._load)
         self._tasks: list[asyncio.Task] = []
 
-    # Start and end
+    # Starting and stopping
 
     async def start(self) -> tuple[str, int]:
-        """Listen and begin to open the store; return the address."""
+        """Listen, begin to open the store and return the address."""
         await self.store.start()
         if self.store.opened is not None:
             self.store.opened.add_done_callback(self._limit_purge_dates)
         address = self.line_server.listen(*self._settings.listen)
-        work = (self.channel.run, self._sweep, self._log_stats)
-        self._tasks = [asyncio.ensure_future(part()) for part in work]
+        loops = (self.channel.run, self._sweep, self._log_stats)
+        self._tasks = [asyncio.ensure_future(loop()) for loop in loops]
         host, port = address
         self._log_event("listening", address=f"{host}:{port}")
         return address
 
     async def stop(self) -> None:
-        """Drain: accept no new connections, give open requests their time, write a last snapshot."""
+        """Accept no new connections, drain open requests, then close the store with a last snapshot."""
         self.line_server.stop()
         await self.line_server.drain(self._settings.drain_s)
         self.line_server.close()
@@ -149,8 +149,8 @@
             self.fills.sweep()
 
     def _check_clock(self) -> None:
-        """Where the wall clock steps back, require revalidation of all copies: they would look too young."""
-        step_back_s = self.clocks.step_back_s()
+        """Require revalidation of all copies if the wall clock stepped back, as they would look too young."""
+        step_back_s = self.clocks.measure_step_back()
         if step_back_s:
             self._log_event("clock stepped back", by_s=round(step_back_s, 3))
             self.store.require_revalidation()
@@ -167,7 +167,7 @@
             )
 
     def stats(self) -> dict[str, int | str]:
-        """Counts since the start and what is stored, for logs and metrics."""
+        """Return the counters since the start and the state of the store, for logs and metrics."""
         return {**self.counters, **self.store.stats()}
 
     def _load(self) -> dict[str, float]:
@@ -181,10 +181,10 @@
     # Requests
 
     async def answer(self, request_id: bytes, fields: bytes, _body: bytes) -> bytes:
-        """Answer one request, from its fields to the bytes of the answer.
+        """Return the encoded answer to one request.
 
         Raises:
-            UnusableRequestError: The fields can't be used.
+            UnusableRequestError: A field is missing or out of range.
         """
         request = protocol.decode_request(fields)
         self.counters["queries"] += 1
@@ -214,9 +214,9 @@
         if copy is None:
             return None
         if not rules.stamp_is_plausible(self.clocks.wall_now(), copy.dated):
-            # from before a clock was set back: of unknown age
+            # dated before a clock was set back, so its age is unknown
             copy = copy._replace(needs_revalidation=True, dated=0.0)
-        if self.commands.current_since is None:  # purges may be unknown
+        if self.commands.current_since is None:  # purges may have been missed
             copy = copy._replace(needs_revalidation=True)
         return copy
 
@@ -232,9 +232,9 @@
         return cache_policy.decide(request, freshness, cached_copy, fill_state)
 
     def _max_fill_age_s(self, request: Request, freshness: Freshness, copy: ReadResult | None) -> float:
-        """The oldest copy that a fill for a request may bring; 0 is any."""
+        """Return the maximum age in seconds of a copy that a fill may bring; 0 is any age."""
         purges = self.store.purges
-        if copy is None:  # which group the object belongs to is known by a copy alone
+        if copy is None:  # the group of an object is known only from a copy
             purged_at = purges.objects.get(request.object_key, NEVER)
         else:
             purged_at = purges.purged_at(request.object_key, copy.group)
@@ -256,11 +256,11 @@
         if result == AttemptResult.SATISFIED and self.store.purges.is_purged(
             request.object_key, copy.group, copy.dated
         ):
-            result = AttemptResult.ERRORED  # it was purged while it was under way
-        unchanged = copy is not None and fill.held_copy is not None and copy.body is fill.held_copy.body
+            result = AttemptResult.ERRORED  # purged during the fill
+        unchanged = copy is not None and fill.stored_copy is not None and copy.body is fill.stored_copy.body
         answer = cache_policy.answer_to_fill(result, source_note, fill.source_is_origin, unchanged)
-        if answer.word != protocol.DATA:
-            return self._answers.without_copy(request_id, answer.word, answer.note)
+        if answer.status != protocol.DATA:
+            return self._answers.without_copy(request_id, answer.status, answer.note)
         note = decision.note if decision.action is Action.JOIN_FILL else answer.note
         return self._answers.copy(request_id, request, copy, note, self.clocks.now() - received_at)
 
--- a/tests/cache_server/test_cache_server.py
+++ b/tests/cache_server/test_cache_server.py
@@ -1,4 +1,7 @@
-"""A box among stand-ins in one process: what it answers, whom it asks, and what no restart, drain or gap may change."""
+"""Tests a cache server against an emulated origin and command channel in one process.
+
+The tests cover its answers, its fills, and that no restart, drain or gap lets out a purged copy.
+"""
 
 import asyncio
 import threading
@@ -16,21 +19,21 @@
 X, Y = "00ab" * 4, "17cd" * 4
 
 
-class Place:
-    """One box, its origin and its command channel."""
+class Deployment:
+    """A cache server, its origin and its command channel."""
 
     def __init__(self, folder, tracks=None, delay_s=0.0, fills=32, disk=True):
         self.folder, self.tracks, self.fills, self.disk = folder, tracks, fills, disk
-        self.origin, self.channel, self.lines = Origin((2000, 200_000), delay_s), CommandChannel(), []
+        self.origin, self.channel, self.events = Origin((2000, 200_000), delay_s), CommandChannel(), []
 
     async def __aenter__(self):
         _, port = self.origin.listen()
-        self.channel_at = await self.channel.listen()
-        self.host("s-0", "origin", port)
+        self.channel_address = await self.channel.listen()
+        self.add_host("s-0", "origin", port)
         await self.start()
         return self
 
-    def host(self, name, kind, port, **other):
+    def add_host(self, name, kind, port, **other):
         self.channel.hosts[name] = {
             "host": name,
             "dial": f"127.0.0.1:{port}",
@@ -44,10 +47,10 @@
         }
 
     async def start(self):
-        stand = CacheServerSettings(
+        settings = CacheServerSettings(
             "s-1",
             ("127.0.0.1", 0),
-            self.channel_at,
+            self.channel_address,
             self.fills,
             1.0,
             0.3,
@@ -61,7 +64,9 @@
         )
         self.step_s = 0.0
         self.server = CacheServer(
-            stand, lambda event, **v: self.lines.append((event, v)), wall=lambda: time.time() + self.step_s
+            settings,
+            lambda event, **v: self.events.append((event, v)),
+            wall=lambda: time.time() + self.step_s,
         )
         self.address = await self.server.start()
         if self.disk:
@@ -81,42 +86,45 @@
         self.origin.end()
         self.channel.end()
 
-    async def ask(self, object_=X, part=0, **fields):
-        """word, note, and whether the bytes are the origin's of now."""
-        word, told, body = await self.caller.ask(object_, part, **fields)
-        good = (
-            body == body_of(object_, part, self.origin.version(object_), self.origin.sizes) if body else None
+    async def request(self, object_key=X, part=0, **fields):
+        """Return the status and the note of the answer, and whether its body is the origin's current one."""
+        status, answer_fields, body = await self.caller.ask(object_key, part, **fields)
+        is_current = (
+            body == body_of(object_key, part, self.origin.version(object_key), self.origin.sizes)
+            if body
+            else None
         )
-        return word, told.get(b"n", b"").decode(), good
+        return status, answer_fields.get(b"n", b"").decode(), is_current
 
-    async def change(self, **what):
-        self.channel.drop(what.get("object_"), what.get("group"), self.origin.change(**what))
-        told = self.server.counters["purges"]
-        while self.server.counters["purges"] == told:
+    async def change_and_purge(self, **target):
+        """Change an object or a group at the origin, and wait until the server has received the purge."""
+        self.channel.drop(target.get("object_"), target.get("group"), self.origin.change(**target))
+        purges_before = self.server.counters["purges"]
+        while self.server.counters["purges"] == purges_before:
             await asyncio.sleep(0.002)
 
 
-def played(scene, folder, **other):
+def run_scenario(scenario, folder, **other):
     async def run():
-        async with Place(folder, **other) as place:
-            return await scene(place)
+        async with Deployment(folder, **other) as deployment:
+            return await scenario(deployment)
 
     return asyncio.run(run())
 
 
-def test_a_query_by_its_ordinary_path(tmp_path):
-    async def scene(p):
+def test_request_is_absent_then_filled_then_a_hit(tmp_path):
+    async def scenario(deployment):
         return [
-            await p.ask(),
-            await p.ask(parent="s-0"),
-            await p.ask(),
-            await p.ask(part=7, parent="s-0"),
-            await p.ask(got="v0"),
-            await p.ask(got="v9"),
-            p.origin.counts["queries"],
+            await deployment.request(),
+            await deployment.request(parent="s-0"),
+            await deployment.request(),
+            await deployment.request(part=7, parent="s-0"),
+            await deployment.request(got="v0"),
+            await deployment.request(got="v9"),
+            deployment.origin.counts["queries"],
         ]
 
-    assert played(scene, tmp_path) == [
+    assert run_scenario(scenario, tmp_path) == [
         ("absent", "", None),
         ("data", "via_origin", True),
         ("data", "hit", True),
@@ -127,35 +135,35 @@
     ]
 
 
-def test_queries_join_a_fill_and_fills_are_bounded(tmp_path):
-    async def scene(p):
-        asked = await asyncio.gather(*(p.ask(parent="s-0", hints="merge") for _ in range(5)))
-        many = await asyncio.gather(*(p.ask(part=n, parent="s-0") for n in range(1, 7)))
-        return sorted(asked), p.origin.counts["queries"], sorted(many)
+def test_requests_join_a_fill_and_the_number_of_fills_is_limited(tmp_path):
+    async def scenario(deployment):
+        joined = await asyncio.gather(*(deployment.request(parent="s-0", hints="merge") for _ in range(5)))
+        over_limit = await asyncio.gather(*(deployment.request(part=n, parent="s-0") for n in range(1, 7)))
+        return sorted(joined), deployment.origin.counts["queries"], sorted(over_limit)
 
-    assert played(scene, tmp_path, delay_s=0.1, fills=4) == (
+    assert run_scenario(scenario, tmp_path, delay_s=0.1, fills=4) == (
         [("data", "joined", True)] * 4 + [("data", "via_origin", True)],
         5,
         [("data", "via_origin", True)] * 4 + [("full", "no_slot", None)] * 2,
     )
 
 
-def test_ageing_copies_are_served_as_asked_and_renewed_behind(tmp_path):
-    async def scene(p):
-        await p.ask(parent="s-0")
+def test_stale_copy_is_served_within_the_requested_age_and_revalidated_in_the_background(tmp_path):
+    async def scenario(deployment):
+        await deployment.request(parent="s-0")
         await asyncio.sleep(0.15)
-        lines = [
-            await p.ask(),
-            await p.ask(accept=60_000),
-            await p.ask(accept=60_000, parent="s-0", hints="revalidate"),
+        answers = [
+            await deployment.request(),
+            await deployment.request(accept=60_000),
+            await deployment.request(accept=60_000, parent="s-0", hints="revalidate"),
         ]
         await asyncio.sleep(0.05)
-        lines.append(await p.ask())  # renewed in a few bytes
+        answers.append(await deployment.request())  # revalidated, without a new body
         await asyncio.sleep(0.15)
-        lines.append(await p.ask(parent="s-0"))
-        return lines, p.origin.counts["queries"], p.origin.counts["unchanged"]
+        answers.append(await deployment.request(parent="s-0"))
+        return answers, deployment.origin.counts["queries"], deployment.origin.counts["unchanged"]
 
-    assert played(scene, tmp_path, tracks={"page": (0.12, 1.0)}) == (
+    assert run_scenario(scenario, tmp_path, tracks={"page": (0.12, 1.0)}) == (
         [
             ("absent", "", None),
             ("data", "stale", True),
@@ -168,16 +176,24 @@
     )
 
 
-def test_a_purge_by_object_and_by_group_lets_no_older_copy_out(tmp_path):
-    async def scene(p):
-        for object_ in (X, Y):
-            await p.ask(object_, parent="s-0")
-        await p.change(object_=X)
-        lines = [await p.ask(X), await p.ask(Y), await p.ask(X, parent="s-0")]
-        await p.change(group=group_of(Y))
-        return lines + [await p.ask(X), await p.ask(Y), await p.ask(Y, parent="s-0")]
+def test_older_copies_are_not_served_after_a_purge_by_object_or_by_group(tmp_path):
+    async def scenario(deployment):
+        for object_key in (X, Y):
+            await deployment.request(object_key, parent="s-0")
+        await deployment.change_and_purge(object_=X)
+        answers = [
+            await deployment.request(X),
+            await deployment.request(Y),
+            await deployment.request(X, parent="s-0"),
+        ]
+        await deployment.change_and_purge(group=group_of(Y))
+        return answers + [
+            await deployment.request(X),
+            await deployment.request(Y),
+            await deployment.request(Y, parent="s-0"),
+        ]
 
-    assert played(scene, tmp_path) == [
+    assert run_scenario(scenario, tmp_path) == [
         ("absent", "", None),
         ("data", "hit", True),
         ("data", "via_origin", True),
@@ -187,172 +203,204 @@
     ]
 
 
-def test_what_was_purged_under_a_fill_is_neither_served_nor_kept(tmp_path):
-    async def scene(p):
-        asking = asyncio.ensure_future(p.ask(parent="s-0"))
+def test_copy_purged_during_its_fill_is_neither_served_nor_stored(tmp_path):
+    async def scenario(deployment):
+        request = asyncio.ensure_future(deployment.request(parent="s-0"))
         await asyncio.sleep(0.05)
-        await p.change(object_=X)
-        return await asking, await p.ask(), await p.ask(parent="s-0")
+        await deployment.change_and_purge(object_=X)
+        return await request, await deployment.request(), await deployment.request(parent="s-0")
 
-    assert played(scene, tmp_path, delay_s=0.15) == (
+    assert run_scenario(scenario, tmp_path, delay_s=0.15) == (
         ("failed", "origin_failed", None),
         ("absent", "", None),
         ("data", "via_origin", True),
     )
 
 
-def test_after_a_restart_a_copy_goes_out_only_when_its_source_says_it_is_unchanged(tmp_path):
-    async def scene(p):
+def test_after_a_restart_a_copy_is_served_only_once_its_source_confirms_it(tmp_path):
+    async def scenario(deployment):
         for part in range(3):
-            await p.ask(part=part, parent="s-0")
+            await deployment.request(part=part, parent="s-0")
         await asyncio.sleep(0.1)
-        await p.restart()
-        bytes_ = p.origin.counts["bytes"]
-        lines = [await p.ask(), await p.ask(parent="s-0"), await p.ask()]
-        same = p.origin.counts["bytes"] == bytes_
-        p.caller.close()
-        await p.server.stop()
-        p.origin.change(X)  # the purge is told while nobody listens, and never again
-        p.channel.drop(X)
-        await p.start()
-        return lines, same, [await p.ask(part=1), await p.ask(part=1, parent="s-0"), await p.ask(part=1)]
-
-    assert played(scene, tmp_path) == (
+        await deployment.restart()
+        bytes_before = deployment.origin.counts["bytes"]
+        answers = [
+            await deployment.request(),
+            await deployment.request(parent="s-0"),
+            await deployment.request(),
+        ]
+        no_bytes_sent = deployment.origin.counts["bytes"] == bytes_before
+        deployment.caller.close()
+        await deployment.server.stop()
+        deployment.origin.change(X)  # the channel sends the purge while the server is down, and never again
+        deployment.channel.drop(X)
+        await deployment.start()
+        return (
+            answers,
+            no_bytes_sent,
+            [
+                await deployment.request(part=1),
+                await deployment.request(part=1, parent="s-0"),
+                await deployment.request(part=1),
+            ],
+        )
+
+    assert run_scenario(scenario, tmp_path) == (
         [("absent", "", None), ("data", "hit", True), ("data", "hit", True)],
         True,
         [("absent", "", None), ("data", "via_origin", True), ("data", "hit", True)],
     )
 
 
-def test_a_channel_that_starts_anew_or_leaves_something_out_sets_everything_aside(tmp_path):
-    async def scene(p):
-        lines = []
+def test_restarted_channel_or_missing_commands_require_revalidation_of_all_copies(tmp_path):
+    async def scenario(deployment):
+        answers = []
         for turn in range(2):
-            await p.ask(parent="s-0")
-            p.origin.change(X)
+            await deployment.request(parent="s-0")
+            deployment.origin.change(X)
             if turn:
-                p.channel.last += 5  # five numbers that nobody was told
-                p.channel.list("s-9", dial="127.0.0.1:9", site="", **{"class": "box", "health": "up"})
+                deployment.channel.last += 5  # five numbers that the channel never sent
+                deployment.channel.list(
+                    "s-9", dial="127.0.0.1:9", site="", **{"class": "box", "health": "up"}
+                )
             else:
-                p.channel.events, p.channel.last = [], 1
-                for writer in p.channel.writers:
+                deployment.channel.events, deployment.channel.last = [], 1
+                for writer in deployment.channel.writers:
                     writer.transport.abort()
-                p.channel.list("s-9", dial="127.0.0.1:9", site="", **{"class": "box", "health": "up"})
-                p.server.channel.taken = 40
-            while p.server.counters["gaps"] <= turn or p.server.commands.current_since is None:
+                deployment.channel.list(
+                    "s-9", dial="127.0.0.1:9", site="", **{"class": "box", "health": "up"}
+                )
+                deployment.server.channel.last_applied = 40
+            while (
+                deployment.server.counters["gaps"] <= turn or deployment.server.commands.current_since is None
+            ):
                 await asyncio.sleep(0.005)
-            lines += [await p.ask(), await p.ask(parent="s-0")]
-        return lines
+            answers += [await deployment.request(), await deployment.request(parent="s-0")]
+        return answers
+
+    assert run_scenario(scenario, tmp_path) == [("absent", "", None), ("data", "via_origin", True)] * 2
 
-    assert played(scene, tmp_path) == [("absent", "", None), ("data", "via_origin", True)] * 2
 
+def test_disk_stalled_during_a_purge_delays_neither_drains_nor_later_purges(tmp_path):
+    """The numbers in polls stay below a purge that is not durable, but later commands are applied at once.
 
-def test_a_disk_that_stalls_under_a_purge_holds_up_no_drain_and_no_purge(tmp_path):
-    """The numbers in the polls stay below the purge that is not durable; what came after it is heard all the same."""
+    A server that waited for the disk would delay drains and purges for as long as the disk stalls.
+    """
 
-    async def scene(p):
-        await p.ask(X, parent="s-0")
-        await p.ask(Y, parent="s-0")
-        hold, sync = threading.Event(), p.server.store.disk.files.sync
-        p.server.store.disk.files.sync = lambda handle: (hold.wait(5), sync(handle))
-        p.server.store.supervisor.health.record_fault = lambda *_: (
-            False
-        )  # as long as nobody has noticed that it stalls
-        p.origin.change(X)
-        number = p.channel.drop(X)
+    async def scenario(deployment):
+        await deployment.request(X, parent="s-0")
+        await deployment.request(Y, parent="s-0")
+        released, sync = threading.Event(), deployment.server.store.disk.files.sync
+        deployment.server.store.disk.files.sync = lambda handle: (released.wait(5), sync(handle))
+        # the stall is not detected
+        deployment.server.store.supervisor.health.record_fault = lambda *_: False
+        deployment.origin.change(X)
+        number = deployment.channel.drop(X)
         await asyncio.sleep(0.1)
-        p.channel.polls.clear()
-        p.origin.change(Y)
-        p.channel.drop(Y)
-        p.channel.list("s-0", health="draining")
+        deployment.channel.polls.clear()
+        deployment.origin.change(Y)
+        deployment.channel.drop(Y)
+        deployment.channel.list("s-0", health="draining")
         await asyncio.sleep(0.3)
-        p.caller = await LineCaller(p.address).connect()  # the other one has been idle
-        heard = p.server.servers.health_of("s-0"), await p.ask(X), await p.ask(Y), max(p.channel.polls)
-        hold.set()
+        # the first connection was closed as idle
+        deployment.caller = await LineCaller(deployment.address).connect()
+        observed = (
+            deployment.server.servers.health_of("s-0"),
+            await deployment.request(X),
+            await deployment.request(Y),
+            max(deployment.channel.polls),
+        )
+        released.set()
         await asyncio.sleep(0.3)
-        return heard, number - 1, max(p.channel.polls) == p.channel.last
+        return observed, number - 1, max(deployment.channel.polls) == deployment.channel.last
 
-    heard, below, risen = played(scene, tmp_path)
-    assert heard == ("draining", ("absent", "", None), ("absent", "", None), below) and risen
+    observed, last_durable, is_acknowledged = run_scenario(scenario, tmp_path)
+    assert (
+        observed == ("draining", ("absent", "", None), ("absent", "", None), last_durable) and is_acknowledged
+    )
 
 
-def test_a_clock_that_steps_back_makes_nothing_younger(tmp_path):
-    async def scene(p):
-        await p.ask(parent="s-0")
-        p.step_s = -3600.0
-        while not any(event == "clock stepped back" for event, _ in p.lines):
+def test_copies_need_revalidation_after_the_wall_clock_steps_back(tmp_path):
+    async def scenario(deployment):
+        await deployment.request(parent="s-0")
+        deployment.step_s = -3600.0
+        while not any(event == "clock stepped back" for event, _ in deployment.events):
             await asyncio.sleep(0.01)
-        return [await p.ask(), await p.ask(parent="s-0"), await p.ask()]
+        return [
+            await deployment.request(),
+            await deployment.request(parent="s-0"),
+            await deployment.request(),
+        ]
 
-    assert played(scene, tmp_path, tracks={"page": (2.0, 1.0)}) == [
+    assert run_scenario(scenario, tmp_path, tracks={"page": (2.0, 1.0)}) == [
         ("absent", "", None),
         ("data", "hit", True),
         ("data", "hit", True),
     ]
 
 
-def test_a_folder_of_another_process_or_one_that_cannot_be_written_leaves_memory(tmp_path):
-    async def scene(p):
-        first, lines = p.server, p.lines
-        await p.start()  # a second box on the same folder
-        asked = [await p.ask(parent="s-0"), await p.ask()]
-        second, p.server = p.server, first
+def test_server_on_a_folder_in_use_serves_from_memory(tmp_path):
+    async def scenario(deployment):
+        first, events = deployment.server, deployment.events
+        await deployment.start()  # a second server on the same folder
+        answers = [await deployment.request(parent="s-0"), await deployment.request()]
+        second, deployment.server = deployment.server, first
         await second.stop()
-        return asked, [v["why"].split(" process")[0] for event, v in lines if event == "disk off"]
+        return answers, [v["why"].split(" process")[0] for event, v in events if event == "disk off"]
 
-    assert played(scene, tmp_path) == (
+    assert run_scenario(scenario, tmp_path) == (
         [("data", "via_origin", True), ("data", "hit", True)],
         ["closed: [Errno 11] in use by"],
     )
 
 
-def test_figures_for_prometheus(tmp_path):
-    async def scene(p):
+def test_metrics_are_served_for_prometheus(tmp_path):
+    async def scenario(deployment):
         from urllib.request import urlopen
 
         from brookhinge.cache_server.metrics import CacheServerCollector
         from brookhinge.metrics import publish
 
-        await p.ask(parent="s-0")
-        server, thread = publish(CacheServerCollector(p.server), ("127.0.0.1", 0))
+        await deployment.request(parent="s-0")
+        server, thread = publish(CacheServerCollector(deployment.server), ("127.0.0.1", 0))
         text = await asyncio.to_thread(
             lambda: urlopen("http://127.0.0.1:%d/metrics" % server.server_port).read().decode()
         )
         server.shutdown()
         return "brookhinge_box_queries_total 1.0" in text and "brookhinge_box_disk_on 1.0" in text
 
-    assert played(scene, tmp_path)
+    assert run_scenario(scenario, tmp_path)
 
 
-def test_a_source_that_drains_has_gone_or_is_unknown_is_asked_for_nothing(tmp_path):
-    async def scene(p):
-        lines = [await p.ask(parent="s-77")]
-        p.channel.list("s-0", health="draining")
-        while p.server.servers.health_of("s-0") != "draining":
+def test_source_that_is_unknown_draining_or_removed_gets_no_request(tmp_path):
+    async def scenario(deployment):
+        answers = [await deployment.request(parent="s-77")]
+        deployment.channel.list("s-0", health="draining")
+        while deployment.server.servers.health_of("s-0") != "draining":
             await asyncio.sleep(0.002)
-        lines.append(await p.ask(parent="s-0"))
-        p.channel.list("s-0", health="removed")
-        while p.server.servers.health_of("s-0"):
+        answers.append(await deployment.request(parent="s-0"))
+        deployment.channel.list("s-0", health="removed")
+        while deployment.server.servers.health_of("s-0"):
             await asyncio.sleep(0.002)
-        return lines + [await p.ask(parent="s-0")], p.origin.counts["queries"]
+        return answers + [await deployment.request(parent="s-0")], deployment.origin.counts["queries"]
 
-    assert played(scene, tmp_path) == ([("full", "src_refused", None)] * 3, 0)
+    assert run_scenario(scenario, tmp_path) == ([("full", "src_refused", None)] * 3, 0)
 
 
-def test_a_source_that_fails_or_is_not_there(tmp_path):
-    async def scene(p):
-        p.origin.broken = True
-        p.host("s-8", "parent", 9)
-        p.channel.list("s-8")
-        while not p.server.servers.health_of("s-8"):
+def test_failed_unreachable_and_slow_sources_are_reported(tmp_path):
+    async def scenario(deployment):
+        deployment.origin.broken = True
+        deployment.add_host("s-8", "parent", 9)
+        deployment.channel.list("s-8")
+        while not deployment.server.servers.health_of("s-8"):
             await asyncio.sleep(0.002)
-        lines = [await p.ask(parent="s-0"), await p.ask(parent="s-8")]
-        p.origin.broken, p.origin.delay_s = False, 3.0
-        began = time.monotonic()
-        lines.append(await p.ask(parent="s-0"))
-        return lines, time.monotonic() - began < 2.5, p.server.fills.running()
+        answers = [await deployment.request(parent="s-0"), await deployment.request(parent="s-8")]
+        deployment.origin.broken, deployment.origin.delay_s = False, 3.0
+        started_at = time.monotonic()
+        answers.append(await deployment.request(parent="s-0"))
+        return answers, time.monotonic() - started_at < 2.5, deployment.server.fills.running()
 
-    assert played(scene, tmp_path) == (
+    assert run_scenario(scenario, tmp_path) == (
         [("failed", "origin_failed", None), ("full", "src_refused", None), ("failed", "origin_failed", None)],
         True,
         0,
@@ -372,29 +420,33 @@
         ({"sort": ""}, "sort"),
     ],
 )
-def test_what_cannot_be_used_is_answered_and_costs_nobody_else(tmp_path, fields, why):
-    async def scene(p):
-        good = asyncio.ensure_future(p.ask(parent="s-0"))
+def test_unusable_request_is_answered_and_does_not_affect_others(tmp_path, fields, why):
+    async def scenario(deployment):
+        valid_request = asyncio.ensure_future(deployment.request(parent="s-0"))
         await asyncio.sleep(0.02)
-        asked = {"sort": "page", "asset": X, "slice": 0, "patience": 1000, **fields}
+        request_fields = {"sort": "page", "asset": X, "slice": 0, "patience": 1000, **fields}
         future = asyncio.get_running_loop().create_future()
-        p.caller.waiting[b"bad"] = future
-        p.caller.writer.write(
-            b"PULL bad %b 0\r\n\r\n" % ",".join(f"{k}={v}" for k, v in asked.items()).encode()
+        deployment.caller.waiting[b"bad"] = future
+        deployment.caller.writer.write(
+            b"PULL bad %b 0\r\n\r\n" % ",".join(f"{k}={v}" for k, v in request_fields.items()).encode()
+        )
+        status, _, _ = await asyncio.wait_for(future, 2)
+        return (
+            status,
+            [v["why"] for event, v in deployment.events if event == "query"][0].split()[1],
+            await valid_request,
         )
-        word, _, _ = await asyncio.wait_for(future, 2)
-        return word, [v["why"] for event, v in p.lines if event == "query"][0].split()[1], await good
 
-    assert played(scene, tmp_path, delay_s=0.1, disk=False) == (
+    assert run_scenario(scenario, tmp_path, delay_s=0.1, disk=False) == (
         "failed",
         why + ":",
         ("data", "via_origin", True),
     )
 
 
-def test_kill_echo_idle_and_what_cannot_be_read(tmp_path):
-    async def scene(p):
-        reader, writer = await asyncio.open_connection(*p.address)
+def test_kill_echo_idle_close_and_unreadable_line(tmp_path):
+    async def scenario(deployment):
+        reader, writer = await asyncio.open_connection(*deployment.address)
         writer.write(
             b"ECHO t\r\nPULL a sort=page,asset=%b,slice=0,patience=900,parent=s-0 0\r\n\r\n" % X.encode()
         )
@@ -406,12 +458,13 @@
         second = await reader.readline()
         await reader.readline()
         idle = await asyncio.wait_for(reader.read(), 2)
-        reader, writer = await asyncio.open_connection(*p.address)
+        reader, writer = await asyncio.open_connection(*deployment.address)
         writer.write(b"PULL a b\r\n")
-        p.caller = await LineCaller(p.address).connect()  # the other one has been idle as well
-        return first, second, idle, await asyncio.wait_for(reader.read(), 2), await p.ask()
+        # the first connection was closed as idle too
+        deployment.caller = await LineCaller(deployment.address).connect()
+        return first, second, idle, await asyncio.wait_for(reader.read(), 2), await deployment.request()
 
-    assert played(scene, tmp_path, delay_s=0.05, disk=False) == (
+    assert run_scenario(scenario, tmp_path, delay_s=0.05, disk=False) == (
         b"t well - 0\r\n\r\n",
         b"u well - 0\r\n",
         b"",
@@ -420,26 +473,31 @@
     )
 
 
-def test_a_planned_end_answers_what_is_open(tmp_path):
-    async def scene(p):
-        asking = asyncio.ensure_future(p.ask(parent="s-0"))
+def test_stop_answers_open_requests_and_stores_their_fills(tmp_path):
+    async def scenario(deployment):
+        request = asyncio.ensure_future(deployment.request(parent="s-0"))
         await asyncio.sleep(0.03)
-        ending = asyncio.ensure_future(p.server.stop())
-        answered = await asking
-        await ending
-        await p.start()
-        return answered, p.server.store.disk.index.parts
+        stop = asyncio.ensure_future(deployment.server.stop())
+        answer = await request
+        await stop
+        await deployment.start()
+        return answer, deployment.server.store.disk.index.parts
 
-    assert played(scene, tmp_path, delay_s=0.1) == (("data", "via_origin", True), 1)
+    assert run_scenario(scenario, tmp_path, delay_s=0.1) == (("data", "via_origin", True), 1)
 
 
 @pytest.mark.parametrize("size", [1, 7, 4096])
-def test_commands_in_any_pieces(size):
+def test_commands_are_split_at_any_chunk_size(size):
     text = b"PULL a x=1 3\r\nabc\r\nKILL a\r\nECHO t\r\nPULL b - 0\r\n\r\n"
     commands = protocol.CommandSplitter()
-    got = [c for at in range(0, len(text), size) for c in commands.feed(text[at : at + size])]
-    assert got == [("pull", b"a", b"x=1", b"abc"), ("kill", b"a"), ("echo", b"t"), ("pull", b"b", b"-", b"")]
-    for bad in (
+    split = [c for start in range(0, len(text), size) for c in commands.feed(text[start : start + size])]
+    assert split == [
+        ("pull", b"a", b"x=1", b"abc"),
+        ("kill", b"a"),
+        ("echo", b"t"),
+        ("pull", b"b", b"-", b""),
+    ]
+    for invalid in (
         b"PULL a - 999999\r\n",
         b"PULL a - x\r\n",
         b"what\r\n",
@@ -448,4 +506,4 @@
         b"PULL a - 1\r\nabc\r\n",
     ):
         with pytest.raises(UnreadableError):
-            protocol.CommandSplitter().feed(bad)
+            protocol.CommandSplitter().feed(invalid)
--- a/tests/cache_server/test_kills.py
+++ b/tests/cache_server/test_kills.py
@@ -1,14 +1,14 @@
-"""Twenty kills of a box process under load with purges: what it serves after each start is byte-exact and current."""
+"""Tests that a cache server killed 20 times under load with purges serves only exact, current bytes."""
 
 import asyncio
 
 from benchmarks.store_kills import play
 
 
-def test_kills(tmp_path):
+def test_killed_server_serves_no_wrong_or_purged_bytes(tmp_path):
     figures = asyncio.run(play(tmp_path / "town", 20, 7, slowest_s=0.4))
-    bad = {
+    faults = {
         key: figures[key] for key in ("wrong_bytes", "purged_copies", "acknowledged_purges_lost", "faults")
     }
-    assert bad == dict.fromkeys(bad, 0)
+    assert faults == dict.fromkeys(faults, 0)
     assert figures["answers"] > 100 and figures["purges"] > 10 and figures["parts_found_mean"] > 1
