--- a/examples/ask.py
+++ b/examples/ask.py
@@ -1,4 +1,4 @@
-"""Asks the router of examples/config.json for one part of an object.
+"""Requests one part of an object from the router of examples/config.json.
 
 Usage: .venv/bin/python examples/ask.py OBJECT [PART]
 
@@ -17,11 +17,11 @@
 CONNECT_TIMEOUT_S = 5
 READ_BYTES = 64 * 1024
 BODY_FIELD = 1
-DECLARED_EXCEPTIONS = {1: "nacked", 2: "errored"}  # by their place in the result
+DECLARED_EXCEPTIONS = {1: "nacked", 2: "errored"}  # by their field id in the result
 
 
 def encode_request(object_key: str, part: str) -> bytes:
-    """Encode a call of `serve` that gives the router two seconds."""
+    """Encode a call of `serve` with a timeout of two seconds."""
     fields = {
         b"service": b"page",
         b"ref": os.urandom(8).hex().encode(),
@@ -34,7 +34,7 @@
 
 
 def read_reply(connection: socket.socket) -> bytes | None:
-    """Return the first frame that comes, or None at the end of the connection."""
+    """Return the first frame of the reply; None if the connection closes before it."""
     splitter = thrift.FrameSplitter()
     while data := connection.recv(READ_BYTES):
         frames = splitter.feed(data)
@@ -44,25 +44,25 @@
 
 
 def describe(reply: bytes) -> str:
-    """Return what a reply says, as a line of text."""
+    """Return a line of text that describes a reply."""
     reader = thrift.Reader(reply)
     header = thrift.read_message_header(reader)
-    _, place = next(reader.read_fields())
+    _, field_id = next(reader.read_fields())
     if header.message_type == thrift.EXCEPTION:
-        return "not taken: " + reader.read_string().decode()
-    if place in DECLARED_EXCEPTIONS:
-        return DECLARED_EXCEPTIONS[place]
+        return "rejected: " + reader.read_string().decode()
+    if field_id in DECLARED_EXCEPTIONS:
+        return DECLARED_EXCEPTIONS[field_id]
     body = thrift.read_arguments(reader, {BODY_FIELD: thrift.STRING})[BODY_FIELD]
     return "satisfied: " + body.decode()
 
 
 def main(object_key: str, part: str = "0") -> str:
-    """Ask the router and return what it answers."""
+    """Send the request and return a description of the reply."""
     with socket.create_connection(ROUTER, CONNECT_TIMEOUT_S) as connection:
         connection.sendall(encode_request(object_key, part))
         reply = read_reply(connection)
     if reply is None:
-        return "the connection ended without an answer"
+        return "the connection closed without an answer"
     return describe(reply)
 
 
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -2,7 +2,7 @@
 
 Usage: python examples/toy_server.py
 
-Each server keeps what it was asked for. A miss is filled, which takes 100 ms, where the router names a
+Each server keeps the parts that it has filled. A miss is filled, which takes 100 ms, if the request names a
 source.
 """
 
@@ -23,14 +23,14 @@
 
 
 class ToyServer:
-    """A server that keeps everything."""
+    """A server that keeps every part that it has filled."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.filled_at_ms: dict[Item, int] = {}
 
     async def serve(self, reader: StreamReader, writer: StreamWriter) -> None:
-        """Answer the lines of one connection."""
+        """Answer the requests of one connection."""
         while words := (await reader.readline()).decode().split():
             if words[0] == "ECHO":
                 writer.write(f"{words[1]} well - 0\r\n\r\n".encode())
@@ -41,7 +41,7 @@
                 writer.write(f"{request_id} ".encode() + answer)
 
     async def answer(self, fields: dict[str, str]) -> bytes:
-        """Return the answer to one request, without the id that it begins with."""
+        """Return the answer to one request without the leading request id."""
         item = (fields["asset"], fields["slice"])
         source = fields.get("parent")
         note = "hit"
@@ -50,20 +50,20 @@
             self.filled_at_ms[item] = int(time.time() * 1000)
             note = "filled"
         if item not in self.filled_at_ms:
-            self.report(item, "absent")
+            self.print_outcome(item, "absent")
             return b"absent - 0\r\n\r\n"
-        self.report(item, note + (f" from {source}" if note == "filled" else ""))
+        self.print_outcome(item, note + (f" from {source}" if note == "filled" else ""))
         body = f"part {item[1]} of {item[0]}, from {self.name}".encode()
         head = f"data n={note},digest=1,dated={self.filled_at_ms[item]} {len(body)}\r\n"
         return head.encode() + body + b"\r\n"
 
-    def report(self, item: Item, what: str) -> None:
-        """Print what became of a request."""
-        print(f"{self.name}: {item[0]}/{item[1]} {what}", flush=True)
+    def print_outcome(self, item: Item, outcome: str) -> None:
+        """Print the outcome of a request."""
+        print(f"{self.name}: {item[0]}/{item[1]} {outcome}", flush=True)
 
 
 async def serve_channel(reader: StreamReader, writer: StreamWriter) -> None:
-    """Answer polls of the command channel; there is never anything new."""
+    """Answer polls of the command channel; there are never new commands."""
     while words := (await reader.readuntil(b"\r\n\r\n")).decode().split():
         query = dict(pair.split("=") for pair in words[1].partition("?")[2].split("&"))
         await asyncio.sleep(int(query["block"]) / 1000)
@@ -71,12 +71,12 @@
         writer.write(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
 
 
-def until_closed(serve: Handler) -> Handler:
-    """Return a handler that ends quietly with its connection."""
+def until_closed(handler: Handler) -> Handler:
+    """Wrap a handler so that it returns without an error when its connection closes."""
 
     async def run(reader: StreamReader, writer: StreamWriter) -> None:
         try:
-            await serve(reader, writer)
+            await handler(reader, writer)
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
         finally:
