--- a/brookhinge/cli/__init__.py
+++ b/brookhinge/cli/__init__.py
@@ -74,13 +74,13 @@
     """
 
 
-def refuse(text: str, code: int = 2) -> NoReturn:
+def exit_with_error(text: str, code: int = 2) -> NoReturn:
     """Print one line on standard error and exit."""
     click.echo(f"brookhinge: {text}", err=True)
     sys.exit(code)
 
 
-def block_of(file: str, kind: str, name: str | None) -> tuple[OperatorSettings, Any]:
+def read_block(file: str, kind: str, name: str | None) -> tuple[OperatorSettings, Any]:
     """Read an operator's file and return its settings and the block of that kind and name.
 
     Without a name it is the first block of that kind. Exits if the file cannot be read or has no such block.
@@ -90,16 +90,16 @@
     try:
         settings = read_file(file)
     except OperatorError as error:
-        refuse(f"{file}: {error}")
+        exit_with_error(f"{file}: {error}")
     blocks = {"box": settings.box, "fleet": settings.fleet, "control": settings.control}[kind]
     if not blocks:
-        refuse(f"{file}: no block {kind}")
+        exit_with_error(f"{file}: no block {kind}")
     if name is not None and name not in blocks:
-        refuse(f'{file}: no block {kind} "{name}", expected one of ' + ", ".join(blocks))
+        exit_with_error(f'{file}: no block {kind} "{name}", expected one of ' + ", ".join(blocks))
     return settings, blocks[name] if name is not None else next(iter(blocks.values()))
 
 
-def table(rows: Sequence[Mapping[str, Any]], columns: list[str], as_json: bool) -> None:
+def print_table(rows: Sequence[Mapping[str, Any]], columns: list[str], as_json: bool) -> None:
     """Print rows as JSON or as aligned columns."""
     if as_json:
         import orjson
--- a/brookhinge/cli/agent.py
+++ b/brookhinge/cli/agent.py
@@ -6,7 +6,7 @@
 
 import click
 
-from brookhinge.cli import refuse
+from brookhinge.cli import exit_with_error
 
 if TYPE_CHECKING:
     from brookhinge.rollout.agent import Agent
@@ -38,12 +38,12 @@
     try:
         settings = read_plan_file(plan)
     except OperatorError as error:
-        refuse(f"{plan}: {error}")
+        exit_with_error(f"{plan}: {error}")
     if name not in settings.agents:
-        refuse(f'{plan}: no keeper "{name}", expected one of ' + ", ".join(settings.agents))
+        exit_with_error(f'{plan}: no keeper "{name}", expected one of ' + ", ".join(settings.agents))
     try:
         asyncio.run(_serve(Agent(settings, name, make_logger(name, "info").info)))
     except JournalError as error:
-        refuse(f"{settings.agents[name].folder}: {error}", 1)
+        exit_with_error(f"{settings.agents[name].folder}: {error}", 1)
     except OSError as error:
-        refuse(f"agent: {error.strerror}: {error.filename or 'one of the configured addresses'}", 1)
+        exit_with_error(f"agent: {error.strerror}: {error.filename or 'one of the configured addresses'}", 1)
--- a/brookhinge/cli/ask.py
+++ b/brookhinge/cli/ask.py
@@ -7,7 +7,7 @@
 
 import click
 
-from brookhinge.cli import refuse
+from brookhinge.cli import exit_with_error
 from brookhinge.cli.emulator import parse_address
 
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
     from brookhinge.client import Client
 
     if len(object) != OBJECT_DIGITS or set(object) - set("0123456789abcdef"):
-        refuse(f"OBJECT: expected 16 hex digits, got {object!r:.40}")
+        exit_with_error(f"OBJECT: expected 16 hex digits, got {object!r:.40}")
 
     async def run() -> Answer:
         async with Client(router, tries) as client:
--- a/brookhinge/cli/cache_server.py
+++ b/brookhinge/cli/cache_server.py
@@ -7,7 +7,7 @@
 
 import click
 
-from brookhinge.cli import refuse
+from brookhinge.cli import exit_with_error
 from brookhinge.operator import OperatorError, read_file, read_text
 
 if TYPE_CHECKING:
@@ -91,16 +91,16 @@
             server = {"listen": quote(listen), "channel": quote(channel)}
             operator = read_options(name, server, {"dir": quote(folder), **sizes})
     except OperatorError as error:
-        refuse(f"{file}: {error}" if file else str(error).partition(": ")[2])
+        exit_with_error(f"{file}: {error}" if file else str(error).partition(": ")[2])
     if name not in operator.box:
-        refuse(f'{file}: no block box "{name}"')
+        exit_with_error(f'{file}: no block box "{name}"')
     run(operator, name)
 
 
 def refuse_options(given: list[str]) -> None:
     """Exit if options were given that cannot be combined with --file."""
     if given:
-        refuse(f"--{given[0].replace('_', '-')}: cannot be combined with --file")
+        exit_with_error(f"--{given[0].replace('_', '-')}: cannot be combined with --file")
 
 
 def run(operator: "OperatorSettings", name: str) -> None:
@@ -113,4 +113,6 @@
         asyncio.run(serve(settings, make_logger(name, operator.log), operator.metrics))
     except OSError as error:
         host, port = settings.listen
-        refuse(f"listen: {host}:{port}: {error.strerror} (after {time.monotonic() - started_at:.1f} s)", 1)
+        exit_with_error(
+            f"listen: {host}:{port}: {error.strerror} (after {time.monotonic() - started_at:.1f} s)", 1
+        )
--- a/brookhinge/cli/check.py
+++ b/brookhinge/cli/check.py
@@ -2,7 +2,7 @@
 
 import click
 
-from brookhinge.cli import refuse, table
+from brookhinge.cli import exit_with_error, print_table
 from brookhinge.operator import OperatorError, read_file
 
 
@@ -14,7 +14,7 @@
     try:
         settings = read_file(file)
     except OperatorError as error:
-        refuse(f"{file}: {error}")
+        exit_with_error(f"{file}: {error}")
     rows = [
         _row("box", name, server.listen, server.store.dir or "memory alone")
         for name, server in settings.box.items()
@@ -26,7 +26,7 @@
     if settings.capacity:
         size = f"{settings.capacity.routers} routers at {len(settings.capacity.sites())} sites"
         rows.append(_row("capacity", size, None))
-    table(rows, ["block", "name", "listen", "store"], as_json)
+    print_table(rows, ["block", "name", "listen", "store"], as_json)
 
 
 def _row(kind: str, name: str, listen: tuple[str, int] | None, store: str = "") -> dict[str, str]:
--- a/brookhinge/cli/control.py
+++ b/brookhinge/cli/control.py
@@ -9,7 +9,7 @@
 
 import click
 
-from brookhinge.cli import block_of, refuse
+from brookhinge.cli import exit_with_error, read_block
 
 if TYPE_CHECKING:
     from structlog import BoundLogger
@@ -43,12 +43,12 @@
     """Run one control machine until SIGTERM."""
     from brookhinge.logs import make_logger
 
-    settings, block = block_of(file, "control", name)
+    settings, block = read_block(file, "control", name)
     try:
         asyncio.run(_run(name, settings.control, make_logger(name, settings.log)))
     except OSError as error:
         host, port = block.listen
-        refuse(f"listen: {host}:{port}: {error.strerror}", 1)
+        exit_with_error(f"listen: {host}:{port}: {error.strerror}", 1)
 
 
 @command.command("purge")
@@ -65,21 +65,21 @@
     from brookhinge.purgelog.submit import NotAppendedError, submit
 
     if (key is None) == (group is None):
-        refuse("expected either --object or --group")
+        exit_with_error("expected either --object or --group")
     if key is not None and not 0 < len(key) <= MAX_KEY_LENGTH:
-        refuse(f"--object: expected 1 to 64 characters, got {key!r:.80}")
-    _, block = block_of(file, "control", name)
+        exit_with_error(f"--object: expected 1 to 64 characters, got {key!r:.80}")
+    _, block = read_block(file, "control", name)
     try:
         elapsed_s, status = asyncio.run(submit(block, key or "", -1 if key else group, wait))
     except NotAppendedError as error:
-        refuse(f"{block.name}: {error}", 1)
+        exit_with_error(f"{block.name}: {error}", 1)
     for router, why in status.missing:
         click.echo(f"{router}: {why}")
     outcome = Outcome(status.outcome)
     if outcome is Outcome.LOST:
-        refuse(f"{block.name}: restarted before a majority stored the purge; submit it again", 1)
+        exit_with_error(f"{block.name}: restarted before a majority stored the purge; submit it again", 1)
     if outcome is Outcome.PENDING:
-        refuse(f"not in force everywhere after {elapsed_s:.2f} s", 1)
+        exit_with_error(f"not in force everywhere after {elapsed_s:.2f} s", 1)
     exceptions = "" if outcome is Outcome.IN_FORCE else " except those above, which use no copy older than it"
     click.echo(f"in force at every router after {elapsed_s:.2f} s{exceptions}")
     sys.exit(0)
--- a/brookhinge/cli/demo.py
+++ b/brookhinge/cli/demo.py
@@ -8,7 +8,7 @@
 
 import click
 
-from brookhinge.cli import refuse
+from brookhinge.cli import exit_with_error
 
 T = TypeVar("T")
 
@@ -86,6 +86,6 @@
     try:
         all_correct = asyncio.run(_play())
     except (OSError, RuntimeError) as error:
-        refuse(f"demo: {error}", 1)
+        exit_with_error(f"demo: {error}", 1)
     if not all_correct:
-        refuse("demo: an answer differs from what the origin serves", 1)
+        exit_with_error("demo: an answer differs from what the origin serves", 1)
--- a/brookhinge/cli/emulator.py
+++ b/brookhinge/cli/emulator.py
@@ -9,7 +9,7 @@
 
 import click
 
-from brookhinge.cli import refuse, table
+from brookhinge.cli import exit_with_error, print_table
 from brookhinge.operator.value_checks import address
 
 
@@ -91,7 +91,9 @@
                 hosts = json.load(file)
             hosts = [{**row, "host": row["host"], "dial": row["dial"]} for row in hosts]
         except (OSError, ValueError, KeyError, TypeError) as error:
-            refuse(f"--hosts {hosts_file}: expected a JSON list of servers with host and dial ({error})")
+            exit_with_error(
+                f"--hosts {hosts_file}: expected a JSON list of servers with host and dial ({error})"
+            )
 
     async def run() -> None:
         server = CommandChannel(hosts)
@@ -135,8 +137,8 @@
                 play(file.read(), folder, lambda line: click.echo(line, err=as_json))
             )
     except (OSError, UnicodeDecodeError, OperatorError) as error:
-        refuse(f"{script}: {error}")
-    table(rows, list(rows[0]), as_json)
+        exit_with_error(f"{script}: {error}")
+    print_table(rows, list(rows[0]), as_json)
     if not succeeded:
         sys.exit(1)
 
@@ -158,4 +160,4 @@
         with contextlib.suppress(KeyboardInterrupt):
             asyncio.run(run())
     except OSError as error:
-        refuse(f"--listen: {error.strerror}", 1)
+        exit_with_error(f"--listen: {error.strerror}", 1)
--- a/brookhinge/cli/explain.py
+++ b/brookhinge/cli/explain.py
@@ -4,7 +4,7 @@
 
 import click
 
-from brookhinge.cli import refuse
+from brookhinge.cli import exit_with_error
 
 
 def format_time(unix_s: float) -> str:
@@ -27,7 +27,7 @@
         with click.open_file(log, encoding="utf-8", errors="replace") as file:
             rows, unreadable = log_report.parse_log(file)
     except OSError as error:
-        refuse(f"{log}: expected a log that can be read ({error.strerror})")
+        exit_with_error(f"{log}: expected a log that can be read ({error.strerror})")
     episodes = log_report.find_episodes(rows)
     if as_json:
         import orjson
--- a/brookhinge/cli/fleet.py
+++ b/brookhinge/cli/fleet.py
@@ -6,7 +6,7 @@
 
 import click
 
-from brookhinge.cli import block_of, refuse, table
+from brookhinge.cli import exit_with_error, print_table, read_block
 
 if TYPE_CHECKING:
     from brookhinge.operator.schema import Fleet
@@ -24,7 +24,9 @@
     status = asyncio.run(query_status(block.listen, block.site, block.key, topic))
     if status is None:
         host, port = block.listen
-        refuse(f"{block.name}: no answer from {host}:{port}: it may be down or use another key or site", 1)
+        exit_with_error(
+            f"{block.name}: no answer from {host}:{port}: it may be down or use another key or site", 1
+        )
     return [dict(zip(columns, row, strict=False)) for row in status.rows], f"{status.digest:016x}"
 
 
@@ -43,13 +45,13 @@
 @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
 def show(file: str, router: str | None, as_json: bool) -> None:
     """Print the members of the fleet."""
-    block = block_of(file, "fleet", router)[1]
+    block = read_block(file, "fleet", router)[1]
     rows, digest = fetch_rows(block)
     if as_json:
-        table([{"router": block.name, "digest": digest, "members": rows}], [], True)
+        print_table([{"router": block.name, "digest": digest, "members": rows}], [], True)
         return
     click.echo(f"view of {block.name} (digest {digest}):")
-    table(rows, MEMBER_COLUMNS, False)
+    print_table(rows, MEMBER_COLUMNS, False)
 
 
 def add_topic_command(topic: str, name: str, columns: list[str], header: str, help_text: str) -> None:
@@ -70,14 +72,14 @@
     def show_topic(file: str, router: str | None, as_json: bool) -> None:
         from brookhinge.membership.messages import StatusTopic
 
-        block = block_of(file, "fleet", router)[1]
+        block = read_block(file, "fleet", router)[1]
         rows, _ = fetch_rows(block, StatusTopic[topic], columns)
         if as_json:
-            table([{"router": block.name, name: rows}], [], True)
+            print_table([{"router": block.name, name: rows}], [], True)
             return
         click.echo(header.format(name=block.name, count=len(rows)))
         if rows:
-            table(rows, columns, False)
+            print_table(rows, columns, False)
 
 
 add_topic_command(
@@ -117,7 +119,7 @@
     from rich.live import Live
     from rich.table import Table
 
-    block = block_of(file, "fleet", router)[1]
+    block = read_block(file, "fleet", router)[1]
     rounds_done = 0
 
     def render_view() -> Table:
--- a/brookhinge/cli/rollout.py
+++ b/brookhinge/cli/rollout.py
@@ -8,7 +8,7 @@
 
 import click
 
-from brookhinge.cli import refuse, table
+from brookhinge.cli import exit_with_error, print_table
 
 if TYPE_CHECKING:
     from brookhinge.rollout.plan import Plan
@@ -27,10 +27,10 @@
     try:
         return read_plan_file(plan)
     except OperatorError as error:
-        refuse(f"{plan}: {error}")
+        exit_with_error(f"{plan}: {error}")
 
 
-def _journal_of(plan: str, journal: str | None) -> str:
+def _journal_path(plan: str, journal: str | None) -> str:
     return journal or f"{plan}.roll"
 
 
@@ -51,7 +51,7 @@
         {"stage": number, "routers": len(stage), "names": " ".join(stage)}
         for number, stage in enumerate(stages_of(settings), start=1)
     ]
-    table(rows, ["stage", "routers", "names"], False)
+    print_table(rows, ["stage", "routers", "names"], False)
     routers = [name for name, _ in settings.routers]
     for version in (settings.old_version, settings.new_version):
         why = missing_on_disk(settings.versions[version], routers)
@@ -74,7 +74,7 @@
     from brookhinge.rollout.journal import JournalError
 
     settings = _read(plan)
-    path = _journal_of(plan, journal)
+    path = _journal_path(plan, journal)
     started_at = time.monotonic()
 
     def log(event: str, **values: Any) -> None:  # noqa: ANN401 - JSON values
@@ -94,9 +94,9 @@
     try:
         outcome = asyncio.run(run())
     except JournalError as error:
-        refuse(f"{path}: {error}", 1)
+        exit_with_error(f"{path}: {error}", 1)
     except OSError as error:
-        refuse(f"{path}: {error.strerror}", 1)
+        exit_with_error(f"{path}: {error.strerror}", 1)
     sys.exit(EXIT_INTERRUPTED if outcome is None else EXIT_CODES[outcome])
 
 
@@ -108,12 +108,12 @@
     """Show the progress of a rollout with a bar of the changed routers."""
     from brookhinge.rollout.coordinator_service import read_status
 
-    path = _journal_of(plan, journal)
+    path = _journal_path(plan, journal)
     values = read_status(path)
     if values is None:
-        refuse(f"{path}: no rollout has started on this journal", 1)
+        exit_with_error(f"{path}: no rollout has started on this journal", 1)
     if as_json:
-        table([values], [], True)
+        print_table([values], [], True)
         return
     width = BAR_WIDTH * values["new"] // max(1, values["routers"])
     bar = "#" * width + "." * (BAR_WIDTH - width)
@@ -127,7 +127,7 @@
             f"verdict: {verdict['word']} ({verdict['figure']} {verdict['value']:+.4g} "
             f"after {verdict['windows']} windows)"
         )
-    table(values["members"], ["router", "version", "should", "state", "crashes"], False)
+    print_table(values["members"], ["router", "version", "should", "state", "crashes"], False)
 
 
 def _add_request(name: str, help_text: str) -> None:
@@ -141,11 +141,11 @@
         from brookhinge.rollout.messages import OperatorRequest
 
         _read(plan)
-        path = _journal_of(plan, journal)
+        path = _journal_path(plan, journal)
         try:
             leave_request(path, OperatorRequest(name))
         except OSError as error:
-            refuse(f"{path}: {error.strerror}", 1)
+            exit_with_error(f"{path}: {error.strerror}", 1)
         click.echo(
             f"{name}: recorded; the coordinator of this journal, or the next one started on it, acts on it"
         )
--- a/brookhinge/cli/store.py
+++ b/brookhinge/cli/store.py
@@ -5,7 +5,7 @@
 
 import click
 
-from brookhinge.cli import refuse, table
+from brookhinge.cli import exit_with_error, print_table
 
 if TYPE_CHECKING:
     from brookhinge.store import DiskTier
@@ -35,7 +35,7 @@
     from brookhinge.store.folder_layout import STORE_FILE
 
     if not os.path.isfile(os.path.join(folder, STORE_FILE)):
-        refuse(f"{folder}: expected a folder with a store in it")
+        exit_with_error(f"{folder}: expected a folder with a store in it")
     sizes, damaged_headers = _inspect_segment_files(folder)
     ledger_unreadable_bytes = []
 
@@ -49,7 +49,7 @@
     try:
         tier.open()
     except (StoreUnusableError, OSError) as error:
-        refuse(f"{folder}: {getattr(error, 'strerror', None) or error}", 1)
+        exit_with_error(f"{folder}: {getattr(error, 'strerror', None) or error}", 1)
     return OpenedStore(tier, damaged_headers, ledger_unreadable_bytes)
 
 
@@ -99,7 +99,7 @@
     parts = tier.index.parts
     purges = len(tier.ledger.objects) + len(tier.ledger.groups)
     tier.abandon()
-    table(rows, ["segment", "bytes", "alive", "share"], as_json)
+    print_table(rows, ["segment", "bytes", "alive", "share"], as_json)
     if not as_json:
         click.echo(f"{parts} parts, {purges} purges")
 
@@ -121,7 +121,7 @@
     tier.abandon()
     headers = [DamagedPlace(name, 0, why) for name, why in store.damaged_headers]
     rows = [place._asdict() for place in [*headers, *report.damaged]]
-    table(rows, ["file", "place", "why"], as_json)
+    print_table(rows, ["file", "place", "why"], as_json)
     if not as_json:
         click.echo(f"{report.whole_records} records intact, {len(rows)} damaged places")
     raise SystemExit(1 if rows else 0)
@@ -146,5 +146,5 @@
         tier.close()
     except OSError as error:
         tier.abandon()
-        refuse(f"{folder}: {error.strerror}", 1)
+        exit_with_error(f"{folder}: {error.strerror}", 1)
     click.echo(f"{bytes_before} bytes before, {bytes_after} after")
