--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -10,7 +10,7 @@
 import sys
 import time
 
-from helpers import LocalDeployment, Machine
+from helpers import FakeCacheServer, LocalDeployment
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -30,7 +30,7 @@
 
 
 def cache_servers(**behavior):
-    return {server: Machine(**behavior) for server in ("s-21", "s-22", "s-23")}
+    return {server: FakeCacheServer(**behavior) for server in ("s-21", "s-22", "s-23")}
 
 
 def test_fetch_returns_the_bytes_or_the_error_of_the_router(tmp_path):
@@ -65,7 +65,7 @@
             answer = await client.fetch(OBJECT_KEY, patience_s=0.6)
         return answer.kind in ("refused", "failed"), answer.tries > 1, time.monotonic() - started_at < 0.9
 
-    assert run_scenario(scenario, tmp_path, cache_servers(act="failed")) == (True, True, True)
+    assert run_scenario(scenario, tmp_path, cache_servers(behavior="failed")) == (True, True, True)
 
 
 def test_failed_request_is_not_retried_if_not_replayable(tmp_path):
@@ -73,7 +73,7 @@
         async with Client(deployment.address, replayable=False) as client:
             return (await client.fetch(OBJECT_KEY, track="order", patience_s=0.5)).tries
 
-    assert run_scenario(scenario, tmp_path, cache_servers(act="failed")) == 1
+    assert run_scenario(scenario, tmp_path, cache_servers(behavior="failed")) == 1
 
 
 def test_cancel_reaches_the_router_and_a_closed_connection_returns_gone(tmp_path):
@@ -90,7 +90,7 @@
                 deployment.service.client_connections.drop(connection, CloseReason.STOPPING)
             return cancelled_count, (await fetching).kind
 
-    assert run_scenario(scenario, tmp_path, cache_servers(act="silent")) == (1, "gone")
+    assert run_scenario(scenario, tmp_path, cache_servers(behavior="silent")) == (1, "gone")
 
 
 @given(
--- a/tests/crossings/test_windows.py
+++ b/tests/crossings/test_windows.py
@@ -7,7 +7,7 @@
 from brookhinge.decisions.messages import ObjectsPurged
 from brookhinge.decisions.settings import DeduplicationScope, Idempotency
 from brookhinge.startup import Bounds
-from tests.helpers import Bench, request_class
+from tests.helpers import RouterHarness, request_class
 
 MAY_HAVE_RUN, NEVER_RAN = ("timeout", "broken", "errored"), ("full", "unreachable", "miss", "moot", "unsent")
 
@@ -20,7 +20,7 @@
     """
     rng, bench, attempt_times, first_run = (
         random.Random(seed),
-        Bench(
+        RouterHarness(
             request_classes=[
                 request_class(
                     idempotency=idempotency,
@@ -33,7 +33,7 @@
         [],
     )
     bench.router.retry_budget.tokens = 20.0
-    lines = bench.ask("k", left=4.0)
+    lines = bench.ask("k", remaining_s=4.0)
     while any(" push " in line for line in lines):
         attempt_times.append(bench.now)
         bench.router.retry_budget.tokens = 20.0
@@ -41,7 +41,7 @@
         at = bench.now + rng.choice((0.01, 0.1, 0.3, 0.5))
         if result in MAY_HAVE_RUN and not first_run:
             first_run.append(attempt_times[-1])
-        lines = bench.end(bench.next, result, at=at)
+        lines = bench.end(bench.last_request_id, result, at=at)
         if at > 4.0:
             break
     return attempt_times, first_run, lines
@@ -71,26 +71,26 @@
 
     The copy that was kept was served 52 s too old.
     """
-    bench = Bench(request_classes=[request_class(timeout_s=8.1)], machine=Bounds(192, 256, 1e6, 1e7))
-    bench.ask("k", left=8.1, at=1.0)
+    bench = RouterHarness(request_classes=[request_class(timeout_s=8.1)], machine=Bounds(192, 256, 1e6, 1e7))
+    bench.ask("k", remaining_s=8.1, at=1.0)
     bench.end(1, "miss", at=1.01)
     bench.call(ObjectsPurged(0, 0.0, ""), at=1.1)
-    bench.end(1, "satisfied", took=7.9, at=8.9, copy=(-50.0, 10_000))
+    bench.end(1, "satisfied", took_s=7.9, at=8.9, copy=(-50.0, 10_000))
     bench.call(ObjectsPurged(5, 0.0, ""), at=9.0)  # purge of another group; the first purge is still known
     assert bench.trace.kept == set()
-    bench.ask("k", left=8.1, at=9.1)
+    bench.ask("k", remaining_s=8.1, at=9.1)
     bench.end(2, "miss", at=9.11)
-    bench.end(2, "satisfied", took=0.3, at=9.5, copy=(9.2, 10_000))
+    bench.end(2, "satisfied", took_s=0.3, at=9.5, copy=(9.2, 10_000))
     assert len(bench.trace.kept) == 1
 
 
 def test_purge_after_the_object_state_was_evicted_applies_to_an_open_request():
     """The table evicts the object for lack of memory, but the open request still refers to its state."""
-    bench = Bench(request_classes=[request_class(timeout_s=8.1)], machine=Bounds(192, 256, 1e6, 1e7))
-    bench.ask("k", left=8.1, at=1.0)
+    bench = RouterHarness(request_classes=[request_class(timeout_s=8.1)], machine=Bounds(192, 256, 1e6, 1e7))
+    bench.ask("k", remaining_s=8.1, at=1.0)
     bench.end(1, "miss", at=1.01)
     bench.router.objects.states.clear()
     bench.call(ObjectsPurged(0, 0.0, ""), at=1.1)
     bench.call(ObjectsPurged(5, 0.0, ""), at=8.8)
-    bench.end(1, "satisfied", took=7.9, at=8.9, copy=(-50.0, 10_000))
+    bench.end(1, "satisfied", took_s=7.9, at=8.9, copy=(-50.0, 10_000))
     assert bench.trace.kept == set()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,5 +1,4 @@
-"""A small site, a writer that prints each decision as one line, short ways to call a router, and stand-ins of what
-the router on sockets talks to."""
+"""Shared test helpers: harnesses that drive a router without sockets, and fakes of the peers of a router on sockets."""
 
 import asyncio
 import json
@@ -47,8 +46,8 @@
 ORIGIN, PARENTS, CACHES = 1, (11, 12), (21, 22, 23, 24)
 
 
-def request_class(name="page", idempotency=Idempotency.REPEATABLE, **other):
-    base = dict(
+def request_class(name="page", idempotency=Idempotency.REPEATABLE, **overrides):
+    defaults = dict(
         name=name,
         idempotency=idempotency,
         deduplication_scope=DeduplicationScope.ZONE,
@@ -63,31 +62,33 @@
         stale_share=0.5,
         uncacheable=False,
     )
-    return RequestClass(**{**base, **other})
+    return RequestClass(**{**defaults, **overrides})
 
 
-class Trace:
-    """The sink: keeps what was decided as printed lines."""
+class PrintingSink:
+    """A decision sink that records each decision as a line of text."""
 
     def __init__(self):
         self.lines, self.kept = [], set()
 
-    def forward(self, query, attempt):
-        cache, _, source, rank, age_s, _, held_only, renew = attempt
-        marks = "".join(" " + n for n, on in (("held", held_only), ("renew", renew)) if on)
-        age = f" age<{age_s:.3f}" if age_s else ""
-        self.lines.append(f"q{query} push {cache} from {source} rank {rank}{age}{marks}")
+    def forward(self, request_id, attempt):
+        cache, _, source, rank, max_age_s, _, cached_only, revalidates = attempt
+        marks = "".join(
+            " " + mark for mark, is_set in (("held", cached_only), ("renew", revalidates)) if is_set
+        )
+        age = f" age<{max_age_s:.3f}" if max_age_s else ""
+        self.lines.append(f"q{request_id} push {cache} from {source} rank {rank}{age}{marks}")
 
-    def reject(self, query, retry_after_s, reason=None):
-        self.lines.append(f"q{query} nack")
+    def reject(self, request_id, retry_after_s, reason=None):
+        self.lines.append(f"q{request_id} nack")
 
-    def fail(self, query, reason=None):
-        self.lines.append(f"q{query} error")
+    def fail(self, request_id, reason=None):
+        self.lines.append(f"q{request_id} error")
 
-    def respond_from_copy(self, query, name):
-        self.lines.append(f"q{query} own")
+    def respond_from_copy(self, request_id, name):
+        self.lines.append(f"q{request_id} own")
 
-    def keep_copy(self, query, name):
+    def keep_copy(self, request_id, name):
         self.kept.add(name)
 
     def drop_copy(self, name):
@@ -97,8 +98,8 @@
         self.lines.append(f"say {text}")
 
 
-class Bench:
-    """A router of one location with four caches, two parents and an origin, and a clock."""
+class RouterHarness:
+    """Drives the decisions of a router in a location with four caches, two parents and an origin, under a test clock."""
 
     def __init__(
         self,
@@ -109,22 +110,24 @@
         direct=False,
         weight=4.0,
         routers=1,
-        tells="hit",
+        note_detail="hit",
         seed=7,
-        **other,
+        **router_options,
     ):
-        self.trace, self.now, self.next = Trace(), 0.0, 0
+        self.trace, self.now, self.last_request_id = PrintingSink(), 0.0, 0
         self.router = Router(
             seed,
             request_classes=request_classes or [request_class()],
             location=Location(1, routers, routers, 0, weight > 0),
             limits=RouterLimits(6, False, True, 1.0),
-            fill_policy=FillPolicy(SiblingFills(siblings), direct, True, NoteDetail(tells), 1000.0, 0.0),
+            fill_policy=FillPolicy(
+                SiblingFills(siblings), direct, True, NoteDetail(note_detail), 1000.0, 0.0
+            ),
             cache_slow_start=SlowStart(0.2, 10.0, 2.0, 1.0),
             parent_slow_start=SlowStart(0.1, 10.0, 2.0, 1.0),
             purge_settled_s=6.0,
             server_kinds=("parent", "origin"),
-            **other,
+            **router_options,
         )
         self.router.retry_budget.tokens = 10.0
         rows = [self.row(ORIGIN, kind="origin", zone=0)] + [
@@ -136,39 +139,42 @@
         return Endpoint(server, health, weight, born, 0, kind, zone)
 
     def call(self, message, at=None):
-        """One round with one message; the lines it printed."""
+        """Processes one message in a round of its own; returns the lines that it added."""
         self.now = self.now + 0.01 if at is None else at
         before = len(self.trace.lines)
         self.router.process(self.now, [message], self.trace)
         return self.trace.lines[before:]
 
-    def ask(self, key, part=0, group=0, request_class=0, left=3.0, size=100.0, at=None):
-        self.next += 1
-        request = RequestArrived(self.next, request_class, key, part, group, size, False, left)
+    def ask(self, key, part=0, group=0, request_class=0, remaining_s=3.0, size=100.0, at=None):
+        self.last_request_id += 1
+        request = RequestArrived(
+            self.last_request_id, request_class, key, part, group, size, False, remaining_s
+        )
         return self.call(request, at=at)
 
-    def end(self, query, result, took=0.1, note=0, over=None, at=None, copy=None):
-        """Ends the push that is out for a query."""
-        q = self.router.requests[query]
-        server = self.router.endpoints.ids[q.server]
-        over = result == "satisfied" if over is None else over
+    def end(self, request_id, result, took_s=0.1, note=0, is_final=None, at=None, copy=None):
+        """Ends the open attempt of a request."""
+        request = self.router.requests[request_id]
+        server = self.router.endpoints.ids[request.server]
+        is_final = result == "satisfied" if is_final is None else is_final
         copy = copy and StoredCopy(*copy)
-        return self.call(AttemptEnded(query, server, result, took, over, note, 0.0, copy), at=at)
+        return self.call(AttemptEnded(request_id, server, result, took_s, is_final, note, 0.0, copy), at=at)
 
-    def serve(self, key, note=2, **ask):
-        """A query that is satisfied at once, after a miss if it was looked for first; what it printed."""
-        lines = self.ask(key, **ask)
+    def serve(self, key, note=2, **request_fields):
+        """Satisfies a request at once, after a miss if it was a lookup; returns the lines that it added."""
+        lines = self.ask(key, **request_fields)
         if (
             note > 1
             and lines
-            and self.router.requests[self.next].source == self.router.requests[self.next].server
+            and self.router.requests[self.last_request_id].source
+            == self.router.requests[self.last_request_id].server
         ):
-            lines += self.end(self.next, "miss")
-        self.end(self.next, "satisfied", note=note)
+            lines += self.end(self.last_request_id, "miss")
+        self.end(self.last_request_id, "satisfied", note=note)
         return lines
 
 
-# the router on sockets: stand-ins of what it talks to, written from their wires
+# fakes of the peers of a router on sockets, written from their wire formats
 
 SERVERS = {"s-01": "origin", "s-11": "parent", "s-12": "parent", "s-21": "box", "s-22": "box", "s-23": "box"}
 
@@ -190,8 +196,8 @@
     }
 
 
-def host(server, port=9, **other):
-    """A server as the command channel lists it."""
+def host(server, port=9, **fields):
+    """Returns a server's entry in the endpoint list of the command channel."""
     kind = SERVERS[server]
     return {
         "host": server,
@@ -202,18 +208,18 @@
         "health": "up",
         "share": 4,
         "born_ms": 0,
-        **other,
+        **fields,
     }
 
 
-def listed(cursor, hosts, whole=True):
+def endpoint_list_command(cursor, hosts, whole=True):
     return {"cursor": cursor, "nodes": {"seq": cursor, "whole": whole, "hosts": hosts}}
 
 
-ALWAYS = {}  # keys of every configuration: tests/overload plays the services' tests with `storm` on
+EXTRA_CONFIGURATION = {}  # keys added to every configuration: tests/overload runs test_service.py with `storm` on
 
 
-def configuration(ports=None, channel=9, **other):
+def configuration(ports=None, channel=9, **values):
     hosts = [host(server, (ports or {}).get(server, 9)) for server in SERVERS]
     return {
         "name": "n1",
@@ -221,22 +227,22 @@
         "seed": "8c1f",
         "channel": f"127.0.0.1:{channel}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"cursor": 3, "cmds": [listed(3, hosts)]},
+        "known": {"cursor": 3, "cmds": [endpoint_list_command(3, hosts)]},
         "settings": settings(),
-        **ALWAYS,
-        **other,
+        **EXTRA_CONFIGURATION,
+        **values,
     }
 
 
-def read(values, folder):
-    """The site of a configuration, as the program would read it."""
+def load_site(values, folder):
+    """Loads the site from a configuration file, as the program does."""
     path = folder / "config.json"
     path.write_text(values if isinstance(values, str) else json.dumps(values))
     return read_site({"BALANCER_CONFIG": str(path)})
 
 
-# The words of printed effects.
-PRINTED_AS = {
+# The word that stands for each effect in the lines of `StateHarness`.
+EFFECT_WORDS = {
     SendAttempt: "pull",
     CancelAttempt: "kill",
     RetireServer: "retire",
@@ -251,30 +257,30 @@
 }
 
 
-class Desk:
-    """A router's state with its decisions, called by events; effects come back as printed lines."""
+class StateHarness:
+    """Drives a router's state and decisions by events; effects are returned as lines of text."""
 
-    def __init__(self, folder, **other):
-        site = read(configuration(**other), folder)
+    def __init__(self, folder, **configuration_values):
+        site = load_site(configuration(**configuration_values), folder)
         self.router = Router(site.seed, machine=site.bounds, **site.decisions._asdict())
         self.state = RouterState(
             self.router, [t.name.encode() for t in site.decisions.request_classes], site.zones
         )
-        self.now, self.asked = 0.0, 0
-        self.hear(*read_commands(site.initial_commands, 0.0)[1])
+        self.now, self.request_count = 0.0, 0
+        self.process(*read_commands(site.initial_commands, 0.0)[1])
 
-    def hear(self, *posted, at=None):
+    def process(self, *posted_events, at=None):
         self.now = self.now + 0.01 if at is None else at
-        return [self.printed(effect) for effect in self.state.reduce(self.now, posted)]
+        return [self.format_effect(effect) for effect in self.state.reduce(self.now, posted_events)]
 
     def ask(self, key=b"aa", kind=b"page", name=None, client=1, number=None, at=None, allow=1.0, tag=None):
-        self.asked += 1
-        came = self.now + 0.01 if at is None else at
-        return self.hear(
+        self.request_count += 1
+        received_at = self.now + 0.01 if at is None else at
+        return self.process(
             events.RequestReceived(
                 client,
-                number or self.asked,
-                name or b"r%d" % self.asked,
+                number or self.request_count,
+                name or b"r%d" % self.request_count,
                 kind,
                 key,
                 b"0",
@@ -284,24 +290,26 @@
                 allow,
                 tag,
                 b"",
-                came,
+                received_at,
             ),
             at=at,
         )
 
-    def end(self, query, push, result, body=b"", same=False, at=None, **copy):
-        return self.hear(
-            events.AttemptEnded(query, push, result, 2, 0.0, None, body, same, self.now, *copy.values()),
+    def end(self, request_id, attempt, result, body=b"", unchanged=False, at=None, **copy):
+        return self.process(
+            events.AttemptEnded(
+                request_id, attempt, result, 2, 0.0, None, body, unchanged, self.now, *copy.values()
+            ),
             at=at,
         )
 
-    def printed(self, effect):
-        word = PRINTED_AS[type(effect)]
+    def format_effect(self, effect):
+        word = EFFECT_WORDS[type(effect)]
         if isinstance(effect, SendAttempt):
-            left = effect.deadline - self.now
+            remaining_s = effect.deadline - self.now
             return (
                 f"{word} q{effect.request_id}.{effect.attempt} {effect.client_request_id.decode()} {effect.server.server} "
-                f"from {effect.fill_from} rank {effect.retention} for {left:.3f}"
+                f"from {effect.fill_from} rank {effect.retention} for {remaining_s:.3f}"
             )
         if isinstance(effect, CancelAttempt):
             return f"{word} q{effect.request_id}.{effect.attempt}"
@@ -310,13 +318,21 @@
         return " ".join([word, *(str(v) for v in effect)])
 
 
-class Machine:
-    """A cache server: answers PULLs as `act` says: a word of the wire, raw bytes, 'silent', 'reset', 'half' or
-    'garbage'."""
-
-    def __init__(self, act="data", delay=0.0, body=b"bytes of the object"):
-        self.act, self.delay, self.body, self.seen, self.made, self.writers, self.stuck = (
-            act,
+class FakeCacheServer:
+    """A cache server that answers each PULL according to `behavior`: a result word of the wire, raw bytes, 'silent',
+    'reset', 'half' or 'garbage', or a function that returns one of these."""
+
+    def __init__(self, behavior="data", delay=0.0, body=b"bytes of the object"):
+        (
+            self.behavior,
+            self.delay,
+            self.body,
+            self.received_lines,
+            self.connections_accepted,
+            self.writers,
+            self.stalled_writers,
+        ) = (
+            behavior,
             delay,
             body,
             [],
@@ -331,53 +347,53 @@
         return self
 
     async def stop(self):
-        """The process dies: connections are reset, new ones refused."""
+        """Simulates a crash: connections are reset, new ones refused."""
         self.server.close()
         for writer in self.writers:
             writer.transport.abort()
         await asyncio.sleep(0)
 
     async def serve(self, reader, writer):
-        self.made += 1
+        self.connections_accepted += 1
         self.writers.append(writer)
         try:
             while line := (await reader.readline()).decode().split():
-                self.seen.append(" ".join(line[:2]))
+                self.received_lines.append(" ".join(line[:2]))
                 if line[0] == "PULL":
                     await reader.readexactly(int(line[3]) + 2)
                     asyncio.ensure_future(self.answer(writer, line))
-                elif line[0] == "ECHO" and self.act != "silent":
+                elif line[0] == "ECHO" and self.behavior != "silent":
                     writer.write(f"{line[1]} well - 0\r\n\r\n".encode())
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
 
     async def answer(self, writer, line):
-        act = self.act(line) if callable(self.act) else self.act
+        behavior = self.behavior(line) if callable(self.behavior) else self.behavior
         await asyncio.sleep(self.delay)
-        if writer in self.stuck:
+        if writer in self.stalled_writers:
             return
-        if act == "reset":
+        if behavior == "reset":
             writer.transport.abort()
-        elif isinstance(act, bytes):
-            writer.write(act.replace(b"ID", line[1].encode()))
-        elif act == "half":
-            self.stuck.append(writer)
+        elif isinstance(behavior, bytes):
+            writer.write(behavior.replace(b"ID", line[1].encode()))
+        elif behavior == "half":
+            self.stalled_writers.append(writer)
             writer.write(b"%b data - 90\r\nhalf of it" % line[1].encode())
-        elif act == "garbage":
+        elif behavior == "garbage":
             writer.write(b"what is this\r\n")
-        elif act != "silent":
-            body = self.body if act == "data" else b""
+        elif behavior != "silent":
+            body = self.body if behavior == "data" else b""
             writer.write(
                 b"%b %b n=filled,l=util:0.5;x0:0.1 %d\r\n%b\r\n"
-                % (line[1].encode(), act.encode(), len(body), body)
+                % (line[1].encode(), behavior.encode(), len(body), body)
             )
 
 
-class Commands:
-    """The command channel: each poll is answered by the next of `answers` (raw bytes), then kept waiting."""
+class FakeCommandChannel:
+    """A command channel that answers each poll with the next of `responses` (raw bytes) and waits when there is none."""
 
-    def __init__(self, *answers):
-        self.answers, self.polls = list(answers), []
+    def __init__(self, *responses):
+        self.responses, self.polls = list(responses), []
 
     async def start(self):
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -388,11 +404,11 @@
         try:
             while line := (await reader.readuntil(b"\r\n\r\n")).decode():
                 self.polls.append(line.split()[1])
-                while not self.answers:
+                while not self.responses:
                     await asyncio.sleep(0.01)
-                answer = self.answers.pop(0)
-                writer.write(answer)
-                if not answer:
+                response = self.responses.pop(0)
+                writer.write(response)
+                if not response:
                     return writer.transport.abort()
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
@@ -403,25 +419,25 @@
         return b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status.encode(), len(body), body)
 
 
-class Caller:
-    """A client: sends calls, prints what comes back under their sequence numbers."""
+class ThriftClient:
+    """A client that sends Thrift calls and returns the responses as text with their sequence numbers."""
 
     def __init__(self, reader, writer):
-        self.reader, self.writer, self.number = reader, writer, 0
+        self.reader, self.writer, self.sequence_number = reader, writer, 0
 
     @classmethod
     async def connect(cls, address):
         return cls(*await asyncio.open_connection(*address))
 
-    def call(self, method, *args, kind=thrift.CALL):
-        self.number += 1
-        self.writer.write(thrift.encode_message(method, kind, self.number, *args, b"\0"))
-        return self.number
+    def call(self, method, *args, message_type=thrift.CALL):
+        self.sequence_number += 1
+        self.writer.write(thrift.encode_message(method, message_type, self.sequence_number, *args, b"\0"))
+        return self.sequence_number
 
-    def ask(self, name, **fields):
+    def ask(self, request_id, **fields):
         values = {
             "service": "page",
-            "ref": f"{name:016x}",
+            "ref": f"{request_id:016x}",
             "allow": "2900",
             "lookup": "ab" * 8,
             "piece": "0",
@@ -429,41 +445,44 @@
             "room": "100.0",
             **fields,
         }
-        told = {k.encode(): v.encode() for k, v in values.items() if v is not None}
-        return self.call(b"serve", thrift.FIELD_HEADER.pack(thrift.MAP, 1), thrift.encode_string_map(told))
+        encoded = {k.encode(): v.encode() for k, v in values.items() if v is not None}
+        return self.call(b"serve", thrift.FIELD_HEADER.pack(thrift.MAP, 1), thrift.encode_string_map(encoded))
 
     def forget(self, number):
         self.call(
-            b"forget", thrift.FIELD_HEADER.pack(thrift.I32, 1), thrift.INT32.pack(number), kind=thrift.ONEWAY
+            b"forget",
+            thrift.FIELD_HEADER.pack(thrift.I32, 1),
+            thrift.INT32.pack(number),
+            message_type=thrift.ONEWAY,
         )
 
-    async def hear(self):
-        """One answer as (sequence number, text), or None at the end of the connection."""
+    async def receive(self):
+        """Returns the next response as (sequence number, text), or None at the end of the connection."""
         try:
             (size,) = thrift.INT32.unpack(await self.reader.readexactly(4))
             reader = thrift.Reader(await self.reader.readexactly(size))
         except (ConnectionError, asyncio.IncompleteReadError):
             return None
-        _, kind, number = thrift.read_message_header(reader)
-        ((_, place),) = [next(reader.read_fields())]
-        if kind == thrift.EXCEPTION:
+        _, message_type, number = thrift.read_message_header(reader)
+        ((_, field_id),) = [next(reader.read_fields())]
+        if message_type == thrift.EXCEPTION:
             return number, "exception " + reader.read_string().decode()
-        if place:
-            return number, {1: "nack", 2: "error"}[place]
+        if field_id:
+            return number, {1: "nack", 2: "error"}[field_id]
         args = thrift.read_arguments(reader, {1: thrift.STRING, 2: thrift.MAP})
-        same = " unchanged" if args[2].get(b"unchanged") == b"1" else ""
-        return number, f"satisfied {len(args[1])}{same}" if args[
+        suffix = " unchanged" if args[2].get(b"unchanged") == b"1" else ""
+        return number, f"satisfied {len(args[1])}{suffix}" if args[
             1
-        ] or same else f"well {bool(reader.frame[-3])}"
+        ] or suffix else f"well {bool(reader.frame[-3])}"
 
 
 class LocalDeployment:
-    """A service among its stand-ins, for `async with`."""
+    """A router service with fakes of all its peers, for use with `async with`."""
 
-    def __init__(self, folder, machines=None, commands=None, **other):
-        self.folder, self.other, self.lines = folder, other, []
-        self.machines = {server: (machines or {}).get(server) or Machine() for server in SERVERS}
-        self.commands = commands or Commands()
+    def __init__(self, folder, machines=None, commands=None, **configuration_values):
+        self.folder, self.configuration_values, self.lines = folder, configuration_values, []
+        self.machines = {server: (machines or {}).get(server) or FakeCacheServer() for server in SERVERS}
+        self.commands = commands or FakeCommandChannel()
 
     def log(self, event, **values):
         self.lines.append(" ".join([event, *(str(v) for v in values.values())]))
@@ -473,13 +492,13 @@
             await machine.start()
         await self.commands.start()
         ports = {server: machine.port for server, machine in self.machines.items()}
-        self.values = configuration(ports, self.commands.port, **self.other)
-        self.service = Service(read(self.values, self.folder), self.log)
+        self.values = configuration(ports, self.commands.port, **self.configuration_values)
+        self.service = Service(load_site(self.values, self.folder), self.log)
         self.task = asyncio.ensure_future(self.service.run())
         while self.service.lifecycle.phase is Phase.STARTING:
             await asyncio.sleep(0.001)
         self.address = self.service.client_connections.listener.socket.getsockname()
-        self.caller = await Caller.connect(self.address)
+        self.client = await ThriftClient.connect(self.address)
         return self
 
     async def __aexit__(self, *_):
@@ -487,11 +506,11 @@
             self.service.shutdown.done.set()
         await asyncio.wait_for(self.task, 5)
 
-    def pulled(self):
-        """Every PULL and KILL that came to a cache."""
+    def attempt_lines(self):
+        """Returns 'SERVER PULL|KILL REQUEST-ID' for every PULL and KILL that a server received."""
         return sorted(
             f"{server} {line}"
             for server, machine in self.machines.items()
-            for line in machine.seen
+            for line in machine.received_lines
             if line[:4] in ("PULL", "KILL")
         )
--- a/tests/purgelog/test_copies.py
+++ b/tests/purgelog/test_copies.py
@@ -28,11 +28,11 @@
     """The copies of a Router, as far as the rule looks at them."""
 
     def __init__(self):
-        self.held = {}
+        self.copies = {}
 
     def drop(self, names, sink):
         for name in names:
-            del self.held[name]
+            del self.copies[name]
 
 
 class PlainRouter:
@@ -42,12 +42,12 @@
         self.local_cache, self.sink, self.now = Held(), None, 0.0
 
     def respond_from_copy(self, request):
-        return (request.class_index, request.object.code) in self.local_cache.held
+        return (request.class_index, request.object.code) in self.local_cache.copies
 
 
 class Router(ProvenCopiesMixin, PlainRouter):
     def keep(self, doc, made):
-        self.local_cache.held[0, doc.code] = LocalCopy(doc, made, 1)
+        self.local_cache.copies[0, doc.code] = LocalCopy(doc, made, 1)
 
     def uses(self, doc):
         return self.respond_from_copy(Asked(doc))
@@ -80,7 +80,7 @@
     )
     router.copy_rule(CopyRule.READMIT, purges)
     assert router.uses(Doc("a")) and not router.uses(Doc("b")) and router.uses(Doc("c"))
-    assert set(router.local_cache.held) == {(0, "a"), (0, "c")}
+    assert set(router.local_cache.copies) == {(0, "a"), (0, "c")}
 
 
 def test_a_copy_that_was_under_way_while_purges_were_missed_stays_aside(router):
@@ -95,7 +95,7 @@
     router.copy_rule(CopyRule.PROVEN, None)
     router.copy_rule(CopyRule.ASIDE, None)
     router.copy_rule(CopyRule.READMIT, PurgeSet([fingerprint(Entry(Kind.PURGE, "", 1, 0))]))
-    assert not router.local_cache.held
+    assert not router.local_cache.copies
 
 
 def test_what_cannot_be_known_is_dropped(router):
@@ -103,7 +103,7 @@
     router.copy_rule(CopyRule.ASIDE, None)
     router.keep(Doc("c"), 11.0)
     router.copy_rule(CopyRule.DROP, None)
-    assert set(router.local_cache.held) == {(0, "c")} and router.aside_until < math.inf
+    assert set(router.local_cache.copies) == {(0, "c")} and router.aside_until < math.inf
 
 
 def test_a_router_that_has_just_begun_to_read_drops_what_it_kept_before(router):
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,6 +1,6 @@
 """Regression tests: each guards against a failure that was found in an incident, a simulation or a fleet run."""
 
-from helpers import CACHES, Bench, request_class
+from helpers import CACHES, RouterHarness, request_class
 
 from brookhinge.decisions.messages import EndpointsListed, ObjectsPurged
 from brookhinge.decisions.object_state import ObjectState
@@ -15,8 +15,8 @@
     lines = []
     for i in range(count):
         bench.ask(key, part=i)
-        while bench.next in bench.router.requests:
-            bench.end(bench.next, result, **end)
+        while bench.last_request_id in bench.router.requests:
+            bench.end(bench.last_request_id, result, **end)
     return lines
 
 
@@ -28,18 +28,23 @@
     """Fill objects from two parents, of which parent 11 takes ten times as long."""
     for i in range(count):
         bench.ask("abcdefgh"[i % 8], part=i)
-        slow = bench.router.requests[bench.next].source == bench.router.endpoints.index[11]
-        bench.end(bench.next, "satisfied", note=2, took=1.5 if slow else 0.15)
+        slow = bench.router.requests[bench.last_request_id].source == bench.router.endpoints.index[11]
+        bench.end(bench.last_request_id, "satisfied", note=2, took_s=1.5 if slow else 0.15)
         bench.now += pause_s
 
 
 def test_silent_parent_is_ejected_and_no_cache_is():
     """Incident i620fa4: fills from one parent hang, while everything else is answered."""
-    bench = Bench(tells="all")
+    bench = RouterHarness(note_detail="all")
     for i in range(24):
         bench.ask("abcdefgh"[i % 8], part=i)
-        silent = bench.router.requests[bench.next].source == bench.router.endpoints.index[11]
-        bench.end(bench.next, "timeout" if silent else "satisfied", note=0 if silent else 2, over=True)
+        silent = bench.router.requests[bench.last_request_id].source == bench.router.endpoints.index[11]
+        bench.end(
+            bench.last_request_id,
+            "timeout" if silent else "satisfied",
+            note=0 if silent else 2,
+            is_final=True,
+        )
         bench.now += 0.5
     assert log_lines(bench) == ["say resting parent 11: timeout"]
 
@@ -49,11 +54,11 @@
 
     A parent that was just removed from the list may still answer.
     """
-    bench = Bench(tells="all")
+    bench = RouterHarness(note_detail="all")
     fill_with_a_slow_parent(bench, 40, 0.0)
     bench.ask("a", part=99)
     bench.call(EndpointsListed(False, [bench.row(p, "gone", kind="parent", zone=0) for p in (11, 12)]))
-    bench.end(bench.next, "satisfied", note=2, took=1.5)
+    bench.end(bench.last_request_id, "satisfied", note=2, took_s=1.5)
     assert log_lines(bench) == ["say resting parent 11: satisfied"]
 
 
@@ -62,7 +67,7 @@
 
     As a result the routers no longer used the same parent for an object.
     """
-    bench = Bench(tells="all")
+    bench = RouterHarness(note_detail="all")
     fill_with_a_slow_parent(bench, 24, 1.0)
     assert log_lines(bench) == []
 
@@ -74,12 +79,12 @@
     """
     is_congested = []
     for is_cached_only in (False, True):
-        bench = Bench(tells="all")
+        bench = RouterHarness(note_detail="all")
         bench.ask("a")
-        bench.router.requests[bench.next].fill = (
+        bench.router.requests[bench.last_request_id].fill = (
             FillKind.UPSTREAM_CACHED if is_cached_only else FillKind.UPSTREAM
         )
-        bench.end(bench.next, "timeout", took=2.9, over=True)
+        bench.end(bench.last_request_id, "timeout", took_s=2.9, is_final=True)
         is_congested.append(bench.router.concurrency.congestion(-1, bench.now) > 0.5)
     assert is_congested == [False, True]
 
@@ -88,7 +93,7 @@
     """Scenarios roll+mass, zone+mass: half the caches are new or empty, and every fill over the full uplink
     is late.
     """
-    bench = Bench(routers=8)
+    bench = RouterHarness(routers=8)
     for c in (-1, 21):
         bench.router.concurrency.record_time(c, 0.0, 10.0, 6.0)
     admitted_share = {
@@ -103,23 +108,23 @@
 
 def test_congested_caches_are_not_ejected():
     """A mix of timeouts and answers means congestion, not a silent server."""
-    bench = Bench()
+    bench = RouterHarness()
     for i in range(30):
         bench.ask("k", part=i)
-        bench.end(bench.next, "satisfied" if i % 3 else "timeout", over=True)
+        bench.end(bench.last_request_id, "satisfied" if i % 3 else "timeout", is_final=True)
     assert log_lines(bench) == []
 
 
 def test_failing_parent_is_ejected_instead_of_its_caches():
     """Scenario andino-slots big-2: fills from one parent fail at every cache; the caches themselves work."""
-    bench = Bench()
+    bench = RouterHarness()
     for i in range(40):
         bench.ask("abcdefgh"[i % 8], part=i)
         for _ in range(2):
-            request = bench.router.requests.get(bench.next)
+            request = bench.router.requests.get(bench.last_request_id)
             if request:
                 bench.end(
-                    bench.next,
+                    bench.last_request_id,
                     "errored" if request.source == bench.router.endpoints.index[11] else "satisfied",
                     note=0,
                 )
@@ -127,14 +132,14 @@
 
 
 def test_failure_of_all_caches_ejects_at_most_one():
-    bench = Bench()
+    bench = RouterHarness()
     ask_failing(bench, 30, "errored")
     assert len([line for line in log_lines(bench) if "cache" in line]) <= 1
 
 
 def test_requests_beyond_the_limit_of_the_beacon_are_rejected_not_spilled():
     """Spilled requests would miss at other caches and cause more fills."""
-    bench = Bench(caches=(21, 22))
+    bench = RouterHarness(caches=(21, 22))
     bench.serve("a")
     lines = [line for _ in range(12) for line in bench.ask("a")]
     assert [line.split()[1] for line in lines] == ["push"] * 10 + ["nack"] * 2
@@ -142,11 +147,11 @@
 
 def test_load_from_other_routers_is_detected_by_response_times():
     """Incident ib19254: each of 40 routers had less than one request in flight, so no limit was reached."""
-    bench = Bench(routers=40)
+    bench = RouterHarness(routers=40)
     bench.serve("a", note=1)
     for i in range(2):
         if "push" in bench.ask("a")[0]:
-            bench.end(bench.next, "satisfied", note=1, took=1.0)
+            bench.end(bench.last_request_id, "satisfied", note=1, took_s=1.0)
     assert (
         "".join(bench.ask("a")[0].split()[1][0] for _ in range(5)) == "ppppn"
     )  # p: push, n: nack; the first one passes because none is in flight
@@ -155,14 +160,17 @@
 
 def test_congested_uplink_rejects_only_misses():
     """Scenario tender-portal-later big-2: caches hold most objects that one of 20 routers has not seen yet."""
-    bench = Bench(routers=20)
+    bench = RouterHarness(routers=20)
     for i in range(8):
         bench.ask("b", part=i)
-        bench.end(bench.next, "miss")
-        if bench.next in bench.router.requests:
-            bench.end(bench.next, "satisfied", note=2, took=2.0)
-    assert bench.ask("a") + bench.end(bench.next, "miss") == ["q9 push 21 from 21 rank 1", "q9 nack"]
-    assert bench.ask("c", size=5.0) + bench.end(bench.next, "miss") == [
+        bench.end(bench.last_request_id, "miss")
+        if bench.last_request_id in bench.router.requests:
+            bench.end(bench.last_request_id, "satisfied", note=2, took_s=2.0)
+    assert bench.ask("a") + bench.end(bench.last_request_id, "miss") == [
+        "q9 push 21 from 21 rank 1",
+        "q9 nack",
+    ]
+    assert bench.ask("c", size=5.0) + bench.end(bench.last_request_id, "miss") == [
         "q10 push 23 from 23 rank 1",
         "q10 push 23 from 12 rank 1",
     ]
@@ -170,16 +178,16 @@
 
 def test_stale_copies_are_served_while_fills_fail():
     """Scenario tender-portal big-2: the origin was slow, and the available stale copies were not used."""
-    bench = Bench(request_classes=[request_class(fresh_s=5.0, stale_s=10.0, stale_share=0.7)])
+    bench = RouterHarness(request_classes=[request_class(fresh_s=5.0, stale_s=10.0, stale_share=0.7)])
     ask_failing(bench, 12, "timeout")
-    assert bench.ask("a") == [f"q{bench.next} push 21 from 12 rank 1 age<15.000 renew"]
+    assert bench.ask("a") == [f"q{bench.last_request_id} push 21 from 12 rank 1 age<15.000 renew"]
 
 
 def test_failed_fill_without_retry_budget_falls_back_to_a_stale_copy():
     """Scenario tender-portal-later rough-2: fills failed upstream of the parents, and stale copies were not
     used.
     """
-    bench = Bench(request_classes=[request_class(fresh_s=5.0, stale_s=10.0, stale_share=0.7)])
+    bench = RouterHarness(request_classes=[request_class(fresh_s=5.0, stale_s=10.0, stale_share=0.7)])
     bench.router.retry_budget.tokens = 0.0
     assert bench.ask("a") + bench.end(1, "full", note=10) + bench.end(1, "miss") == [
         "q1 push 21 from 12 rank 1 age<5.000 renew",
@@ -190,11 +198,11 @@
 
 def test_slow_cache_is_ejected():
     """A cache with far longer response times than its peers is ejected, although it answers everything."""
-    bench = Bench()
+    bench = RouterHarness()
     for i in range(160):
         slow = (bench.serve(f"k{i % 16}", note=2 if i < 16 else 1) if i < 32 else bench.ask(f"k{i % 16}"))[0]
         if i >= 32:
-            bench.end(bench.next, "satisfied", took=1.2 if "push 21 " in slow else 0.1, note=1)
+            bench.end(bench.last_request_id, "satisfied", took_s=1.2 if "push 21 " in slow else 0.1, note=1)
     assert log_lines(bench)[:1] == ["say resting cache 21: satisfied"] and not any(
         "cache 2%d" % n in line for n in (2, 3, 4) for line in log_lines(bench)
     )
@@ -202,7 +210,7 @@
 
 def test_attempt_at_a_holder_with_an_expired_copy_counts_as_a_fill():
     """Scenario andino-slots overload: expired copies are refetched, and no budget or limit applied to that."""
-    bench = Bench(request_classes=[request_class(fresh_s=5.0)])
+    bench = RouterHarness(request_classes=[request_class(fresh_s=5.0)])
     bench.serve("a")
     bench.ask("a", at=2.0)
     bench.ask("a", at=6.0)
@@ -216,27 +224,31 @@
         bench.serve("k", part=part)
     for part in [i % 24 for i in range(96)]:
         bench.ask("k", part=part)
-        while bench.next in bench.router.requests:
-            server = bench.router.endpoints.ids[bench.router.requests[bench.next].server]
-            bench.end(bench.next, "satisfied", note=1, took=0.1 * (slowdown if server == 21 else 1.0))
+        while bench.last_request_id in bench.router.requests:
+            server = bench.router.endpoints.ids[bench.router.requests[bench.last_request_id].server]
+            bench.end(
+                bench.last_request_id, "satisfied", note=1, took_s=0.1 * (slowdown if server == 21 else 1.0)
+            )
     return log_lines(bench)
 
 
 def test_slow_cache_is_ejected_before_load_shedding_hides_its_slowness():
     """Fleet runs on sockets: a cache was 4 to 9 times slower, and its requests were rejected all that time."""
-    assert log_of_a_slow_cache(Bench(tells="all", routers=2), 5.0)[:1] == ["say resting cache 21: satisfied"]
+    assert log_of_a_slow_cache(RouterHarness(note_detail="all", routers=2), 5.0)[:1] == [
+        "say resting cache 21: satisfied"
+    ]
 
 
 def test_slightly_slower_cache_is_not_ejected():
     """Fleet seed 11: ejecting a cache at 1.7 times its peers' time prevented the ejection of the truly slow
     one.
     """
-    assert log_of_a_slow_cache(Bench(tells="all", routers=2), 1.7) == []
+    assert log_of_a_slow_cache(RouterHarness(note_detail="all", routers=2), 1.7) == []
 
 
 def test_load_of_an_ejected_beacon_is_spread_over_all_other_caches():
     """Fleet seed 11: its load went only to the other beacon of the ring, which became congested."""
-    bench = Bench()
+    bench = RouterHarness()
     codes = [
         code
         for code in range(1000)
@@ -252,11 +264,11 @@
     """
 
     def failure_rate_after(took):
-        bench = Bench(tells="all", routers=2)
+        bench = RouterHarness(note_detail="all", routers=2)
         bench.serve("k"), bench.serve("k"), bench.ask("k")
-        c = bench.router.requests[bench.next].server
+        c = bench.router.requests[bench.last_request_id].server
         bench.router.concurrency.record_time(c, bench.now, 4.0, 36.0)
-        bench.end(bench.next, "satisfied", note=1, took=took)
+        bench.end(bench.last_request_id, "satisfied", note=1, took_s=took)
         return bench.router.cache_outliers.failure_rate.get(c, 0.0)
 
     assert (failure_rate_after(0.11) > 0.0, failure_rate_after(0.5) > 0.0) == (False, True)
@@ -268,7 +280,7 @@
     """
 
     def decision(other_congestion):
-        bench = Bench(routers=2)
+        bench = RouterHarness(routers=2)
         for c, congestion in (
             (21, 9.0),
             (22, other_congestion),
@@ -299,11 +311,11 @@
     """
 
     def warm_capacity(result):
-        bench = Bench(weight=0.0, routers=40)
+        bench = RouterHarness(weight=0.0, routers=40)
         for part in range(60):
             bench.ask("k", part=part)
-            while bench.next in bench.router.requests:
-                bench.end(bench.next, result, took=0.3)
+            while bench.last_request_id in bench.router.requests:
+                bench.end(bench.last_request_id, result, took_s=0.3)
         return bench.router.throughput.warm_capacity(bench.router.endpoints.index[21], bench.now)
 
     assert warm_capacity("timeout") == 1.0 < warm_capacity("satisfied")
@@ -313,7 +325,7 @@
     """With servers replaced all day, the tables must not grow, and statistics must not pass to another
     server.
     """
-    bench = Bench()
+    bench = RouterHarness()
     for n in range(100, 140):
         rows = [bench.row(c) for c in CACHES[:3]] + [bench.row(n)]
         bench.call(EndpointsListed(False, rows[3:] + [bench.row(n - 1, "gone")]), at=n * 20.0)
@@ -331,7 +343,7 @@
 
 
 def test_object_states_and_purges_stay_within_the_memory_limit():
-    bench = Bench(machine=Bounds(1, 256, 0, 0))
+    bench = RouterHarness(machine=Bounds(1, 256, 0, 0))
     for n in range(500):
         bench.serve(f"k{n}", at=n * 0.01)
         bench.call(ObjectsPurged(f"g{n}", 0.0, ""), at=n * 1.0 + 0.005)
@@ -347,8 +359,8 @@
     lines = []
     for _ in range(count):
         lines += bench.ask(key, **ask)
-        while bench.next in bench.router.requests:
-            lines += bench.end(bench.next, "full")
+        while bench.last_request_id in bench.router.requests:
+            lines += bench.end(bench.last_request_id, "full")
     return [line.split()[1] for line in lines if line[0] == "q" and "push" not in line]
 
 
@@ -356,18 +368,18 @@
     """Releases and restarts: caches were full, recently answered requests were rejected, the router's link
     was idle.
     """
-    bench = Bench(machine=Bounds(64, 256, 100_000, 100_000))
+    bench = RouterHarness(machine=Bounds(64, 256, 100_000, 100_000))
     bench.ask("k")
     bench.end(1, "miss"), bench.end(1, "satisfied", copy=(0.0, 10_000))
     assert outcomes_when_caches_are_full(bench, "other", 1) == ["nack"]
     assert outcomes_when_caches_are_full(bench, "k", 5, at=1.0) == ["own"] * 3 + ["nack"] * 2
     assert outcomes_when_caches_are_full(bench, "k", 1, at=9.0) == ["own"] and bench.ask(
-        "k", left=0.25, at=20.0
+        "k", remaining_s=0.25, at=20.0
     ) == ["q9 own"]
 
 
 def test_local_copies_respect_age_purges_and_memory_limit():
-    bench = Bench(
+    bench = RouterHarness(
         machine=Bounds(1, 256, 100_000, 400_000),
         request_classes=[
             request_class(fresh_s=5.0, stale_s=3.0),
@@ -377,11 +389,12 @@
 
     def serve_and_keep(key, made_at, size_bytes=100, **ask):
         bench.ask(key, **ask)
-        while bench.next in bench.router.requests:
+        while bench.last_request_id in bench.router.requests:
             bench.end(
-                bench.next,
+                bench.last_request_id,
                 "satisfied"
-                if bench.router.requests[bench.next].source != bench.router.requests[bench.next].server
+                if bench.router.requests[bench.last_request_id].source
+                != bench.router.requests[bench.last_request_id].server
                 else "miss",
                 copy=(made_at, size_bytes),
             )
@@ -405,7 +418,7 @@
 
 def test_concurrency_limit_learned_at_low_load_is_at_least_the_weight():
     """Scenario rate+silent+leave: limits started at 32 with a weight of 59 per cache, and grew too slowly."""
-    bench = Bench(caches=(21,), weight=59.0, routers=2)
+    bench = RouterHarness(caches=(21,), weight=59.0, routers=2)
     has_capacity = bench.router.concurrency.has_capacity
     assert [has_capacity(c, in_flight, 1.0, 59.0) for c, in_flight in ((1, 64), (1, 65))] == [True, False]
     bench.router.concurrency.limit[1] = 200.0
@@ -417,7 +430,7 @@
 
     2 to 3% of the requests were rejected.
     """
-    bench = Bench(routers=3)
+    bench = RouterHarness(routers=3)
     for server, usual_ratio, is_uplink in ((11, 1.5, True), (21, 3.0, False)):
         c = bench.router.endpoints.index[server]
         bench.router.concurrency.record_time(c, bench.now, 8.0, usual_ratio)
@@ -434,8 +447,8 @@
     """Request fills that the origin never finishes, so that each cache abandons its fill."""
     for i in range(count):
         bench.ask("abcdefgh"[i % 8], part=100 + i)
-        while bench.next in bench.router.requests:
-            bench.end(bench.next, "errored", note=7, took=1.3)
+        while bench.last_request_id in bench.router.requests:
+            bench.end(bench.last_request_id, "errored", note=7, took_s=1.3)
             bench.now += 0.2
 
 
@@ -445,18 +458,18 @@
     Objects that parents hold are still served. Most requests for other objects are rejected at once, until fills
     succeed again.
     """
-    bench = Bench(tells="all", seed=3)
+    bench = RouterHarness(note_detail="all", seed=3)
     fail_fills_at_the_origin(bench)
     lines = bench.ask("z")
     assert lines == ["q7 push 23 from 12 rank 1 held"]
-    bench.end(bench.next, "satisfied", note=2)  # held by the parent: served as usual
+    bench.end(bench.last_request_id, "satisfied", note=2)  # held by the parent: served as usual
     rejected = 0
     for i in range(20):
         bench.now += 0.05
         bench.ask("z", part=200 + i)
-        rejected += bench.end(bench.next, "miss", note=8) == [f"q{bench.next} nack"]
-        if bench.next in bench.router.requests:
-            bench.end(bench.next, "errored", note=7, over=True)
+        rejected += bench.end(bench.last_request_id, "miss", note=8) == [f"q{bench.last_request_id} nack"]
+        if bench.last_request_id in bench.router.requests:
+            bench.end(bench.last_request_id, "errored", note=7, is_final=True)
     assert 15 <= rejected < 20  # some pass, otherwise its recovery would go unnoticed
     bench.now += 12.0
     for i in range(8):
@@ -468,7 +481,7 @@
     """Scenario join+mass: requests sent to the origin in the second before the first fills failed took it 6 s
     to finish.
     """
-    bench = Bench(tells="all")
+    bench = RouterHarness(note_detail="all")
     for i in range(5):
         bench.ask("a", part=i)
     bench.now += 0.2
@@ -479,20 +492,20 @@
 
 def test_failures_of_parents_do_not_trip_the_origin_breaker():
     """Scenario zone+mass: parents of a lost zone refuse at once and links are full, but the origin works."""
-    bench = Bench(tells="all")
+    bench = RouterHarness(note_detail="all")
     for i in range(6):
         bench.ask("abcdefgh"[i % 8], part=i)
-        bench.end(bench.next, "full", note=7, took=0.07, over=True)
+        bench.end(bench.last_request_id, "full", note=7, took_s=0.07, is_final=True)
     assert bench.router.origin_breaker.admit_probability(bench.now) == 1.0
 
 
 def test_short_client_timeouts_do_not_trip_the_origin_breaker():
     """Scenario wide: half of the clients allow hardly more time than a hit takes, too little for any fill."""
-    bench = Bench(tells="all")
+    bench = RouterHarness(note_detail="all")
     for i in range(12):
-        bench.ask("abcdefgh"[i % 8], part=i, left=0.15)
+        bench.ask("abcdefgh"[i % 8], part=i, remaining_s=0.15)
         bench.now += 0.1
-        bench.end(bench.next, "timeout", took=0.1, over=True)
+        bench.end(bench.last_request_id, "timeout", took_s=0.1, is_final=True)
     assert bench.router.origin_breaker.admit_probability(bench.now) == 1.0
 
 
@@ -518,7 +531,7 @@
 
     A server that started twice received at once all the budget that had accrued since its first start.
     """
-    bench = Bench(routers=4)
+    bench = RouterHarness(routers=4)
     budget, warm_capacity = bench.router.slow_start["cache"], 4.0
 
     def list_server(now, started_at):
@@ -551,7 +564,7 @@
     With a weight of 2% per answer the initial estimate, the latency objective, stayed at four times the actual time
     for a minute, and cold servers received a quarter of the load that they can handle.
     """
-    bench = Bench()
+    bench = RouterHarness()
     for i in range(10):
         bench.serve("a", part=i)
     assert (
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,13 +1,13 @@
 """Tests of the ordinary request path: home, holders, sibling fills, parents, sub-ranges."""
 
-from helpers import Bench, request_class
+from helpers import RouterHarness, request_class
 
 from brookhinge.decisions.beacon_rings import BeaconRings
 
 
 def test_home_fills_from_parent_and_is_then_the_holder():
     """The home fills from the parent hashed from the object. Later requests go to it as the holder."""
-    bench = Bench()
+    bench = RouterHarness()
     assert bench.serve("a") + bench.serve("b") + bench.serve("a", note=1) == [
         "q1 push 21 from 12 rank 1",
         "q2 push 22 from 11 rank 1",
@@ -23,7 +23,7 @@
 
 
 def test_object_in_demand_gets_a_replica_and_requests_are_spread():
-    bench = Bench()
+    bench = RouterHarness()
     assert put_in_demand(bench) + [line for _ in range(4) for line in bench.serve("a")] == [
         "q8 push 21 from 12 rank 1",
         "q9 push 21 from 12 rank 2",
@@ -35,22 +35,22 @@
 
 
 def test_failed_sibling_fill_is_retried_at_the_home():
-    bench = Bench()
+    bench = RouterHarness()
     put_in_demand(bench)
-    assert bench.ask("a") + bench.end(bench.next, "miss", note=8) == [
+    assert bench.ask("a") + bench.end(bench.last_request_id, "miss", note=8) == [
         "q10 push 22 from 21 rank 2 held",
         "q10 push 21 from 12 rank 2",
     ]
 
 
 def test_without_sibling_fills_and_parents_the_origin_is_the_source():
-    bench = Bench(siblings="none", parents=())
+    bench = RouterHarness(siblings="none", parents=())
     put_in_demand(bench)
     assert bench.ask("a") == ["q10 push 21 from 1 rank 2"]
 
 
 def test_failed_fills_go_to_the_next_parent_then_to_the_origin():
-    bench = Bench()
+    bench = RouterHarness()
     assert bench.ask("a") + bench.end(1, "full") + bench.end(1, "full") + bench.end(1, "full") == [
         "q1 push 21 from 12 rank 1",
         "q1 push 21 from 11 rank 1",
@@ -90,7 +90,7 @@
 
     Objects then had many homes.
     """
-    bench = Bench()
+    bench = RouterHarness()
     for i in range(999):
         bench.serve(f"k{i % 50}", at=i / 90)
     assert bench.now > 10.0 and [ends for _, ends, _ in bench.router.rings.rings] == [
@@ -102,11 +102,11 @@
 
 
 def test_route_with_one_cache_and_with_none():
-    assert Bench(caches=(21,)).ask("a") == ["q1 push 21 from 12 rank 1"]
-    assert Bench(caches=()).ask("a") == ["q1 nack"]
-    assert Bench(caches=(), direct=True).ask("a") == ["q1 push 12 from 12 rank 0"]
+    assert RouterHarness(caches=(21,)).ask("a") == ["q1 push 21 from 12 rank 1"]
+    assert RouterHarness(caches=()).ask("a") == ["q1 nack"]
+    assert RouterHarness(caches=(), direct=True).ask("a") == ["q1 push 12 from 12 rank 0"]
 
 
 def test_aging_copies_are_renewed():
-    bench = Bench(request_classes=[request_class(fresh_s=5.0, stale_s=10.0)])
+    bench = RouterHarness(request_classes=[request_class(fresh_s=5.0, stale_s=10.0)])
     assert bench.ask("a") == ["q1 push 21 from 12 rank 1 age<5.000 renew"]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,28 +1,28 @@
 """The rules for final responses, retries, drains, slow start and purges, as seen in the router's decisions."""
 
-from helpers import Bench, request_class
+from helpers import RouterHarness, request_class
 
 from brookhinge.decisions.messages import AttemptEnded, EndpointsListed, ObjectsPurged, RequestWithdrawn
 from brookhinge.decisions.settings import DeduplicationScope, Idempotency
 
 
 def test_nothing_is_sent_for_a_request_that_is_withdrawn_or_already_ended():
-    bench = Bench()
+    bench = RouterHarness()
     bench.ask("a")
     bench.call(RequestWithdrawn(1))
-    assert bench.end(1, "errored", over=True) == []
+    assert bench.end(1, "errored", is_final=True) == []
     assert bench.call(AttemptEnded(1, 21, "errored", 0.1, True, 0, 0.0)) == []
-    assert bench.ask("b", left=0.0) == ["q2 nack"]
+    assert bench.ask("b", remaining_s=0.0) == ["q2 nack"]
 
 
 def test_request_past_its_deadline_is_rejected():
-    bench = Bench()
+    bench = RouterHarness()
     bench.ask("a")
     assert bench.end(1, "timeout", at=3.02) == ["q1 nack"]
 
 
 def test_once_request_that_may_have_run_is_neither_retried_nor_rejected():
-    bench = Bench(request_classes=[request_class(idempotency=Idempotency.ONCE)])
+    bench = RouterHarness(request_classes=[request_class(idempotency=Idempotency.ONCE)])
     assert bench.ask("a") + bench.end(1, "unreachable") + bench.end(1, "errored") == [
         "q1 push 21 from 12 rank 1",
         "q1 push 23 from 12 rank 1",
@@ -31,7 +31,7 @@
 
 
 def test_keyed_request_that_may_have_run_is_retried_only_within_its_scope_and_window():
-    bench = Bench(
+    bench = RouterHarness(
         request_classes=[
             request_class(
                 idempotency=Idempotency.KEYED,
@@ -45,7 +45,7 @@
         "q1 push 23 from 12 rank 1",
     ]
     assert bench.end(1, "broken", at=1.2) == ["q1 error"]
-    bench = Bench(
+    bench = RouterHarness(
         request_classes=[
             request_class(
                 idempotency=Idempotency.KEYED,
@@ -59,7 +59,7 @@
 
 
 def test_draining_servers_are_neither_routed_to_nor_filled_from():
-    bench = Bench()
+    bench = RouterHarness()
     bench.serve("a")
     bench.call(
         EndpointsListed(False, [bench.row(21, "draining"), bench.row(12, "draining", kind="parent", zone=0)])
@@ -68,13 +68,13 @@
 
 
 def test_servers_missing_from_a_complete_list_are_gone():
-    bench = Bench()
+    bench = RouterHarness()
     bench.call(EndpointsListed(True, [bench.row(1, kind="origin", zone=0), bench.row(23)]))
     assert bench.ask("a") == ["q1 push 23 from 1 rank 1"]
 
 
 def test_restarted_cache_is_no_longer_a_holder():
-    bench = Bench()
+    bench = RouterHarness()
     bench.serve("a")
     assert bench.router.objects.states["a", 0].holders
     bench.call(EndpointsListed(False, [bench.row(21, born=0.01, weight=400.0)]))
@@ -88,7 +88,7 @@
     """
     lines = []
     for seed in range(routers):
-        bench = Bench(routers=routers, seed=seed)
+        bench = RouterHarness(routers=routers, seed=seed)
         bench.call(
             EndpointsListed(False, [bench.row(21, born=0.0), bench.row(12, kind="parent", zone=0, born=0.0)])
         )
@@ -114,9 +114,9 @@
 
 def test_unknown_power_is_estimated_low():
     """With most parents just started, the last warm one was sent more than it could do (hfe3941)."""
-    bench = Bench(
+    bench = RouterHarness(
         weight=0.0,
-        tells="none",
+        note_detail="none",
         routers=40,
         parents=(11, 12, 13, 14),
         request_classes=[request_class(fresh_s=60.0)],
@@ -139,7 +139,7 @@
 
 
 def test_purge_of_an_object_or_group_limits_the_age_of_copies():
-    bench = Bench()
+    bench = RouterHarness()
     bench.serve("a", group=5)
     bench.serve("b", group=6)
     bench.call(ObjectsPurged(5, 0.0, ""), at=1.0)
@@ -156,7 +156,7 @@
 
 def test_keyed_request_that_may_have_run_is_not_sent_directly_to_a_parent():
     """No other cache is left, and a parent does not share the zone's record of idempotency keys."""
-    bench = Bench(
+    bench = RouterHarness(
         request_classes=[
             request_class(idempotency=Idempotency.KEYED, deduplication_scope=DeduplicationScope.ZONE)
         ],
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,7 +1,7 @@
 """Tests that the configuration is read, and that each error names the key and the expected value."""
 
 import pytest
-from helpers import configuration, read, settings
+from helpers import configuration, load_site, settings
 
 from brookhinge.decisions.settings import Idempotency
 from brookhinge.settings_reader import StartError
@@ -9,7 +9,7 @@
 
 
 def test_configuration_is_read_with_defaults(tmp_path):
-    site = read(configuration(), tmp_path)
+    site = load_site(configuration(), tmp_path)
     assert (site.name, site.listen, site.command_channel, site.seed) == (
         "n1",
         ("127.0.0.1", 0),
@@ -105,7 +105,7 @@
 )
 def test_invalid_value_raises_an_error_that_names_its_key(tmp_path, change, message):
     with pytest.raises(StartError) as error:
-        read({**configuration(), **change}, tmp_path)
+        load_site({**configuration(), **change}, tmp_path)
     assert str(error.value) == message
 
 
@@ -113,6 +113,6 @@
     with pytest.raises(StartError, match=r"^BALANCER_CONFIG: expected a readable file, got '/no/such'"):
         read_site({"BALANCER_CONFIG": "/no/such"})
     with pytest.raises(StartError, match=r"^BALANCER_CONFIG: expected JSON, got "):
-        read("{", tmp_path)
+        load_site("{", tmp_path)
     with pytest.raises(StartError, match=r"^BALANCER_CONFIG: expected an object, got "):
-        read("[]", tmp_path)
+        load_site("[]", tmp_path)
