--- a/brookhinge/emulator/capacity/hollow.py
+++ b/brookhinge/emulator/capacity/hollow.py
@@ -12,7 +12,7 @@
 from brookhinge.limits.limits import Limits
 from brookhinge.membership.udp_transport import UdpTransport
 from brookhinge.operator.schema import FLEET as FLEET_SETTINGS
-from brookhinge.operator.schema import MUST
+from brookhinge.operator.schema import REQUIRED
 from brookhinge.operator.settings import Fleet
 from brookhinge.verdicts.outlier_detection import OutlierDetection
 
@@ -25,7 +25,7 @@
 
 def fleet_settings(**values):
     """A `fleet` block with these values, and defaults for the others."""
-    defaults = {key: default for key, (_, default) in FLEET_SETTINGS.items() if default is not MUST}
+    defaults = {key: default for key, (_, default) in FLEET_SETTINGS.items() if default is not REQUIRED}
     return Fleet(**{**defaults, **values})
 
 
--- a/brookhinge/emulator/capacity/layout.py
+++ b/brookhinge/emulator/capacity/layout.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from brookhinge.operator import OperatorError, read_file
-from brookhinge.operator.capacity import MOST_SITES, Capacity
+from brookhinge.operator.capacity import MAX_SITES, Capacity
 
 ROUTER_NET = "127.1"
 CONTROL_NET = "127.2"
@@ -49,8 +49,8 @@
         self.sites = [Site(k, place, base + (k < more)) for k, place in enumerate(places)]
         self.between = {frozenset((link.first, link.second)): link.delay_ms for link in capacity.links}
         self.site_of_place = {site.place: site.index for site in self.sites}
-        if base + 1 > MOST_SITES:
-            raise ValueError(f"expected {MOST_SITES} routers a site at most, got {base + 1}")
+        if base + 1 > MAX_SITES:
+            raise ValueError(f"expected {MAX_SITES} routers a site at most, got {base + 1}")
 
     def site_of(self, host):
         """The index of the site at which a loopback address stands."""
--- a/brookhinge/emulator/capacity/purge_log_processes.py
+++ b/brookhinge/emulator/capacity/purge_log_processes.py
@@ -26,7 +26,7 @@
 )
 from brookhinge.emulator.capacity.process_gauges import LoopLag, resident_bytes
 from brookhinge.operator.capacity import Cut
-from brookhinge.operator.schema import CONTROL, MUST
+from brookhinge.operator.schema import CONTROL, REQUIRED
 from brookhinge.operator.settings import Control
 from brookhinge.purgelog.client import LogClient
 from brookhinge.purgelog.messages import Entry, Kind
@@ -40,7 +40,7 @@
 
 def control_blocks(layout, addresses):
     """`control` blocks of the operator's file by name."""
-    defaults = {key: default for key, (_, default) in CONTROL.items() if default is not MUST}
+    defaults = {key: default for key, (_, default) in CONTROL.items() if default is not REQUIRED}
     return {
         control.name: Control(
             **{
--- a/brookhinge/emulator/fleet_scenario.py
+++ b/brookhinge/emulator/fleet_scenario.py
@@ -16,7 +16,7 @@
 
 from brookhinge.emulator.process_cluster import ProcessCluster
 from brookhinge.operator.hcl import OperatorError, parse
-from brookhinge.operator.schema import take
+from brookhinge.operator.schema import read_values
 from brookhinge.operator.value_checks import number, text, whole
 
 LIMIT_S = 600.0  # of a whole script
@@ -78,14 +78,14 @@
         raise OperatorError(f"line {line}: {key}: expected a block rig or step")
     for block in top.blocks:
         if block.kind == "rig" and not block.labels:
-            rig = take(block, RIG)
+            rig = read_values(block, RIG)
         elif block.kind == "step" and not block.labels:
-            step = take(block, STEP)
+            step = read_values(block, STEP)
             doing = [key for key in DOING if step[key] is not None]
             wires = [inner for inner in block.blocks if inner.kind == "wires"]
             if len(wires) != len(block.blocks) or len(doing) + len(wires) != 1:
                 raise OperatorError(f"line {block.line}: step: expected one of wires, {', '.join(DOING)}")
-            step["wires"] = take(wires[0], WIRES) if wires else None
+            step["wires"] = read_values(wires[0], WIRES) if wires else None
             known = {f"n{k + 1}" for k in range(rig["routers"])}
             for name in [n for key in doing if DOING[key] is names for n in step[key]] + [
                 step["told"] or "n1"
--- a/brookhinge/operator/capacity.py
+++ b/brookhinge/operator/capacity.py
@@ -12,9 +12,9 @@
 from brookhinge.operator.hcl import Block, OperatorError
 
 Keys = dict[str, Any]
-Take = Callable[[Block, Keys], dict[str, Any]]
+ReadValues = Callable[[Block, Keys], dict[str, Any]]
 
-MOST_SITES = 250  # a site is one octet of a loopback address
+MAX_SITES = 250  # a site is one octet of a loopback address
 MAX_ROUTERS = 5000
 
 
@@ -109,7 +109,7 @@
 
 
 def capacity_blocks(
-    must: object,
+    required: object,
     number: Callable,
     whole: Callable,
     text: Callable,
@@ -133,64 +133,64 @@
         "double": (number(0, 0.9), 0.0),
     }
     cut = {
-        "from": (text, must),
+        "from": (text, required),
         "to": (path, ""),
-        "at_s": (number(0, 86_400), must),
-        "for_s": (number(0, 86_400), must),
+        "at_s": (number(0, 86_400), required),
+        "for_s": (number(0, 86_400), required),
         "both": (flag, True),
     }
     return (
         0,
         settings,
         {
-            "region": (1, {}, {"zone": (1, {"sites": (whole(1, MOST_SITES), must)}, {})}),
-            "link": (2, {"delay_ms": (delay, must)}, {}),
-            "control": (1, {"site": (text, must), "serves": (names, ())}, {}),
+            "region": (1, {}, {"zone": (1, {"sites": (whole(1, MAX_SITES), required)}, {})}),
+            "link": (2, {"delay_ms": (delay, required)}, {}),
+            "control": (1, {"site": (text, required), "serves": (names, ())}, {}),
             "cut": (1, cut, {}),
         },
     )
 
 
-def read_capacity(block: Block, schema: tuple[int, Keys, dict], take: Take) -> Capacity:
+def read_capacity(block: Block, schema: tuple[int, Keys, dict], read_values: ReadValues) -> Capacity:
     """Return the Capacity of a parsed block whose nested blocks were checked by `check_blocks`.
 
     Raises:
         OperatorError: A value is wrong or a place is unknown; the message names block, key and line.
     """
     _, settings, nested = schema
-    values = take(block, settings)
+    values = read_values(block, settings)
     regions = [inner for inner in block.blocks if inner.kind == "region"]
     zones = tuple(
-        zone for region in regions for zone in read_zones(region, nested["region"][2]["zone"], take)
+        zone for region in regions for zone in read_zones(region, nested["region"][2]["zone"], read_values)
     )
     if not zones:
         raise OperatorError(f"line {block.line}: capacity: region: expected at least one region with a zone")
     names = [region.labels[0] for region in regions]
-    links = read_links(block, names, nested["link"][1], take)
+    links = read_links(block, names, nested["link"][1], read_values)
     capacity = Capacity(**values, zones=zones, links=links, controls=(), cuts=())
-    if len(capacity.sites()) > MOST_SITES:
+    if len(capacity.sites()) > MAX_SITES:
         raise OperatorError(
-            f"line {block.line}: capacity: expected at most {MOST_SITES} sites, got {len(capacity.sites())}"
+            f"line {block.line}: capacity: expected at most {MAX_SITES} sites, got {len(capacity.sites())}"
         )
     return capacity._replace(
-        controls=tuple(read_controls(block, capacity, nested["control"][1], take)),
-        cuts=tuple(read_cuts(block, capacity, nested["cut"][1], take)),
+        controls=tuple(read_controls(block, capacity, nested["control"][1], read_values)),
+        cuts=tuple(read_cuts(block, capacity, nested["cut"][1], read_values)),
     )
 
 
-def read_zones(region: Block, schema: tuple[int, Keys, dict], take: Take) -> Iterator[Zone]:
+def read_zones(region: Block, schema: tuple[int, Keys, dict], read_values: ReadValues) -> Iterator[Zone]:
     """Yield the zones of one region."""
-    take(region, {})
+    read_values(region, {})
     for block in region.blocks:
         for label in (region.labels[0], block.labels[0]):
             if not label or "/" in label:
                 raise OperatorError(
                     f"line {block.line}: {block.title()}: expected names without '/', got {label!r:.60}"
                 )
-        yield Zone(region.labels[0], block.labels[0], **take(block, schema[1]))
+        yield Zone(region.labels[0], block.labels[0], **read_values(block, schema[1]))
 
 
-def read_links(block: Block, regions: list[str], settings: Keys, take: Take) -> tuple[Link, ...]:
+def read_links(block: Block, regions: list[str], settings: Keys, read_values: ReadValues) -> tuple[Link, ...]:
     """Return the delays between regions; each pair must have exactly one."""
     links = {}
     for inner in (nested for nested in block.blocks if nested.kind == "link"):
@@ -202,19 +202,21 @@
             raise OperatorError(
                 f"line {inner.line}: {inner.title()}: expected exactly one link for each pair of regions"
             )
-        links[pair] = take(inner, settings)["delay_ms"]
+        links[pair] = read_values(inner, settings)["delay_ms"]
     for pair in combinations(regions, 2):
         if pair not in links:
             raise OperatorError(f'line {block.line}: capacity: link "{pair[0]}" "{pair[1]}": missing')
     return tuple(Link(*pair, delay_ms) for pair, delay_ms in links.items())
 
 
-def read_controls(block: Block, capacity: Capacity, settings: Keys, take: Take) -> Iterator[Control]:
+def read_controls(
+    block: Block, capacity: Capacity, settings: Keys, read_values: ReadValues
+) -> Iterator[Control]:
     """Yield the control machines; each must be at a site of the layout."""
     sites = set(capacity.sites())
     regions = {zone.region for zone in capacity.zones}
     for inner in (nested for nested in block.blocks if nested.kind == "control"):
-        values = take(inner, settings)
+        values = read_values(inner, settings)
         if values["site"] not in sites:
             raise OperatorError(
                 f"line {inner.lines['site']}: {inner.title()}: site: expected region/zone/number, got "
@@ -228,11 +230,11 @@
         yield Control(inner.labels[0], **values)
 
 
-def read_cuts(block: Block, capacity: Capacity, settings: Keys, take: Take) -> Iterator[Cut]:
+def read_cuts(block: Block, capacity: Capacity, settings: Keys, read_values: ReadValues) -> Iterator[Cut]:
     """Yield the cuts between places of the layout."""
     sites = capacity.sites()
     for inner in (nested for nested in block.blocks if nested.kind == "cut"):
-        values = take(inner, settings)
+        values = read_values(inner, settings)
         for key in ("from", "to"):
             if values[key] and not any(inside(site, values[key]) for site in sites):
                 raise OperatorError(
--- a/brookhinge/operator/schema.py
+++ b/brookhinge/operator/schema.py
@@ -31,7 +31,7 @@
 Keys = dict[str, tuple[Check[Any], Any]]
 """The check and the default of each key."""
 
-MUST = object()  # in place of a default: the key is required
+REQUIRED = object()  # in place of a default: the key is required
 MIN_CONTROLS = 3  # with two, both are needed for a majority, so losing one would stop the log
 MIN_SEGMENTS = 8  # of a disk tier
 MAX_NAME_LENGTH = 64  # of a router, so that it fits into a datagram
@@ -47,8 +47,8 @@
     "stall_s": (number(0.001, 60), 0.25),
 }
 BOX = {
-    "listen": (address, MUST),
-    "channel": (address, MUST),
+    "listen": (address, REQUIRED),
+    "channel": (address, REQUIRED),
     "fills": (whole(1, 10000), 32),
     "fill_s": (number(0.01, 600), 2.0),
     "idle_s": (number(0.1, 86400), 30.0),
@@ -60,11 +60,11 @@
 }
 TRACK = {"fresh_s": (number(0, 1e9), 0.0), "stale_s": (number(0, 1e9), 0.0)}
 FLEET = {
-    "listen": (address, MUST),
+    "listen": (address, REQUIRED),
     "advertise": (address, None),
-    "join": (addresses, MUST),
-    "site": (text, MUST),
-    "key": (key, MUST),
+    "join": (addresses, REQUIRED),
+    "site": (text, REQUIRED),
+    "key": (key, REQUIRED),
     "zone": (path, ""),
     "lease_s": (number(0, 3600), 10.0),
     "metrics": (address, None),
@@ -78,10 +78,10 @@
     "log_advertise": (address, None),
 }
 CONTROL = {
-    "listen": (address, MUST),
+    "listen": (address, REQUIRED),
     "advertise": (address, None),
-    "site": (text, MUST),
-    "key": (key, MUST),
+    "site": (text, REQUIRED),
+    "key": (key, REQUIRED),
     "region": (path, ""),
     "serves": (names, ()),
     "proof_s": (number(1, 60), 3.0),
@@ -94,12 +94,12 @@
     "fleet": (1, FLEET, {}),
     "control": (1, CONTROL, {}),
     "log": (0, {"level": (one_of("debug", "info", "warning", "error"), "info")}, {}),
-    "metrics": (0, {"listen": (address, MUST)}, {}),
-    "capacity": capacity_blocks(MUST, number, whole, text, names, path, flag),
+    "metrics": (0, {"listen": (address, REQUIRED)}, {}),
+    "capacity": capacity_blocks(REQUIRED, number, whole, text, names, path, flag),
 }
 
 
-def take(block: Block, keys: Keys) -> dict[str, Any]:
+def read_values(block: Block, keys: Keys) -> dict[str, Any]:
     """Return the checked values of a block, with defaults for absent keys.
 
     Raises:
@@ -115,7 +115,7 @@
     for name, (check, default) in keys.items():
         if name in block.values:
             values[name] = _checked(block, name, check)
-        elif default is MUST:
+        elif default is REQUIRED:
             raise OperatorError(f"line {block.line}: {block.title()}: {name}: missing")
         else:
             values[name] = default
@@ -186,9 +186,9 @@
     settings = OperatorSettings({}, {}, {}, "info", None)
     for block in top.blocks:
         if block.kind == "capacity":
-            settings = settings._replace(capacity=read_capacity(block, BLOCKS["capacity"], take))
+            settings = settings._replace(capacity=read_capacity(block, BLOCKS["capacity"], read_values))
             continue
-        values = take(block, BLOCKS[block.kind][1])
+        values = read_values(block, BLOCKS[block.kind][1])
         match block.kind:
             case "box":
                 settings.box[block.labels[0]] = _cache_server(block, values)
@@ -223,10 +223,14 @@
 def _cache_server(block: Block, values: dict[str, Any]) -> CacheServerSettings:
     store_block = next((inner for inner in block.blocks if inner.kind == "store"), None)
     tracks = {
-        inner.labels[0]: tuple(take(inner, TRACK).values()) for inner in block.blocks if inner.kind == "track"
+        inner.labels[0]: tuple(read_values(inner, TRACK).values())
+        for inner in block.blocks
+        if inner.kind == "track"
     }
     store = (
-        take(store_block, STORE) if store_block else {name: default for name, (_, default) in STORE.items()}
+        read_values(store_block, STORE)
+        if store_block
+        else {name: default for name, (_, default) in STORE.items()}
     )
     if store_block and store["dir"] and store["disk_mb"] < MIN_SEGMENTS * store["segment_mb"]:
         raise OperatorError(
--- a/brookhinge/rollout/plan.py
+++ b/brookhinge/rollout/plan.py
@@ -30,7 +30,7 @@
 
 from brookhinge.operator import schema
 from brookhinge.operator.hcl import Block, OperatorError, parse
-from brookhinge.operator.schema import MUST, take
+from brookhinge.operator.schema import REQUIRED, read_values
 from brookhinge.operator.value_checks import (
     address,
     key,
@@ -166,10 +166,10 @@
 
 # key of the file: (field of Plan, check, default)
 _PLAN_FIELDS: dict[str, tuple[str, Callable[[Any], Any], Any]] = {
-    "old": ("old_version", text, MUST),
-    "to": ("new_version", text, MUST),
+    "old": ("old_version", text, REQUIRED),
+    "to": ("new_version", text, REQUIRED),
     "stages": ("stages", rising_shares, (0.1, 0.5, 1.0)),
-    "key": ("key", key, MUST),
+    "key": ("key", key, REQUIRED),
     "seed": ("seed", whole(0, 1 << 31), 1),
     "alpha": ("alpha", number(1e-6, 0.2), 0.01),
     "window_s": ("window_s", number(0.05, 60), 1.0),
@@ -183,14 +183,14 @@
 }
 _PLAN_KEYS = {name: (check, default) for name, (_, check, default) in _PLAN_FIELDS.items()}
 _VERSION_KEYS = {
-    "tree": (absolute_path, MUST),
+    "tree": (absolute_path, REQUIRED),
     "python": (path, ""),
-    "config": (absolute_path, MUST),
+    "config": (absolute_path, REQUIRED),
     "fleet": (path, ""),
 }
-_AGENT_KEYS = {"listen": (address, MUST), "dir": (absolute_path, MUST)}
-_ROUTER_KEYS = {"listen": (address, MUST)}
-_METRIC_KEYS = {"most_worse": (number(1e-6, 1e6), MUST)}
+_AGENT_KEYS = {"listen": (address, REQUIRED), "dir": (absolute_path, REQUIRED)}
+_ROUTER_KEYS = {"listen": (address, REQUIRED)}
+_METRIC_KEYS = {"most_worse": (number(1e-6, 1e6), REQUIRED)}
 _INNER_BLOCKS = ("version", "keeper", "figure")
 
 
@@ -209,7 +209,7 @@
         OperatorError: names line, block and key and what was expected there.
     """
     block = _rollout_block(source)
-    values = take(block, _PLAN_KEYS)
+    values = read_values(block, _PLAN_KEYS)
     versions = _versions(block)
     _check_versions(block, values, versions)
     agents = _agents(block)
@@ -281,7 +281,7 @@
         label = inner.labels[0]
         if label in found:
             raise _error(inner, "stands twice")
-        found[label] = _LabelledBlock(label, take(inner, keys), inner)
+        found[label] = _LabelledBlock(label, read_values(inner, keys), inner)
     return list(found.values())
 
 
