--- a/brookhinge/cache_server/line_server.py
+++ b/brookhinge/cache_server/line_server.py
@@ -140,7 +140,7 @@
                 await connection.may_read.wait()
                 data = await connection.stream.read_bytes(_READ_BYTES, partial=True)
                 for kind, request_id, *rest in commands.feed(data):
-                    self._take_command(connection, kind, request_id, *rest)
+                    self._handle_command(connection, kind, request_id, *rest)
         except (StreamClosedError, OSError):
             pass
         except UnreadableError as error:
@@ -150,7 +150,7 @@
         finally:
             self._close_connection(connection)
 
-    def _take_command(
+    def _handle_command(
         self,
         connection: ClientConnection,
         kind: CommandKind,
--- a/brookhinge/operator/schema.py
+++ b/brookhinge/operator/schema.py
@@ -167,8 +167,7 @@
     if not 0 < len(name) <= MAX_NAME_LENGTH or name.startswith(OBSERVER_PREFIX) or not name.isprintable():
         raise OperatorError(
             f"line {block.line}: {block.title()}: expected a name of 1 to {MAX_NAME_LENGTH} printable "
-            f"characters without a leading '?', "
-            f"got {name!r:.80}"
+            f"characters without a leading '?', got {name!r:.80}"
         )
     return name
 
@@ -260,13 +259,13 @@
     if first is not None and len(settings.control) < MIN_CONTROLS:
         raise OperatorError(
             f'line {lines["control", first.name]}: control "{first.name}": expected '
-            f"{MIN_CONTROLS} blocks control at least, got {len(settings.control)}"
+            f"at least {MIN_CONTROLS} control blocks, got {len(settings.control)}"
         )
     readers = [member for member in settings.fleet.values() if member.purge_log]
     for member in [*settings.control.values(), *readers]:
         kind = "control" if isinstance(member, Control) else "fleet"
         where = f'line {lines[kind, member.name]}: {kind} "{member.name}"'
         if first is None:
-            raise OperatorError(f"{where}: purge_log: expected blocks control in this file, got none")
+            raise OperatorError(f"{where}: purge_log: expected control blocks in this file, got none")
         if (member.site, member.key) != (first.site, first.key):
             raise OperatorError(f'{where}: site, key: expected those of control "{first.name}"')
