--- a/brookhinge/engine/fleet_events.py
+++ b/brookhinge/engine/fleet_events.py
@@ -47,7 +47,7 @@
             return
         group, key, stamp_ms = event.values
         if self.safety_notices.purge_is_new(group, key, stamp_ms):
-            purged_at = stamp_ms / MS_PER_S - self.safety_notices.start
+            purged_at = stamp_ms / MS_PER_S - self.safety_notices.router_started_at
             self.purges.record_notice(group, key, purged_at)
 
     def on_log_entry(self, event: events.PurgeLogEntryRead) -> None:
@@ -100,20 +100,20 @@
 
     def is_listed_start(self, row: messages.Endpoint | None, start_ms: int) -> bool:
         """Return whether the row of a listed server has that start time; False if `row` is None."""
-        return row is not None and self.safety_notices.stamp(row.started_at) == start_ms
+        return row is not None and self.safety_notices.unix_ms(row.started_at) == start_ms
 
     # Reports to the fleet.
 
     def demand(self) -> list[tuple]:
         """Return the demand for shared limits since the last call, as (kind, server, start in ms, ...)."""
         return [
-            (kind, server, self.safety_notices.stamp(started_at), *demand)
+            (kind, server, self.safety_notices.unix_ms(started_at), *demand)
             for kind, server, started_at, *demand in self.decisions.demand(self.context.now)
         ]
 
     def attempt_totals(self) -> dict[tuple[str, int], tuple[float, float]]:
         """Return {(server, start in ms): (attempts, failures)} of caches since this process started."""
         return {
-            (server, self.safety_notices.stamp(started_at)): (attempts, failures)
+            (server, self.safety_notices.unix_ms(started_at)): (attempts, failures)
             for server, started_at, attempts, failures in self.decisions.seen()
         }
--- a/brookhinge/limits/limits.py
+++ b/brookhinge/limits/limits.py
@@ -41,7 +41,7 @@
         """
         self.protocol = LeaseProtocol(context, fleet_size, now)
         self.take_demand = demand
-        self.shrinks_at = now
+        self.next_expiry_at = now
         self._next_report_at = now
         self._posted: dict[Limit, float] = {}
         self._posted_own_fraction: float | None = None
@@ -63,8 +63,8 @@
     def publish(self, now: float, writer: CoreWriter) -> None:
         """Post the quotas that have changed.
 
-        Also called before a round of the engine once `shrinks_at` has passed, so that no quota is used after
-        it has expired, even if the process was frozen in the meantime.
+        Also called before a round of the engine once `next_expiry_at` has passed, so that no quota is used
+        after it has expired, even if the process was frozen in the meantime.
         """
         lessee = self.protocol.lessee
         rows: list[Row] = []
@@ -81,7 +81,7 @@
         for limit in [limit for limit in self._posted if limit not in shared]:
             del self._posted[limit]
             rows.append((*limit, None))
-        self.shrinks_at = lessee.next_expiry(now)
+        self.next_expiry_at = lessee.next_expiry(now)
         if rows:
             writer.post_event(QuotasAssigned(rows))
 
