--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -160,7 +160,7 @@
         "router_violations": figures.get("violations", {}),
         "refusals": figures.get("refusals", {}),
         "faults": len(faults),
-        "failed_calls": sum(part.control.failed() for part in (*driver.routers, *driver.boxes)),
+        "failed_calls": sum(part.control.failure_count() for part in (*driver.routers, *driver.boxes)),
     }
 
 
--- a/benchmarks/soak/driver.py
+++ b/benchmarks/soak/driver.py
@@ -174,15 +174,15 @@
             await asyncio.sleep(0.05)
         self.driver.record("router_not_ready", router=self.name)
 
-    async def stop(self, ending=schedule.Ending.TERM):
+    async def stop(self, ending=schedule.StopSignals.TERM):
         """SIGTERM; no new connections come a little later; SIGKILL at the earliest if it has not ended."""
         process = self.process
         loop = asyncio.get_running_loop()
-        if ending is schedule.Ending.HUP_FIRST and self.ready:
+        if ending is schedule.StopSignals.HUP_FIRST and self.ready:
             self.signal(signal.SIGHUP)
         self.driver.record("router_term", router=self.name, process=process.pid)
         self.signal(signal.SIGTERM)
-        if ending is schedule.Ending.TERM_TWICE:
+        if ending is schedule.StopSignals.TERM_TWICE:
             loop.call_later(SECOND_TERM_S, self.signal, signal.SIGTERM)
         loop.call_later(FRONT_LEAVES_S, lambda: self.driver.tell_clients("open_only", router=self.name))
         try:
@@ -313,7 +313,9 @@
         ]
         router_ports = {router.name: router.port for router in self.routers}
         self.clients = [
-            StandIn(self, "client", f"client{n}", routers=router_ports, rate=RATE * schedule.load(self.seed))
+            StandIn(
+                self, "client", f"client{n}", routers=router_ports, rate=RATE * schedule.load_scale(self.seed)
+            )
             for n in range(CLIENTS)
         ]
         for name, (port, _) in fronts.items():
@@ -488,7 +490,7 @@
 
     async def router_stop(self, router, step):
         async with router.lock:
-            await router.stop(schedule.ending(step.size))
+            await router.stop(schedule.stop_signals(step.size))
             await router.start()
 
     async def router_kill(self, router, step):
@@ -515,9 +517,9 @@
     async def router_series(self, router, step):
         """Stopped, going on and stopped again within hundredths of a second: one router, some, or all at once."""
         first = self.routers.index(router)
-        count = schedule.reach(step, len(self.routers))
+        count = schedule.series_router_count(step, len(self.routers))
         chosen = [self.routers[(first + number) % len(self.routers)] for number in range(count)]
-        for stopped_s, pause_s in schedule.stops(step):
+        for stopped_s, pause_s in schedule.freeze_series(step):
             await asyncio.gather(*(self.freeze(router, stopped_s) for router in chosen))
             await asyncio.sleep(pause_s)
 
@@ -549,7 +551,7 @@
     async def calls_fail(self, router, for_s, **rates):
         router.control.set(**rates)
         await asyncio.sleep(for_s)
-        router.control.calm()
+        router.control.clear_failures()
 
     async def router_calls(self, router, step):
         """Receives and sends fail in ways that pass, those to servers also in ways that do not."""
@@ -676,12 +678,12 @@
             await asyncio.sleep(step.for_s)
             if step.size < 0.6:
                 await self.replace_box(box, 0.3)
-            box.control.calm()
+            box.control.clear_failures()
 
     async def replace_box(self, box, down_s):
         witness = self.witness_of(box.name)
         await box.kill()
-        box.control.calm()
+        box.control.clear_failures()
         witness.order("down", server=box.name)
         self.list_server(box.name, "removed")
         await asyncio.sleep(down_s)
--- a/benchmarks/soak/judge.py
+++ b/benchmarks/soak/judge.py
@@ -501,14 +501,14 @@
         window.append((at, told is not None and told <= at))
         while at - window[0][0] > world.SLOW_START_WINDOW_S:
             window.popleft()
-        most = slow_start_most(at - start)
+        most = slow_start_call_limit(at - start)
         if len(window) > most and sum(knew for _, knew in window) > len(window) * 2 / 3:
             detail = f"{len(window)} calls in {world.SLOW_START_WINDOW_S} s, {at - start:.2f} s after its start; {most:.1f} allowed"
             return [Violation(Invariant.SLOW_START, at, None, f"{server}: {detail}")]
     return []
 
 
-def slow_start_most(age_s):
+def slow_start_call_limit(age_s):
     calls = world.slow_start_calls(age_s)
     root = calls**0.5
     return calls + 3.0 * root + 3.0 if calls < 30 else calls + 2.0 * root + 2.0
--- a/benchmarks/soak/schedule.py
+++ b/benchmarks/soak/schedule.py
@@ -1,22 +1,22 @@
-"""The schedule of troubles that a seed gives: two or three at a time, begun close together."""
+"""Generates the schedule of troubles from a seed: groups of two or three that begin close together."""
 
 import random
 from dataclasses import dataclass
 from enum import StrEnum
 
-# of a run without troubles: while all is filled for the first time, and at its end
-FIRST_S = 4.0
-REST_S = 6.0
-SLOT_S = 4.0  # between the beginnings of two groups of troubles
-SAME_TARGET = 0.75  # of the troubles of a group are for its common target
-SPREAD_S = 0.7  # within which the troubles of a group begin
-HOUR_S = 3600.0
-SHORT_DEADLINES = 0.3  # of the usual ones, in one run of three
-CROWD = 1.6  # times the usual requests, in one run of four
+# No troubles begin while caches fill for the first time, nor at the end of a run.
+QUIET_START_S = 4.0
+QUIET_END_S = 6.0
+GROUP_INTERVAL_S = 4.0  # interval between the starts of two groups of troubles
+SAME_TARGET_PROBABILITY = 0.75  # probability that a trouble is aimed at the common target of its group
+SPREAD_S = 0.7  # all troubles of a group begin within this time
+SECONDS_PER_HOUR = 3600.0
+SHORT_DEADLINE_SCALE = 0.3  # factor for the default deadlines, in one seed of three
+CROWD_LOAD_SCALE = 1.6  # factor for the default request rate, in one seed of four
 
 
 class Trouble(StrEnum):
-    """Kinds of trouble. What each does stands in `driver.py`."""
+    """Kinds of trouble, implemented by methods of the driver in `driver.py`."""
 
     ROUTER_STOP = "router_stop"
     ROUTER_KILL = "router_kill"
@@ -56,7 +56,7 @@
     BOX_FOLDER = "box_folder"
 
 
-# Kinds that end, start or stop something come more often: most faults need one of them.
+# Kinds that stop or start something are drawn more often, because most faults need one of them.
 WEIGHTS = {
     Trouble.ROUTER_STOP: 4,
     Trouble.ROUTER_RELOAD: 3,
@@ -68,8 +68,8 @@
 }
 
 
-class Ending(StrEnum):
-    """How a router is told to end."""
+class StopSignals(StrEnum):
+    """Signals that the driver sends to stop a router."""
 
     TERM = "term"
     HUP_FIRST = "hup_first"  # SIGHUP just before SIGTERM
@@ -78,7 +78,15 @@
 
 @dataclass(frozen=True)
 class Step:
-    """One trouble: when it begins, for how long, at which target (a number, taken modulo those there are), how much."""
+    """One scheduled trouble.
+
+    Attributes:
+        at_s: Start time in seconds since the schedule began.
+        kind: Kind of the trouble.
+        target: Number that selects the target, modulo the number of candidates.
+        for_s: Duration in seconds.
+        size: Strength of the trouble, from 0 to 1.
+    """
 
     at_s: float
     kind: Trouble
@@ -88,64 +96,62 @@
 
 
 def steps_of(seed, run_s):
-    """The schedule of a run, in the order of its times."""
-    chance = random.Random(f"soak {seed}")
+    """Return the troubles of a run in the order of their start times."""
+    rng = random.Random(f"soak {seed}")
     kinds = list(Trouble)
     weights = [WEIGHTS.get(kind, 1) for kind in kinds]
     steps = []
-    slot_at = FIRST_S
-    while slot_at < run_s - REST_S:
-        common = chance.randrange(
-            1 << 16
-        )  # most troubles of a group are for one and the same router or server
-        for kind in draw_kinds(chance, kinds, weights):
-            at_s = slot_at + chance.uniform(0.0, SPREAD_S)
-            for_s = chance.uniform(1.0, 3.5)
-            target = common if chance.random() < SAME_TARGET else chance.randrange(1 << 16)
-            steps.append(Step(at_s, kind, target, for_s, chance.random()))
-        slot_at += SLOT_S
+    group_at = QUIET_START_S
+    while group_at < run_s - QUIET_END_S:
+        common = rng.randrange(1 << 16)  # most troubles of a group have the same target
+        for kind in draw_kinds(rng, kinds, weights):
+            at_s = group_at + rng.uniform(0.0, SPREAD_S)
+            for_s = rng.uniform(1.0, 3.5)
+            target = common if rng.random() < SAME_TARGET_PROBABILITY else rng.randrange(1 << 16)
+            steps.append(Step(at_s, kind, target, for_s, rng.random()))
+        group_at += GROUP_INTERVAL_S
     return sorted(steps, key=lambda step: step.at_s)
 
 
-def draw_kinds(chance, kinds, weights):
-    """Two or three different kinds."""
+def draw_kinds(rng, kinds, weights):
+    """Draw two or three different kinds of trouble."""
     drawn = []
-    while len(drawn) < chance.choice([2, 3, 3]):
-        kind = chance.choices(kinds, weights)[0]
+    while len(drawn) < rng.choice([2, 3, 3]):
+        kind = rng.choices(kinds, weights)[0]
         if kind not in drawn:
             drawn.append(kind)
     return drawn
 
 
 def clock_step_s(size):
-    """The step of a wall clock, by a number of 0 to 1: seconds or an hour, either way."""
-    steps = (HOUR_S, -HOUR_S, 5.0, -5.0, 1.5, -1.5)
+    """Return the wall clock step in seconds (seconds or an hour, either sign) for a size from 0 to 1."""
+    steps = (SECONDS_PER_HOUR, -SECONDS_PER_HOUR, 5.0, -5.0, 1.5, -1.5)
     return steps[int(size * len(steps)) % len(steps)]
 
 
 def deadline_scale(seed):
-    """Of the usual deadlines, in the run of a seed."""
-    return SHORT_DEADLINES if seed % 3 == 0 else 1.0
+    """Return the factor for the default deadlines in the run of a seed."""
+    return SHORT_DEADLINE_SCALE if seed % 3 == 0 else 1.0
 
 
-def load(seed):
-    """Of the usual requests, in the run of a seed."""
-    return CROWD if seed % 4 == 1 else 1.0
+def load_scale(seed):
+    """Return the factor for the default request rate in the run of a seed."""
+    return CROWD_LOAD_SCALE if seed % 4 == 1 else 1.0
 
 
-def ending(size):
-    """How a router is told to end, by a number of 0 to 1."""
-    kinds = list(Ending)
+def stop_signals(size):
+    """Return the stop signals for a size from 0 to 1."""
+    kinds = list(StopSignals)
     return kinds[int(size * 97) % len(kinds)]
 
 
-def stops(step):
-    """(seconds stopped, seconds of going on) of a series of stops: the next one within hundredths of a second."""
-    chance = random.Random(step.target)
-    count = chance.randrange(3, 9)
-    return [(chance.choice([0.02, 0.15, 0.4, 0.9]), chance.uniform(0.002, 0.05)) for _ in range(count)]
+def freeze_series(step):
+    """Return (seconds frozen, seconds running) pairs; the running time is at most 50 ms."""
+    rng = random.Random(step.target)
+    count = rng.randrange(3, 9)
+    return [(rng.choice([0.02, 0.15, 0.4, 0.9]), rng.uniform(0.002, 0.05)) for _ in range(count)]
 
 
-def reach(step, routers):
-    """How many of the routers a series of stops is for: one, half or all of them."""
+def series_router_count(step, routers):
+    """Return how many routers a freeze series affects: one, half or all of them."""
     return 1 if step.size < 0.5 else routers // 2 if step.size < 0.8 else routers
--- a/tests/soak/test_shim.py
+++ b/tests/soak/test_shim.py
@@ -1,4 +1,4 @@
-"""The shim of the soak: what it makes of a process's clock and calls, and that nothing of a soak is left behind."""
+"""Tests of the preloaded shim (clock steps, injected failures) and of cleanup after an interrupted soak."""
 
 import os
 import signal
@@ -13,8 +13,8 @@
 from benchmarks.soak.__main__ import main
 
 ROOT = Path(__file__).parents[2]
-CLOCKS = "import time; print(time.time(), time.monotonic())"
-ACCEPTS = """
+CLOCK_PROGRAM = "import time; print(time.time(), time.monotonic())"
+ACCEPT_PROGRAM = """
 import socket
 listener = socket.create_server(("127.0.0.1", 0))
 failed = 0
@@ -22,18 +22,23 @@
     client = socket.create_connection(listener.getsockname())
     while True:
         try:
-            made, _ = listener.accept()
+            accepted, _ = listener.accept()
             break
-        except OSError as fault:
+        except OSError:
             failed += 1
 client.sendall(b"x" * 1000)
-print(failed > 0, len(made.recv(1000)) < 20)
+print(failed > 0, len(accepted.recv(1000)) < 20)
 """
-WRITES = """
+WRITE_PROGRAM = """
 import os, sys
 handle = os.open(sys.argv[1], os.O_CREAT | os.O_RDWR)
 failed = 0
-for call in (lambda: os.write(handle, b"abc"), lambda: os.pwritev(handle, [b"abcdef"], 0), lambda: os.fdatasync(handle)):
+calls = (
+    lambda: os.write(handle, b"abc"),
+    lambda: os.pwritev(handle, [b"abcdef"], 0),
+    lambda: os.fdatasync(handle),
+)
+for call in calls:
     try:
         call()
     except OSError:
@@ -44,55 +49,56 @@
 
 @pytest.fixture
 def control(tmp_path):
-    made = shim.Control(shim.build(tmp_path), tmp_path / "control")
-    yield made
-    made.close()
+    control_block = shim.Control(shim.build(tmp_path), tmp_path / "control")
+    yield control_block
+    control_block.close()
 
 
-def run(control, program, *args):
-    done = subprocess.run(
+def run_with_shim(control, program, *args):
+    result = subprocess.run(
         [sys.executable, "-c", program, *args],
         env={**os.environ, **control.environ()},
         capture_output=True,
         text=True,
         check=True,
     )
-    return done.stdout.split()
+    return result.stdout.split()
 
 
-def test_a_step_of_the_wall_clock_moves_no_other(control):
+def test_wall_clock_step_leaves_monotonic_clock_alone(control):
     control.set(offset_s=-3600.0)
-    wall, steady = map(float, run(control, CLOCKS))
-    assert abs(wall - time.time() + 3600.0) < 60.0 and abs(steady - time.monotonic()) < 60.0
+    wall, monotonic = map(float, run_with_shim(control, CLOCK_PROGRAM))
+    assert abs(wall - time.time() + 3600.0) < 60.0 and abs(monotonic - time.monotonic()) < 60.0
 
 
-def test_calls_fail_and_come_short(control):
+def test_calls_fail_and_transfers_are_shortened(control):
     control.set(accept=800_000, shorten=1_000_000)
-    assert run(control, ACCEPTS) == ["True", "True"] and control.failed() > 1
+    assert run_with_shim(control, ACCEPT_PROGRAM) == ["True", "True"] and control.failure_count() > 1
 
 
-def test_a_folder_takes_nothing_until_it_is_calm(control, tmp_path):
+def test_file_writes_fail_until_failures_are_cleared(control, tmp_path):
     control.set(file_write=1_000_000, file_sync=1_000_000)
-    assert int(run(control, WRITES, str(tmp_path / "file"))[0]) >= 2  # half of one may have been written
-    control.calm()
-    assert run(control, WRITES, str(tmp_path / "file")) == ["0"]
+    # One write may succeed in part.
+    assert int(run_with_shim(control, WRITE_PROGRAM, str(tmp_path / "file"))[0]) >= 2
+    control.clear_failures()
+    assert run_with_shim(control, WRITE_PROGRAM, str(tmp_path / "file")) == ["0"]
 
 
-def test_without_a_compiler_it_says_what_is_missing(tmp_path, monkeypatch):
+def test_missing_compiler_is_named_in_the_error(tmp_path, monkeypatch):
     monkeypatch.setenv("PATH", str(tmp_path))
     with pytest.raises(shim.NoCompiler, match="needs a C compiler"):
         shim.build(tmp_path)
 
 
-def test_arguments_that_make_no_sense():
+def test_invalid_arguments_exit_with_status_2():
     for args in ([], ["--seed", "x"], ["--seeds", "5-2"], ["--seed", "1", "--fault", "nothing"]):
-        with pytest.raises(SystemExit) as fault:
+        with pytest.raises(SystemExit) as exit_info:
             main(args)
-        assert fault.value.code == 2
+        assert exit_info.value.code == 2
 
 
-@pytest.mark.parametrize("signal_", [signal.SIGINT, signal.SIGTERM])
-def test_an_interrupted_soak_ends_all_that_it_started(tmp_path, signal_):
+@pytest.mark.parametrize("stop_signal", [signal.SIGINT, signal.SIGTERM])
+def test_interrupted_soak_leaves_no_process(tmp_path, stop_signal):
     soak = subprocess.Popen(
         [sys.executable, "-m", "benchmarks.soak", "--seed", "1", "--short", "--keep", str(tmp_path)],
         cwd=ROOT,
@@ -102,13 +108,13 @@
     for line in soak.stderr:
         if b"processes" in line:
             break
-    soak.send_signal(signal_)
+    soak.send_signal(stop_signal)
     assert soak.wait(30) == 130
-    left = []
+    remaining = []
     for path in Path("/proc").glob("[0-9]*/environ"):
         try:
             if str(tmp_path).encode() in path.read_bytes():
-                left.append(path)
+                remaining.append(path)
         except OSError:
             continue
-    assert left == []
+    assert remaining == []
