--- a/benchmarks/soak/judge.py
+++ b/benchmarks/soak/judge.py
@@ -1,7 +1,9 @@
-"""Judges a soak from what clients, witnesses, servers and channels wrote down. Nothing that a router says counts here.
+"""Judges a soak by the records of clients, witnesses, servers, channels and driver, not by routers' reports.
 
-Each check is a function of the history; it returns the violations of one invariant. Times are seconds of the machine's steady
-clock. Slack is for the way through sockets and the machine's own scheduling, and named."""
+Each check is a function of the history and returns the violations that it found. Times are seconds of the
+machine's monotonic clock. The named slack constants allow for the way through sockets and for process
+scheduling.
+"""
 
 import bisect
 import collections
@@ -11,54 +13,63 @@
 
 from benchmarks.soak import world
 
-LATE_S = 0.5  # after its time an answer only earns nothing; later it is lost
-WIRE_S = 0.1  # for a message through two processes of this machine
-CANCEL_S = 0.1  # by the terms
-SEEN_S = 0.03  # from the system call of an attempt to its record at a witness, or from a client's end to its record
-DEADLINE_SLACK_S = 0.15  # by the terms
-CROSSED_S = 0.05
-ACT_S = 0.02  # from a decision to the system call that carries it out, and to its record here
+LATE_S = 0.5  # an answer up to this long after its deadline is only worthless; a later one counts as lost
+WIRE_S = 0.1  # time for a message through two processes of this machine
+CANCEL_S = 0.1  # set by the requirements
+SEEN_S = 0.03  # delay from the system call of an attempt, or from the end of a request, to its record
+DEADLINE_SLACK_S = 0.15  # set by the requirements
+CROSSED_S = 0.05  # a request sent at most this long before a close may have crossed it
+ACT_S = 0.02  # delay from a decision to the system call that carries it out, and to its record
 READY_S = 10.0
-NEVER_RAN = {"full", "absent", "moot"}
+NEVER_RAN = {"full", "absent", "moot"}  # responses that say that the server did not run the request
 
 
 class Invariant(StrEnum):
-    """What must hold, whatever happens."""
+    """Invariants that must hold under every combination of troubles."""
 
-    ANSWER_MISSING = "answer_missing"  # each request taken has a final answer
-    ANSWER_LATE = "answer_late"  # not over 0.5 s after its time
+    ANSWER_MISSING = "answer_missing"  # each accepted request gets a final answer
+    ANSWER_LATE = "answer_late"  # at most 0.5 s after its deadline
     ANSWER_TWICE = "answer_twice"
-    CLOSED_UNANSWERED = "closed_unanswered"  # no connection ends with a request that was read
-    BODY_WRONG = "body_wrong"  # served is what a server made for it
-    SENT_AFTER_END = (
-        "sent_after_end"  # nothing for a request that is answered, cancelled or whose client left
-    )
+    CLOSED_UNANSWERED = "closed_unanswered"  # no connection closes with an unanswered request that was read
+    BODY_WRONG = "body_wrong"  # a served body is what a server produced for that request
+    # No attempt for a request that is answered or cancelled, or whose client closed its connection.
+    SENT_AFTER_END = "sent_after_end"
     EFFECT_TWICE = "effect_twice"
-    TWO_ATTEMPTS = "two_attempts"  # never two at once
-    SENT_TO_DRAINING = "sent_to_draining"  # as a server or as a source, beyond the grace
-    SLOW_START = "slow_start"  # all routers together, of a cold server
-    PURGED_COPY = "purged_copy"  # from before a known purge, beyond the grace
-    AGED_COPY = "aged_copy"  # older than the class allows
-    DEADLINE = "deadline"  # at most what the client has left
-    CRASH = "crash"  # a router ended by itself, or not with 0
+    TWO_ATTEMPTS = "two_attempts"  # never two at the same time
+    SENT_TO_DRAINING = "sent_to_draining"  # as the server or as its fill source, after the grace
+    SLOW_START = "slow_start"  # limit on the calls of all routers together to a cold server
+    PURGED_COPY = "purged_copy"  # copy older than a purge that the router had known for longer than the grace
+    AGED_COPY = "aged_copy"  # copy older than its class allows
+    DEADLINE = "deadline"  # an attempt's deadline is at most that of its client
+    CRASH = "crash"  # a router exited unasked, or with a status other than 0
     NOT_READY = "not_ready"
-    STOP_LATE = "stop_late"  # longer than the longest deadline and 0.7 s after SIGTERM
+    STOP_LATE = "stop_late"  # still running after SIGTERM plus the longest deadline plus 0.7 s
 
 
 @dataclass(frozen=True)
 class Violation:
+    """One violation of an invariant.
+
+    Attributes:
+        invariant: The invariant that was violated.
+        at: Time of the violation.
+        ref: Id of the request, or None if it concerns no single request.
+        detail: Description for the output.
+    """
+
     invariant: Invariant
     at: float
     ref: str | None
     detail: str
 
-    def told(self):
+    def as_record(self):
+        """Return the violation as a dictionary."""
         return asdict(self)
 
 
 @dataclass
 class Request:
-    """One request as its client saw it."""
+    """One request as its client recorded it."""
 
     ref: str
     router: str
@@ -72,41 +83,54 @@
     left_at: float | None = None
     ended_at: float | None = None
 
-    def over_at(self):
-        """Since when nothing more may be sent for it, or None."""
+    def finished_at(self):
+        """Return the time after which no attempt may be sent for it, or None if it is still open."""
         ends = [self.cancelled_at, self.left_at, *(answer["at"] for answer in self.answers[:1])]
         return min((at for at in ends if at is not None), default=None)
 
 
 @dataclass
 class Attempt:
-    """One PULL that came whole to a witness, until its end was passed on, it was killed, or its connection ended."""
+    """One complete PULL at a witness, until its response is forwarded, it is killed or its connection closes.
+
+    Attributes:
+        ref: Id of the request.
+        server: Name of the server.
+        connection: Name of the witness and number of the connection.
+        at: Earliest time at which it may have reached the witness.
+        fields: Fields of the PULL.
+        seen_at: Time at which the witness read it; later than `at` if the witness read nothing for a while.
+        end_at: Time at which it ended; infinite if it did not.
+        word: Kind of the response that was forwarded, or None.
+    """
 
     ref: str
     server: str
     connection: tuple
     at: float
     fields: dict
-    seen_at: float  # `at`, but where the witness read nothing for a while: then it came between the two
+    seen_at: float
     end_at: float = float("inf")
-    word: str | None = None  # of the answer that was passed on
+    word: str | None = None
 
 
 class Spans:
-    """Spans of time, by name: when routers were frozen or gone."""
+    """Time spans by name, such as those in which a router was frozen."""
 
     def __init__(self):
         self.spans = collections.defaultdict(list)
 
     def add(self, name, begin, end):
+        """Add a span to the spans of a name."""
         self.spans[name].append((begin, end))
 
     def overlap(self, name, begin, end):
+        """Return how many seconds of [begin, end] lie in spans of the name."""
         return sum(max(0.0, min(end, e) - max(begin, b)) for b, e in self.spans[name])
 
 
 class History:
-    """The records of a run, put together by request, attempt, router and server."""
+    """The records of a run, indexed by request, attempt, router and server."""
 
     def __init__(self, records):
         self.records = records
@@ -115,164 +139,191 @@
         self.frozen = Spans()
         self.killed = collections.defaultdict(list)
         self.terms = collections.defaultdict(list)
-        self.told = collections.defaultdict(list)
-        self.listed = collections.defaultdict(list)
+        self.deliveries = collections.defaultdict(list)
+        self.health_changes = collections.defaultdict(list)
         self.purges = []
-        self.starts = collections.defaultdict(list)
-        self.ran = collections.defaultdict(list)
+        self.server_starts = collections.defaultdict(list)
+        self.executions = collections.defaultdict(list)
         self.loose = []
         self.of_connection = {}
         self.open_attempts = {}
-        self.freezing = {}
-        self.doublings = []
+        self.freeze_starts = {}
+        self.unexpected_answers = []
         self.resent = set()
-        self.deaf = collections.defaultdict(list)
+        self.unread_spans = collections.defaultdict(list)
         self.end_at = records[-1]["at"] if records else 0.0
         for record in records:
-            take = getattr(self, "take_" + record["event"], None)
-            if take is not None:
-                take(record)
-        for router, began in self.freezing.items():
+            handler = getattr(self, "on_" + record["event"], None)
+            if handler is not None:
+                handler(record)
+        for router, began in self.freeze_starts.items():
             self.frozen.add(router, began, self.end_at)
 
     # clients
 
-    def take_sent(self, r):
+    def on_sent(self, r):
+        """Add a request."""
         connection = r["by"], r["connection"]
         if r["resent"] and r["ref"] in self.requests:
             self.resent.add(r["ref"])
         request = Request(r["ref"], r["router"], r["kind"], r["object"], r["at"], r["allow_s"], connection)
         self.requests[r["ref"]] = request
 
-    def take_cancel(self, r):
+    def on_cancel(self, r):
+        """Note that the client cancelled a request."""
         request = self.requests.get(r["ref"])
         if request is not None and request.cancelled_at is None:
             request.cancelled_at = r["at"]
 
-    def take_left(self, r):
+    def on_left(self, r):
+        """Note that the client closed its connection with these requests open."""
         for ref in r["refs"]:
             if ref in self.requests:
                 self.requests[ref].left_at = r["at"]
 
-    def take_ended(self, r):
+    def on_ended(self, r):
+        """Note that the router closed the connection with these requests open."""
         for ref in r["refs"]:
             if ref in self.requests:
                 self.requests[ref].ended_at = r["at"]
 
-    def take_answer(self, r):
+    def on_answer(self, r):
+        """Add an answer, which a client or a witness recorded."""
         if "kind" not in r:
-            return self.take_server_answer(r)
+            return self.on_server_answer(r)
         request = self.requests.get(r["ref"])
         if request is not None:
             request.answers.append(r)
 
-    def take_unasked(self, r):
-        self.doublings.append(r)
+    def on_unasked(self, r):
+        """Note an answer without an open request."""
+        self.unexpected_answers.append(r)
 
     # witnesses
 
-    def take_pull(self, r):
+    def on_pull(self, r):
+        """Add an attempt."""
         connection = r["by"], r["connection"]
         attempt = Attempt(r["ref"], r["server"], connection, r["at"], r["fields"], r.get("seen_at", r["at"]))
         self.attempts[r["ref"]].append(attempt)
         self.open_attempts[connection, r["ref"]] = attempt
 
     def end_attempt(self, connection, ref, at, word=None):
+        """End an open attempt."""
         attempt = self.open_attempts.pop((connection, ref), None)
         if attempt is not None:
             attempt.end_at = at
             attempt.word = word
 
-    def take_kill(self, r):
+    def on_kill(self, r):
+        """Note that the router cancelled an attempt."""
         self.end_attempt((r["by"], r["connection"]), r["ref"], r["at"])
 
-    def take_server_answer(self, r):
+    def on_server_answer(self, r):
+        """Note that a server's response was forwarded."""
         self.end_attempt((r["by"], r["connection"]), r["ref"], r["at"], r["word"])
 
-    def take_spoilt(self, r):
+    def on_spoilt(self, r):
+        """Note that a server's response was corrupted."""
         self.end_attempt((r["by"], r["connection"]), r["ref"], r["at"], "spoilt")
 
-    def take_lost(self, r):
+    def on_lost(self, r):
+        """Note that a server's response was dropped."""
         self.end_attempt((r["by"], r["connection"]), r["ref"], r["at"], "lost")
 
-    def take_deaf(self, r):
-        """A witness read nothing from `since` on: what ended meanwhile it saw too late."""
-        self.deaf[r["by"], r["connection"]].append((r["since"], r["at"]))
+    def on_deaf(self, r):
+        """Note that a witness read nothing from `since` until now and saw the ends of attempts late."""
+        self.unread_spans[r["by"], r["connection"]].append((r["since"], r["at"]))
 
-    def take_closed(self, r):
+    def on_closed(self, r):
+        """Note that a connection closed with these attempts open."""
         connection = r["by"], r["connection"]
         for ref in r["open"]:
             self.end_attempt(connection, ref, r["at"])
 
     # servers, channels, driver
 
-    def take_ran(self, r):
-        self.ran[r["ref"]].append(r["at"])
+    def on_ran(self, r):
+        """Note an execution at the origin."""
+        self.executions[r["ref"]].append(r["at"])
 
-    def take_told(self, r):
-        self.told[r["reader"]].append((r["at"], r["cursor"]))
+    def on_told(self, r):
+        """Note that a channel delivered events up to a cursor."""
+        self.deliveries[r["reader"]].append((r["at"], r["cursor"]))
 
-    def take_router_start(self, r):
-        self.told[r["router"]].append((r["at"], r["cursor"]))
+    def on_router_start(self, r):
+        """Note the cursor of the configuration with which a router starts."""
+        self.deliveries[r["router"]].append((r["at"], r["cursor"]))
 
-    def take_listed(self, r):
-        self.listed[r["server"]].append(r)
+    def on_listed(self, r):
+        """Note a change of a server's health."""
+        self.health_changes[r["server"]].append(r)
 
-    def take_server_started(self, r):
-        self.starts[r["server"]].append(r["at"])
+    def on_server_started(self, r):
+        """Note that a server started."""
+        self.server_starts[r["server"]].append(r["at"])
 
-    def take_purge(self, r):
+    def on_purge(self, r):
+        """Add a purge."""
         self.purges.append(r)
 
-    def take_freeze(self, r):
-        self.freezing[r["router"]] = r["at"]
+    def on_freeze(self, r):
+        """Note that a router was stopped by SIGSTOP."""
+        self.freeze_starts[r["router"]] = r["at"]
 
-    def take_thaw(self, r):
-        if r["router"] in self.freezing:
-            self.frozen.add(r["router"], self.freezing.pop(r["router"]), r["at"])
+    def on_thaw(self, r):
+        """Note that a router was continued."""
+        if r["router"] in self.freeze_starts:
+            self.frozen.add(r["router"], self.freeze_starts.pop(r["router"]), r["at"])
 
-    def take_trouble(self, r):
-        """While accept fails a router cannot take what comes on new connections: no lateness of its own."""
+    def on_trouble(self, r):
+        """Note when accept calls fail: the router is not at fault for delays on new connections then."""
         if r["kind"] != "router_accept":
             return
         if r["begins"]:
-            self.freezing["accept of " + r["target"]] = r["at"]
+            self.freeze_starts["accept of " + r["target"]] = r["at"]
         else:
-            began = self.freezing.pop("accept of " + r["target"], r["at"])
+            began = self.freeze_starts.pop("accept of " + r["target"], r["at"])
             self.frozen.add("accept of " + r["target"], began, r["at"] + WIRE_S)
 
-    def take_router_killed(self, r):
+    def on_router_killed(self, r):
+        """Note that the driver killed a router."""
         self.killed[r["router"]].append(r)
 
-    def take_router_term(self, r):
+    def on_router_term(self, r):
+        """Note that the driver sent SIGTERM to a router."""
         self.terms[r["router"]].append(r["at"])
 
-    # questions
+    # queries
 
-    def told_at(self, router, cursor):
-        """When a router was told of an event: the first time at which it had a number as high; None: never."""
-        return next((at for at, number in self.told[router] if number >= cursor), None)
+    def delivered_at(self, router, cursor):
+        """Return when a router first received a cursor at least this high, or None if it never did."""
+        return next((at for at, number in self.deliveries[router] if number >= cursor), None)
 
     def router_of(self, ref):
+        """Return the name of the router that got the request, or None if the request is unknown."""
         return self.requests[ref].router if ref in self.requests else None
 
     def was_killed(self, router, begin, end):
-        """A kill as a router is to end leaves it what it owes, unless it was stopped meanwhile."""
+        """Return whether a kill in the span excuses missing answers.
+
+        A kill after SIGTERM does not, unless the router was frozen in between.
+        """
         return any(
-            begin <= r["at"] <= end and (not r["late"] or stopped_since_term(self, r))
+            begin <= r["at"] <= end and (not r["late"] or frozen_since_term(self, r))
             for r in self.killed[router]
         )
 
 
-# the answers that clients are owed
+# answers to clients
 
 
 def answers(history):
-    """Every request taken has one final answer in its time."""
+    """Check that every accepted request gets exactly one final answer in time."""
     out = []
     for request in history.requests.values():
         out += answer_of(history, request)
-    for r in history.doublings:
+    for r in history.unexpected_answers:
         detail = f"{r['by']}, connection {r['connection']}: {r['kind']} under number {r['number']}"
         if not was_cancelled(history, r):
             out.append(Violation(Invariant.ANSWER_TWICE, r["at"], None, detail))
@@ -280,7 +331,7 @@
 
 
 def was_cancelled(history, r):
-    """An answer without an open request may be that of one that was cancelled while it was on its way."""
+    """Return whether the answer may belong to a request cancelled while the answer was on its way."""
     return any(
         request.cancelled_at is not None and request.connection == (r["by"], r["connection"])
         and r["at"] - request.cancelled_at < 3.0 and not request.answers
@@ -289,6 +340,7 @@
 
 
 def answer_of(history, request):
+    """Return the violations of one request's answers."""
     if len(request.answers) > 1:
         return [violated(Invariant.ANSWER_TWICE, request, f"{len(request.answers)} answers")]
     if request.cancelled_at is not None or request.left_at is not None:
@@ -305,56 +357,70 @@
 
 
 def missing_answer(history, request, due):
+    """Return the violation of a request without an answer, unless the absence is allowed."""
     due += history.frozen.overlap(request.router, request.sent_at, history.end_at)
     if history.was_killed(request.router, request.sent_at - WIRE_S, due + WIRE_S):
         return []
     if request.ended_at is not None and request.ended_at <= due:
         if request.sent_at >= request.ended_at - CROSSED_S:
             return []
-        detail = f"the router closed {request.ended_at - request.sent_at:.3f} s after it"
+        detail = (
+            f"the router closed the connection {request.ended_at - request.sent_at:.3f} s after the request"
+        )
         return [violated(Invariant.CLOSED_UNANSWERED, request, detail)]
     if due > history.end_at:
         return []
-    return [violated(Invariant.ANSWER_MISSING, request, f"{request.kind} to {request.router}, none")]
+    return [violated(Invariant.ANSWER_MISSING, request, f"{request.kind} to {request.router}, no answer")]
 
 
 def violated(invariant, request, detail):
+    """Return a violation at the time at which the request was sent."""
     return Violation(invariant, request.sent_at, request.ref, detail)
 
 
 def bodies(history):
-    """What is served is what the origin made, of the object that was asked for, and not too old."""
+    """Check that a served body is the one produced for the requested object, and is not too old."""
     out = []
     for request in history.requests.values():
         for answer in request.answers:
             if answer["kind"] != "served" or answer["same"]:
                 continue
             if not answer["right"]:
-                out.append(violated(Invariant.BODY_WRONG, request, "not the bytes that a server made for it"))
+                out.append(
+                    violated(
+                        Invariant.BODY_WRONG,
+                        request,
+                        "body differs from what a server produced for the request",
+                    )
+                )
                 continue
             kind = world.KINDS[request.kind]
             age_s = request.sent_at - answer["made"]
             if kind.fresh_s and age_s > kind.fresh_s + kind.stale_s + WIRE_S:
-                out.append(violated(Invariant.AGED_COPY, request, f"{age_s:.2f} s old"))
+                out.append(violated(Invariant.AGED_COPY, request, f"copy is {age_s:.2f} s old"))
     return out
 
 
-# what is sent to servers
+# attempts at servers
 
 
-def after_end(history):
+def attempts_after_end(history):
+    """Check that no attempt is sent for a request that has ended."""
     out = []
     for ref, attempts in history.attempts.items():
         request = history.requests.get(ref)
-        over = request.over_at() if request is not None else None
+        finished_at = request.finished_at() if request is not None else None
         for attempt in attempts:
-            if over is not None and attempt.at > over + CANCEL_S + SEEN_S:
-                detail = f"to {attempt.server}, {attempt.at - over:.3f} s after its end"
+            if finished_at is not None and attempt.at > finished_at + CANCEL_S + SEEN_S:
+                detail = (
+                    f"attempt at {attempt.server} {attempt.at - finished_at:.3f} s after the request ended"
+                )
                 out.append(Violation(Invariant.SENT_AFTER_END, attempt.at, ref, detail))
     return out
 
 
 def deadlines(history):
+    """Check that an attempt's deadline is not later than its client's."""
     out = []
     for ref, attempts in history.attempts.items():
         request = history.requests.get(ref)
@@ -362,29 +428,33 @@
             continue
         for attempt in attempts:
             left_s = request.sent_at + request.allow_s - attempt.at
-            told_s = int(attempt.fields.get("patience", 0)) / 1000.0
-            if told_s > left_s + DEADLINE_SLACK_S + WIRE_S / 2 and not stopped_in_the_act(
+            patience_s = int(attempt.fields.get("patience", 0)) / 1000.0
+            if patience_s > left_s + DEADLINE_SLACK_S + WIRE_S / 2 and not may_have_frozen_before_send(
                 history, request, attempt
             ):
-                detail = f"{attempt.server} is told {told_s:.3f} s, its client has {left_s:.3f}"
+                detail = f"{attempt.server} was given {patience_s:.3f} s, its client has {left_s:.3f} s left"
                 out.append(Violation(Invariant.DEADLINE, attempt.at, ref, detail))
     return out
 
 
-def stopped_in_the_act(history, request, attempt):
-    """The process was stopped between its last look at the clock and the system call that sent: no process can see that."""
+def may_have_frozen_before_send(history, request, attempt):
+    """Return whether the process may have been frozen between reading the clock and sending.
+
+    No process can detect that.
+    """
     spans = history.frozen.spans[request.router]
     return any(begin - ACT_S <= attempt.at <= end + ACT_S for begin, end in spans)
 
 
 def effects(history):
-    """No effect twice: by what ran at the origin, and by what was sent though it may have run.
+    """Check that no effect runs twice, neither by executions at the origin nor by attempts.
 
-    What ran counts for single-use requests: of referenced ones the last attempt may lie at a server that hangs until after the
-    window in which its repeat is known; which attempts a router makes in that window is looked at below. A request that its
-    client itself sent again, on another connection, may run for each."""
+    Executions count for single-use requests only: the last attempt of a deduplicated request may sit at a
+    hanging server until after its deduplication window. `repeats` checks which attempts a router makes in
+    that window, after one that may have run. A request that its client resent on another connection may run once for each.
+    """
     out = []
-    for ref, times in history.ran.items():
+    for ref, times in history.executions.items():
         request = history.requests.get(ref)
         single = request is not None and world.KINDS[request.kind].effect == "fragile"
         if single and ref not in history.resent and len(times) > 1:
@@ -399,13 +469,15 @@
 
 
 def repeats(request, attempts):
-    """Attempts of an effect after one that may have run."""
+    """Return the violations by attempts made after one that may have run."""
     kind = world.KINDS[request.kind]
     may_have_run = None
     out = []
     for attempt in sorted(attempts, key=lambda a: a.seen_at):
         if may_have_run is not None and kind.effect == "fragile":
-            detail = f"a single-use request to {attempt.server} after one to {may_have_run.server}"
+            detail = (
+                f"single-use request sent to {attempt.server} after {may_have_run.server} may have run it"
+            )
             out.append(Violation(Invariant.EFFECT_TWICE, attempt.at, request.ref, detail))
         elif (
             may_have_run is not None
@@ -421,29 +493,30 @@
     return out
 
 
-def last_seen_out(history, attempt):
-    """Until when an attempt was out for sure."""
-    for since, until in history.deaf[attempt.connection]:
+def last_seen_open(history, attempt):
+    """Return the last time at which the attempt was certainly open."""
+    for since, until in history.unread_spans[attempt.connection]:
         if since <= attempt.end_at <= until + WIRE_S:
             return since
     return attempt.end_at
 
 
-def two_at_once(history):
+def concurrent_attempts(history):
+    """Check that a request never has two open attempts."""
     out = []
     for ref, attempts in history.attempts.items():
         if ref not in history.requests or ref in history.resent:
             continue
         for first, second in itertools.combinations(sorted(attempts, key=lambda a: a.seen_at), 2):
-            both_s = min(last_seen_out(history, first), last_seen_out(history, second)) - second.seen_at
-            if both_s > WIRE_S:
-                detail = f"{second.server} beside {first.server}, both out for {both_s:.3f} s"
+            overlap_s = min(last_seen_open(history, first), last_seen_open(history, second)) - second.seen_at
+            if overlap_s > WIRE_S:
+                detail = f"attempts at {first.server} and {second.server} both open for {overlap_s:.3f} s"
                 out.append(Violation(Invariant.TWO_ATTEMPTS, second.at, ref, detail))
     return out
 
 
-def drains(history):
-    """Nothing new to a server, nor from it as a source, beyond the grace after its router was told."""
+def draining_servers(history):
+    """Check that no draining or removed server gets an attempt, or is its source, after the grace."""
     out = []
     for ref, attempts in history.attempts.items():
         router = history.router_of(ref)
@@ -451,37 +524,37 @@
             continue
         for attempt in attempts:
             for server in {attempt.server, attempt.fields.get("parent", attempt.server)}:
-                moments = attempt.at, attempt.seen_at  # it came between the two
+                moments = attempt.at, attempt.seen_at  # it arrived between the two
                 late_s = min(drained_for(history, router, server, at) for at in moments)
                 if late_s > world.DRAIN_GRACE_S + WIRE_S:
-                    detail = f"{server}, {late_s:.2f} s after {router} was told that it drains or is gone"
+                    detail = f"{server}, {late_s:.2f} s after {router} learned that it is draining or removed"
                     out.append(Violation(Invariant.SENT_TO_DRAINING, attempt.at, ref, detail))
     return out
 
 
 def drained_for(history, router, server, at):
-    """Seconds since the router was told that the server takes nothing new, 0 if it may be believed to be up."""
+    """Return how long the router has known that the server is not up, or 0 if it may think it is up."""
     since = None
-    for event in history.listed[server]:
-        told = history.told_at(router, event["cursor"])
+    for event in history.health_changes[server]:
+        delivered_at = history.delivered_at(router, event["cursor"])
         if event["health"] == "up":
-            if event["at"] <= at + WIRE_S:  # it may have been told by now
+            if event["at"] <= at + WIRE_S:  # the router may already know
                 since = None
-        elif told is not None and told <= at:
-            since = told if since is None else since
+        elif delivered_at is not None and delivered_at <= at:
+            since = delivered_at if since is None else since
     if since is None:
         return 0.0
     return at - since
 
 
 def slow_starts(history):
-    """All routers together stay under what a cold server bears, counted from its start."""
+    """Check that all routers together stay within the slow start limit of a cold server."""
     out = []
     by_server = collections.defaultdict(list)
     for ref, attempts in history.attempts.items():
         for attempt in attempts:
             by_server[attempt.server].append((attempt.at, history.router_of(ref)))
-    for server, starts in history.starts.items():
+    for server, starts in history.server_starts.items():
         calls = sorted(by_server[server], key=lambda call: call[0])
         for start in starts:
             out += overruns(history, server, start, calls)
@@ -489,34 +562,45 @@
 
 
 def overruns(history, server, start, calls):
+    """Return the first violation of the slow start limit after a server's start."""
     cursor = next(
-        (e["cursor"] for e in history.listed[server] if e["at"] >= start - WIRE_S and e["health"] == "up"),
+        (
+            e["cursor"]
+            for e in history.health_changes[server]
+            if e["at"] >= start - WIRE_S and e["health"] == "up"
+        ),
         None,
     )
     window = collections.deque()
     for at, router in calls:
         if not start <= at <= start + world.SLOW_START_S:
             continue
-        told = history.told_at(router, cursor) if router and cursor else None
-        window.append((at, told is not None and told <= at))
+        delivered_at = history.delivered_at(router, cursor) if router and cursor else None
+        window.append((at, delivered_at is not None and delivered_at <= at))
         while at - window[0][0] > world.SLOW_START_WINDOW_S:
             window.popleft()
-        most = slow_start_call_limit(at - start)
-        if len(window) > most and sum(knew for _, knew in window) > len(window) * 2 / 3:
-            detail = f"{len(window)} calls in {world.SLOW_START_WINDOW_S} s, {at - start:.2f} s after its start; {most:.1f} allowed"
+        limit = slow_start_call_limit(at - start)
+        if len(window) > limit and sum(informed for _, informed in window) > len(window) * 2 / 3:
+            detail = (
+                f"{len(window)} calls in {world.SLOW_START_WINDOW_S} s, {at - start:.2f} s after its start;"
+                f" {limit:.1f} allowed"
+            )
             return [Violation(Invariant.SLOW_START, at, None, f"{server}: {detail}")]
     return []
 
 
 def slow_start_call_limit(age_s):
+    """Return the limit on calls in one window, with an allowance for random variation."""
     calls = world.slow_start_calls(age_s)
     root = calls**0.5
     return calls + 3.0 * root + 3.0 if calls < 30 else calls + 2.0 * root + 2.0
 
 
 def purged_copies(history):
-    """No answer to a request that a router sent on (or answered itself) beyond the grace after it was told of a purge is
-    older than that purge."""
+    """Check that no answer is older than a purge that its router had known for longer than the grace.
+
+    The time of the last attempt counts, or that of the request where the router answered it itself.
+    """
     out = []
     of_object = collections.defaultdict(list)
     for purge in history.purges:
@@ -530,61 +614,63 @@
 
 
 def purged_copy(history, request, answer, purges):
+    """Return the violation of an answer older than a purge that its router knew, if there is one."""
     attempts = [a.at for a in history.attempts.get(request.ref, ()) if a.at <= answer["at"] + WIRE_S]
     decided_at = max(attempts, default=request.sent_at)
     times = [purge["at"] for purge in purges]
     for purge in purges[bisect.bisect_right(times, answer["made"]) :]:
-        told = history.told_at(request.router, purge["cursor"])
-        if told is None:
+        delivered_at = history.delivered_at(request.router, purge["cursor"])
+        if delivered_at is None:
             continue
-        late_s = decided_at - told
+        late_s = decided_at - delivered_at
         if late_s > world.PURGE_GRACE_S + WIRE_S:
             age_s = purge["at"] - answer["made"]
             detail = (
-                f"{request.object}: a copy of {age_s:.2f} s before a purge that was known for {late_s:.2f} s"
+                f"{request.object}: copy from {age_s:.2f} s before a purge that was known for {late_s:.2f} s"
             )
             return [violated(Invariant.PURGED_COPY, request, detail)]
     return []
 
 
-# the processes
+# router processes
 
 
 def processes(history):
+    """Check that routers become ready, stop in time and exit cleanly."""
     out = []
     for r in history.records:
         if r["event"] == "router_not_ready":
             out.append(Violation(Invariant.NOT_READY, r["at"], None, r["router"]))
-        elif r["event"] == "router_killed" and r["late"] and not stopped_since_term(history, r):
+        elif r["event"] == "router_killed" and r["late"] and not frozen_since_term(history, r):
             out.append(Violation(Invariant.STOP_LATE, r["at"], None, r["router"]))
         elif r["event"] == "router_exit":
             out += exit_of(history, r)
     return out
 
 
-def stopped_since_term(history, r):
-    """Whether the process was stopped (SIGSTOP) while it was to end."""
+def frozen_since_term(history, r):
+    """Return whether the process was frozen (SIGSTOP) between SIGTERM and the kill."""
     term_at = max(at for at in history.terms[r["router"]] if at <= r["at"])
     return history.frozen.overlap(r["router"], term_at, r["at"]) > 0
 
 
 def exit_of(history, r):
-    """A router ends by SIGKILL from the driver or with 0 after SIGTERM."""
-    ours = {x["process"] for x in history.records if x["event"] == "router_killed"}
-    told = {x["process"] for x in history.records if x["event"] == "router_term"}
-    if r["process"] in ours or (r["process"] in told and r["code"] == 0):
+    """Return a violation unless the driver killed the router or it exited with 0 after SIGTERM."""
+    killed = {x["process"] for x in history.records if x["event"] == "router_killed"}
+    terminated = {x["process"] for x in history.records if x["event"] == "router_term"}
+    if r["process"] in killed or (r["process"] in terminated and r["code"] == 0):
         return []
-    return [Violation(Invariant.CRASH, r["at"], None, f"{r['router']} ended with {r['code']}")]
+    return [Violation(Invariant.CRASH, r["at"], None, f"{r['router']} exited with status {r['code']}")]
 
 
 CHECKS = (
     answers,
     bodies,
-    after_end,
+    attempts_after_end,
     deadlines,
     effects,
-    two_at_once,
-    drains,
+    concurrent_attempts,
+    draining_servers,
     slow_starts,
     purged_copies,
     processes,
@@ -592,25 +678,25 @@
 
 
 def judge(records):
-    """All violations of a run, in the order of their times."""
+    """Return all violations of a run in the order of their times, and the history."""
     history = History(records)
     found = [violation for check in CHECKS for violation in check(history)]
     return sorted(found, key=lambda violation: violation.at), history
 
 
 def overlaps(records):
-    """How often each pair and triple of kinds of trouble really stood at the same time."""
-    standing = {}
+    """Return how often each pair and triple of kinds of trouble was active at the same time."""
+    active = {}
     counts = collections.Counter()
     for r in records:
         if r["event"] != "trouble":
             continue
         key = r["kind"], r["target"]
         if not r["begins"]:
-            standing.pop(key, None)
+            active.pop(key, None)
             continue
-        others = sorted({kind for kind, _ in standing if kind != r["kind"]})
-        standing[key] = r["at"]
+        others = sorted({kind for kind, _ in active if kind != r["kind"]})
+        active[key] = r["at"]
         for index, first in enumerate(others):
             counts["+".join(sorted((first, r["kind"])))] += 1
             for second in others[index + 1 :]:
--- a/benchmarks/soak/records.py
+++ b/benchmarks/soak/records.py
@@ -1,4 +1,4 @@
-"""What the processes of a soak saw: one JSON line an event, by the machine's steady clock, which all of them share."""
+"""Records of a soak's processes: one JSON line per event, timed by the shared monotonic clock."""
 
 import json
 import os
@@ -9,7 +9,7 @@
 
 
 class Recorder:
-    """Appends a process's events to its file; each line reaches the system at once, so that a kill loses none."""
+    """Appends events of one process to its file, each by its own write call so that a kill loses none."""
 
     def __init__(self, folder, name):
         self.name = name
@@ -17,12 +17,13 @@
         self.handle = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o640)
 
     def __call__(self, event, at=None, **values):
+        """Append an event, timed now unless `at` is given."""
         line = {"at": time.monotonic() if at is None else at, "by": self.name, "event": event, **values}
         os.write(self.handle, json.dumps(line).encode() + b"\n")
 
 
 def read_records(folder):
-    """All events of a folder, in the order of their times. A line that a kill cut off is left out."""
+    """Return all events of a folder in the order of their times, without lines cut short by a kill."""
     events = []
     for path in sorted(Path(folder).glob(f"*{SUFFIX}")):
         for line in path.read_bytes().splitlines():
