--- a/benchmarks/soak/faults.py
+++ b/benchmarks/soak/faults.py
@@ -1,6 +1,8 @@
-"""Faults to plant in a router, one for each invariant of the judge: python -m benchmarks.soak.faults NAME
+"""Runs a router with a planted fault, by `python -m benchmarks.soak.faults NAME`.
 
-A planted fault gets past the checks at run time on purpose: what is tried is whether the soak finds it from outside."""
+There is at least one fault for each invariant of the judge. A planted fault bypasses the router's own checks
+on purpose: the soak must find it from outside.
+"""
 
 import asyncio
 import os
@@ -8,11 +10,11 @@
 import sys
 import time
 
-chance = random.Random(7)
+rng = random.Random(7)
 
 
-def no_checks():
-    """The engine's own checks let everything pass."""
+def disable_checks():
+    """Make the engine's own checks accept everything."""
     from brookhinge.engine.invariants import Invariants
     from brookhinge.net.write_guard import WriteGuard
 
@@ -21,21 +23,23 @@
 
 
 def answer_missing():
+    """Drop some replies."""
     from brookhinge.net.client_connections import ClientConnections
 
     real = ClientConnections.reply
     ClientConnections.reply = lambda self, client, number, wire: (
-        chance.random() < 0.005 or real(self, client, number, wire)
+        rng.random() < 0.005 or real(self, client, number, wire)
     )
 
 
 def answer_late():
+    """Delay some replies by 4 seconds."""
     from brookhinge.net.client_connections import ClientConnections
 
     real = ClientConnections.reply
 
     def reply(self, client, number, wire):
-        if chance.random() < 0.005:
+        if rng.random() < 0.005:
             asyncio.get_running_loop().call_later(4.0, real, self, client, number, wire)
         else:
             real(self, client, number, wire)
@@ -44,20 +48,21 @@
 
 
 def answer_twice():
+    """Write some data to clients twice."""
     from brookhinge.net.client_connections import ClientConnections
 
     real = ClientConnections.write
 
     def write(self, client, wire):
         real(self, client, wire)
-        if chance.random() < 0.01:
+        if rng.random() < 0.01:
             real(self, client, wire)
 
     ClientConnections.write = write
 
 
 def closed_unanswered():
-    """Idle connections are closed by the time of the last call alone, whatever is open on them."""
+    """Close connections by the time of their last call alone, even with open requests."""
     from brookhinge.decisions.rules import CloseReason
     from brookhinge.net.client_connections import ClientConnections
 
@@ -73,17 +78,18 @@
 
 
 def body_wrong():
+    """Cut the last byte off some bodies."""
     from brookhinge.net.client_connections import ClientConnections
 
     real = ClientConnections.respond
     ClientConnections.respond = lambda self, effect: real(
         self,
-        effect._replace(body=effect.body[:-1] if chance.random() < 0.01 else effect.body),
+        effect._replace(body=effect.body[:-1] if rng.random() < 0.01 else effect.body),
     )
 
 
 def sent_after_end():
-    """A cancel, and a client's end, are not heeded."""
+    """Ignore cancels and disconnects of clients."""
     from brookhinge.engine.client_events import ClientEvents
     from brookhinge.net.client_connections import ClientConnections
 
@@ -93,29 +99,30 @@
 
 
 def effect_twice():
-    """An attempt that broke is taken for one that never ran."""
+    """Treat a failed attempt as one that never ran."""
     from brookhinge.decisions import rules
 
-    no_checks()
+    disable_checks()
     rules.NEVER_RAN = frozenset((*rules.NEVER_RAN, "broken", "errored", "timeout"))
 
 
 def two_attempts():
-    """What is given up is not told to its server."""
+    """Do not tell a server that its attempt was cancelled."""
     from brookhinge.net.upstream_connections import UpstreamConnections
 
     def cancel_attempt(self, effect):
         self.placements.pop((effect.request_id, effect.attempt), None)
 
     UpstreamConnections.cancel_attempt = cancel_attempt
-    no_checks()
+    disable_checks()
 
 
 def sent_to_draining():
+    """Send to draining servers as to any other."""
     from brookhinge.decisions import rules
     from brookhinge.decisions.endpoints import EndpointTable
 
-    no_checks()
+    disable_checks()
     rules.may_send_to = lambda state: state != "gone"
     EndpointTable.is_ready_local_cache = lambda self, c: (
         self.role[c] == "cache" and self.zone[c] == self.own_zone and self.state[c] != "gone"
@@ -123,22 +130,23 @@
 
 
 def slow_start():
+    """Admit every call during slow start."""
     from brookhinge.decisions.slow_start import SlowStartBudget
 
-    no_checks()
+    disable_checks()
     SlowStartBudget.admits = lambda self, *values, **named: True
 
 
 def purged_copy():
-    """Purges are passed over."""
+    """Ignore purges."""
     from brookhinge.decisions.router import Router
 
-    no_checks()
+    disable_checks()
     Router.on_purge = lambda self, purge: None
 
 
 def aged_copy():
-    """The age that a class allows is passed over for copies of its own."""
+    """Ignore the maximum age of a class for the router's own copies."""
     from brookhinge.decisions.router import Router
 
     real = Router.respond_from_copy
@@ -156,7 +164,7 @@
 
 
 def deadline():
-    """Servers are told the whole time of the class."""
+    """Give each server a timeout of 2.9 s, whatever time the client has left."""
     from brookhinge.net import cachewire
 
     real = cachewire.encode_pull
@@ -164,14 +172,14 @@
 
 
 def crash():
-    """A new configuration ends the process."""
+    """Exit when a new configuration is loaded."""
     from brookhinge.net.service import Service
 
     Service.reload = lambda self, site: os._exit(3)
 
 
 def not_ready():
-    """A second start waits for what never comes."""
+    """Hang at the second start of router r0."""
     if os.environ.get("BALANCER_CONFIG", "").endswith("r0.json"):
         marker = os.environ["BALANCER_CONFIG"] + ".started"
         if os.path.exists(marker):
@@ -180,7 +188,7 @@
 
 
 def stop_late():
-    """The end waits for clients to leave."""
+    """Wait for all clients to disconnect before the process exits."""
     from brookhinge.net.graceful_shutdown import GracefulShutdown
 
     real = GracefulShutdown.check_done
@@ -195,14 +203,14 @@
 
 
 def wall_clock():
-    """Spans are those of the wall clock, as they were before."""
+    """Measure time by the wall clock, as the router once did."""
     from brookhinge.net.service import Service
 
     Service.now = lambda self: time.time() - self.started_at
 
 
 def backlog():
-    """The end closes its listener over the backlog, as it did before."""
+    """Close the listener with connections left in its backlog, as the router once did."""
     from brookhinge.net.listener import Listener
 
     def stop(self):
--- a/benchmarks/soak/judge.py
+++ b/benchmarks/soak/judge.py
@@ -451,7 +451,7 @@
 
     Executions count for single-use requests only: the last attempt of a deduplicated request may sit at a
     hanging server until after its deduplication window. `repeats` checks which attempts a router makes in
-    that window, after one that may have run. A request that its client resent on another connection may run once for each.
+    that window. A request that its client resent on another connection may run once for each.
     """
     out = []
     for ref, times in history.executions.items():
