--- a/benchmarks/soak/channel.py
+++ b/benchmarks/soak/channel.py
@@ -1,4 +1,4 @@
-"""A command channel of the soak: one port for each reader, so that it is known who was told what, and when."""
+"""A command channel of the soak, with a port per reader so that deliveries are recorded by reader."""
 
 import asyncio
 import json
@@ -8,25 +8,32 @@
 
 
 class Channel:
-    """spec: ports: {reader: port}; events: those of before, with their numbers."""
+    """One command channel.
 
-    def __init__(self, spec, record, chance):
+    Its spec holds `ports`, a map of readers to ports, and `events`, the earlier events with their cursors.
+    """
+
+    def __init__(self, spec, record, rng):
         self.record = record
         self.ports = spec["ports"]
         self.events = spec["events"]
-        self.news = asyncio.Event()
+        self.published = asyncio.Event()
         self.listeners = []
         self.writers = set()
         self.silent_until = self.down_until = self.slow_until = 0.0
 
     async def begin(self):
+        """Start to accept connections."""
         await self.listen()
 
     async def listen(self):
+        """Open the port of every reader."""
         for reader, port in self.ports.items():
             self.listeners.append(await asyncio.start_server(self.serving(reader), world.HOST, port))
 
     def serving(self, name):
+        """Return the connection handler of a reader."""
+
         async def serve(reader, writer):
             await self.serve(name, reader, writer)
 
@@ -35,20 +42,21 @@
     # orders of the driver
 
     def tell(self, events):
+        """Publish events."""
         self.events += events
-        self.news.set()
-        self.news = asyncio.Event()
+        self.published.set()
+        self.published = asyncio.Event()
 
     def silent(self, for_s):
-        """Polls are taken and not answered, on connections that stay open."""
+        """Accept polls without answering them for a while, on connections that stay open."""
         self.silent_until = time.monotonic() + for_s
 
     def slow(self, for_s):
-        """Each answer is written in pieces, with pauses."""
+        """Write each response in two pieces with a pause between them, for a while."""
         self.slow_until = time.monotonic() + for_s
 
     def down(self, for_s):
-        """Connections end, some in the middle of what they say; new ones are refused."""
+        """Close all connections, perhaps within a response, and refuse new ones for a while."""
         for listener in self.listeners:
             listener.close()
         self.listeners = []
@@ -59,13 +67,14 @@
     # readers
 
     async def serve(self, name, reader, writer):
+        """Answer the polls on one connection."""
         self.writers.add(writer)
         try:
             while words := (await reader.readuntil(b"\r\n\r\n")).decode().split():
-                asked = dict(pair.split("=") for pair in words[1].partition("?")[2].split("&"))
-                rows, cursor = await self.news_for(int(asked["resume"]), int(asked["block"]) / 1000.0)
+                query = dict(pair.split("=") for pair in words[1].partition("?")[2].split("&"))
+                rows, cursor = await self.events_after(int(query["resume"]), int(query["block"]) / 1000.0)
                 if reader.at_eof():
-                    return  # it has gone to another channel: it is told nothing here
+                    return  # the reader switched to another channel, so nothing is delivered here
                 await self.answer(writer, rows, cursor)
                 if rows:
                     self.record("told", reader=name, cursor=cursor)
@@ -75,20 +84,21 @@
             self.writers.discard(writer)
             writer.close()
 
-    async def news_for(self, resume, block_s):
-        """What is told after a number, once there is something or the wait is over; and the last number."""
+    async def events_after(self, resume, block_s):
+        """Wait for events after a cursor or the end of the block time; return them and the last cursor."""
         until = time.monotonic() + block_s
-        while self.last() <= resume and time.monotonic() < until:
+        while self.last_cursor() <= resume and time.monotonic() < until:
             try:
-                await asyncio.wait_for(self.news.wait(), max(0.001, until - time.monotonic()))
+                await asyncio.wait_for(self.published.wait(), max(0.001, until - time.monotonic()))
             except TimeoutError:
                 break
         while time.monotonic() < self.silent_until:
             await asyncio.sleep(0.02)
         rows = [event for event in self.events if event["cursor"] > resume]
-        return rows, max(resume, self.last())
+        return rows, max(resume, self.last_cursor())
 
     async def answer(self, writer, rows, cursor):
+        """Write one response."""
         body = json.dumps({"cursor": cursor, "cmds": rows}).encode()
         data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
         if time.monotonic() < self.slow_until:
@@ -99,7 +109,8 @@
         writer.write(data)
         await writer.drain()
 
-    def last(self):
+    def last_cursor(self):
+        """Return the cursor of the last event, or 0."""
         return self.events[-1]["cursor"] if self.events else 0
 
 
--- a/benchmarks/soak/process.py
+++ b/benchmarks/soak/process.py
@@ -1,4 +1,4 @@
-"""What the stand-in processes of a soak have in common: a spec at their start, orders on standard input, records."""
+"""Runs a stand-in process of the soak: reads its spec, follows orders on stdin and records events."""
 
 import asyncio
 import json
@@ -11,22 +11,27 @@
 
 
 def start(make):
-    """Runs the stand-in that `make(spec, record, chance)` returns: `await begin()`, then `order(method, values)` for each
-    line of orders, until the driver closes standard input."""
+    """Run a stand-in until the driver closes standard input.
+
+    Args:
+        make: Returns the stand-in for (spec, record, rng). Its `begin` is awaited first, then each
+            line of orders calls the method named by its `do` with the other values.
+    """
     spec = json.loads(sys.argv[1])
     world.use_deadlines(spec["deadlines"])
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the driver ends us
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the driver ends this process
     asyncio.run(serve(make, spec))
 
 
 async def serve(make, spec):
+    """Create the stand-in, report that it is ready and carry out its orders."""
     record = Recorder(spec["folder"], spec["name"])
-    part = make(spec, record, random.Random(f"{spec['seed']} {spec['name']}"))
-    await part.begin()
+    stand_in = make(spec, record, random.Random(f"{spec['seed']} {spec['name']}"))
+    await stand_in.begin()
     print("ready", flush=True)
     reader = asyncio.StreamReader(limit=1 << 24)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
         order = json.loads(line)
-        getattr(part, order.pop("do"))(**order)
+        getattr(stand_in, order.pop("do"))(**order)
--- a/benchmarks/soak/server.py
+++ b/benchmarks/soak/server.py
@@ -1,8 +1,10 @@
 """A scripted cache server, parent or origin of the soak.
 
-It keeps copies, fills from the source that a request names, runs requests that go through at the origin, and honours the oldest
-copy that will do. Ages are told by the steady clock; only the stamps that it sends out are of the wall clock. It never answers
-'unchanged': the bytes tell when they were made, and a copy that was renewed without them would be judged by that."""
+It keeps copies, fills from the source that a request names, executes pass-through requests at the origin, and
+respects the maximum age that a request accepts. Ages are measured by the monotonic clock; only the timestamps
+that it sends are of the wall clock. It never answers 'unchanged': a body contains the time at which it was
+made, and the judge would apply that time to a copy that was revalidated without a new body.
+"""
 
 import asyncio
 import time
@@ -15,21 +17,27 @@
 from brookhinge.net import cachewire
 from brookhinge.net.errors import UnreadableError
 
-READ = 1 << 16
+READ_BYTES = 1 << 16
 
 
 class Copy(NamedTuple):
+    """A cached object."""
+
     version: int
-    made: float  # steady clock, when the origin gave it out
-    dated_ms: int  # the same by the origin's wall clock
+    made: float  # monotonic time at which the origin produced it
+    dated_ms: int  # the same time by the origin's wall clock
 
 
 class Server:
-    """spec: role, port, sources: {id: port} of those it may fill from, seed, folder, name."""
+    """One scripted server.
+
+    Its spec holds `role`, `port`, `name`, `seed`, `folder`, `origin_id` and `sources`, a map of the ids of
+    possible fill sources to ports. It may hold `purged`, a map of object names to the times of their purges.
+    """
 
-    def __init__(self, spec, record, chance):
+    def __init__(self, spec, record, rng):
         self.role, self.port, self.name = spec["role"], spec["port"], spec["name"]
-        self.record, self.chance = record, chance
+        self.record, self.rng = record, rng
         self.sources = spec["sources"]
         self.origin_id = spec["origin_id"]
         self.slow, self.fail_rate, self.refuse_rate = 1.0, 0.0, 0.0
@@ -37,34 +45,39 @@
         self.sessions, self.links, self.ran = set(), {}, {}
 
     async def begin(self):
+        """Start to accept connections."""
         self.listener = await asyncio.start_server(self.session, world.HOST, self.port, backlog=512)
 
     # orders of the driver
 
     def behave(self, slow=None, fail_rate=None, refuse_rate=None):
+        """Set the slowdown factor and the rates of failed and refused requests; None keeps a value."""
         self.slow = self.slow if slow is None else slow
         self.fail_rate = self.fail_rate if fail_rate is None else fail_rate
         self.refuse_rate = self.refuse_rate if refuse_rate is None else refuse_rate
 
     def change(self, names, at, after_s):
-        """The objects have other bytes from `at` on (at the origin), and old copies go after a while (elsewhere)."""
+        """Give objects a new version at the origin; elsewhere drop copies from before `at` after a delay."""
         if self.role == world.ORIGIN:
             for name in names:
                 self.versions[name] = self.versions.get(name, 0) + 1
         else:
-            wait_s = max(0.0, at + after_s - time.monotonic())  # also if this process was stopped meanwhile
+            # Not below 0 if this process was frozen meanwhile.
+            wait_s = max(0.0, at + after_s - time.monotonic())
             asyncio.get_running_loop().call_later(wait_s, self.forget, names, at)
 
     def forget(self, names, at):
+        """Reject copies of the objects made at or before `at`."""
         for name in names:
             self.purged[name] = max(at, self.purged.get(name, 0.0))
 
     # connections
 
     async def session(self, reader, writer):
+        """Serve one connection."""
         commands, tasks = protocol.CommandSplitter(), {}
         try:
-            while data := await reader.read(READ):
+            while data := await reader.read(READ_BYTES):
                 for command, name, *rest in commands.feed(data):
                     if command == "pull":
                         tasks[name] = asyncio.ensure_future(self.answer(writer, name, *rest))
@@ -80,6 +93,7 @@
             writer.close()
 
     async def answer(self, writer, name, raw, body):
+        """Serve one request and write its response."""
         try:
             word, fields, data = await self.serve(name, raw)
         except protocol.UnusableRequestError:
@@ -90,48 +104,52 @@
     # requests
 
     async def serve(self, name, raw):
+        """Return the response to a request as (word, fields, body), possibly slow, refused or failed."""
         pull = protocol.decode_request(raw)
         kind = world.KINDS.get(pull.request_class.decode(), world.KINDS["page"])
-        if self.chance.random() < self.refuse_rate:
+        if self.rng.random() < self.refuse_rate:
             return b"full", [], b""
-        await asyncio.sleep(self.chance.uniform(0.004, 0.016) * self.slow)
-        if self.chance.random() < self.fail_rate:
+        await asyncio.sleep(self.rng.uniform(0.004, 0.016) * self.slow)
+        if self.rng.random() < self.fail_rate:
             return b"failed", [], b""
         if kind.through:
             return await self.run_through(name, raw, pull, kind)
         return await self.read(name, pull, kind)
 
     async def run_through(self, name, raw, pull, kind):
-        """Requests that leave no copy: the origin runs them, others hand them on."""
+        """Execute an uncacheable request at the origin; elsewhere forward it."""
         if self.role == world.ORIGIN:
             return self.run(name.partition(b".")[0].decode(), pull, kind)
         if not pull.source:
             return b"absent", [], b""
-        beyond = self.origin_id if self.role == world.CACHE and pull.source != self.origin_id else ""
-        return await self.ask(pull.source, name, pull, kind, beyond, 0.0)
+        next_source = self.origin_id if self.role == world.CACHE and pull.source != self.origin_id else ""
+        return await self.ask(pull.source, name, pull, kind, next_source, 0.0)
 
     def run(self, ref, pull, kind):
-        """The effect of a request; within the window a repeat is known and dropped."""
+        """Execute a request, unless it repeats one within the deduplication window."""
         now, first = time.monotonic(), self.ran.get(ref)
         if first is None or now - first > kind.window_s:
             self.ran[ref] = now
             self.record("ran", ref=ref, kind=kind.name)
-        return self.made(pull, b"hit")
+        return self.fresh_response(pull, b"hit")
 
-    def made(self, pull, note):
+    def fresh_response(self, pull, note):
+        """Return a response with a body produced now."""
         name, now = pull.object_key.decode(), time.monotonic()
         copy = Copy(self.versions.get(name, 0), now, round(time.time() * 1000))
-        return self.good(pull, copy, note)
+        return self.data_response(pull, copy, note)
 
-    def good(self, pull, copy, note):
+    def data_response(self, pull, copy, note):
+        """Return a response with the body of a copy."""
         name, tag = pull.object_key.decode(), b"v%d.%d" % (copy.version, copy.made * 1000)
         fields = [(b"n", note), (b"digest", tag), (b"dated", b"%d" % copy.dated_ms)]
         fields.append((b"lot", b"%d" % world.group_of(name)))
         return b"data", fields, world.body_of(name, pull.part, copy.version, copy.made)
 
     async def read(self, name, pull, kind):
+        """Serve a cacheable request from a copy or fill it from the source."""
         if self.role == world.ORIGIN:
-            return self.made(pull, b"hit")
+            return self.fresh_response(pull, b"hit")
         key, now = (pull.object_key.decode(), pull.part), time.monotonic()
         copy, oldest_s = self.copies.get(key), pull.max_age_s or kind.fresh_s or float("inf")
         if copy is not None and copy.made <= self.purged.get(key[0], 0.0):
@@ -139,28 +157,32 @@
             del self.copies[key]
         if copy is not None and now - copy.made <= oldest_s:
             stale = kind.fresh_s and now - copy.made > kind.fresh_s
-            return self.good(pull, copy, b"stale" if stale else b"hit")
+            return self.data_response(pull, copy, b"stale" if stale else b"hit")
         if not pull.source:
             return b"absent", [], b""
         return await self.fill(key, name, pull, kind, oldest_s)
 
     async def fill(self, key, name, pull, kind, oldest_s):
-        beyond = "" if pull.cached_only or pull.source == self.origin_id else self.origin_id
+        """Fetch an object from the source and keep it."""
+        next_source = "" if pull.cached_only or pull.source == self.origin_id else self.origin_id
         accept_s = 0.0 if oldest_s == float("inf") else oldest_s
-        word, fields, body = await self.ask(pull.source, name, pull, kind, beyond, accept_s)
+        word, fields, body = await self.ask(pull.source, name, pull, kind, next_source, accept_s)
         if word == b"absent":
             return b"absent", [(b"n", b"src_lacks")], b""
         if word != b"data":
             return word, fields, body
-        told, (_, _, version, made) = dict(fields), world.read_body(body)
-        copy = Copy(version, made, int(told[b"dated"]))
+        response_fields, (_, _, version, made) = dict(fields), world.read_body(body)
+        copy = Copy(version, made, int(response_fields[b"dated"]))
         if copy.made > self.purged.get(key[0], 0.0):
             self.copies[key] = copy
-        via_origin = pull.source == self.origin_id or told.get(b"n") in (b"filled", b"via_origin")
-        return self.good(pull, copy, b"via_origin" if via_origin else b"filled")
+        came_from_origin = pull.source == self.origin_id or response_fields.get(b"n") in (
+            b"filled",
+            b"via_origin",
+        )
+        return self.data_response(pull, copy, b"via_origin" if came_from_origin else b"filled")
 
-    async def ask(self, source, name, pull, kind, beyond, accept_s):
-        """One request to another server, over a connection kept to it; the answer as (word, fields, body)."""
+    async def ask(self, source, name, pull, kind, next_source, accept_s):
+        """Send a request to another server on a persistent connection; return (word, fields, body)."""
         port = self.sources.get(source)
         if port is None:
             return b"full", [(b"n", b"src_refused")], b""
@@ -168,7 +190,7 @@
         try:
             if link is None or link.closed:
                 link = self.links[source] = await Link.connect(port)
-            return await link.ask(name, pull, kind, beyond, accept_s)
+            return await link.ask(name, pull, kind, next_source, accept_s)
         except ConnectionRefusedError:
             return b"full", [(b"n", b"src_refused")], b""
         except (TimeoutError, OSError):
@@ -176,10 +198,11 @@
 
 
 class Link:
-    """A connection to a source, with many requests open."""
+    """A persistent connection to a source, with several open requests."""
 
     @classmethod
     async def connect(cls, port):
+        """Connect to a source and start to read."""
         link = cls()
         link.reader, link.writer = await asyncio.wait_for(asyncio.open_connection(world.HOST, port), 1.0)
         link.waiting, link.closed = {}, False
@@ -187,9 +210,10 @@
         return link
 
     async def read(self):
+        """Read responses until the connection closes."""
         answers = cachewire.AnswerSplitter()
         try:
-            while data := await self.reader.read(READ):
+            while data := await self.reader.read(READ_BYTES):
                 for name, word, fields, body in answers.feed(data):
                     future = self.waiting.pop(name, None)
                     if future is not None and not future.done():
@@ -202,7 +226,8 @@
             if not future.done():
                 future.set_exception(ConnectionResetError())
 
-    async def ask(self, name, pull, kind, beyond, accept_s):
+    async def ask(self, name, pull, kind, next_source, accept_s):
+        """Send a request and return the response as (word, fields, body)."""
         patience_s = min(pull.timeout_s, world.LONGEST_S)
         tag = b"%b.%d" % (name, len(self.waiting)) if name in self.waiting else name
         self.waiting[tag] = future = asyncio.get_running_loop().create_future()
@@ -215,7 +240,7 @@
             object_key=pull.object_key,
             part=b"%d" % pull.part,
             deadline=0.0,
-            fill_from=beyond,
+            fill_from=next_source,
             retention=0,
             max_age_s=accept_s,
             joins_fill=True,
--- a/benchmarks/soak/world.py
+++ b/benchmarks/soak/world.py
@@ -1,4 +1,4 @@
-"""What stands in a soak: classes, limits, servers, and the configuration of a router among them."""
+"""Request classes, limits, object names and bodies of a soak, and the configuration of its routers."""
 
 import os
 import zlib
@@ -6,7 +6,7 @@
 
 from brookhinge.emulator.ports import own_host
 
-# A loopback address that no other soak uses: the driver chooses it, its processes find it in their environment.
+# Loopback address that no other soak uses. The driver chooses it; its processes read it from the environment.
 HOST = os.environ.setdefault("SOAK_HOST", own_host())
 NS = 1e9
 ZONE = "edge-1"
@@ -16,15 +16,15 @@
 ORIGIN = "origin"
 OBJECTS = 300
 GROUPS = 16
-SIZE_KB = 25.0  # of every part, as the settings count it; the bytes on the socket are fewer
+SIZE_KB = 25.0  # size of every part according to the settings; fewer bytes go over the socket
 FLOW_KB_S = 1000.0
-WORK_S = SIZE_KB / FLOW_KB_S  # seconds of sending of one call
-POWER = 2  # transfers at once that a warm server does
+WORK_S = SIZE_KB / FLOW_KB_S  # transfer time of one call
+POWER = 2  # concurrent transfers of a warm server
 SLOW_START_SHARE = 0.04
 SLOW_START_S = 20.0
 SLOW_START_MULTIPLE = 1.0
 SLOW_START_WINDOW_S = 1.0
-PURGED_EVERYWHERE_S = 5.0  # after a purge no server holds an old copy any more
+PURGED_EVERYWHERE_S = 5.0  # this long after a purge no server holds an old copy
 CONNECT_S = 0.6
 IDLE_S = 8.0
 MULTIPLEX = 16
@@ -35,59 +35,72 @@
 
 @dataclass(frozen=True)
 class Kind:
-    """A class of requests. Times are seconds; fresh_s 0: good until purged."""
+    """A class of requests.
+
+    Attributes:
+        name: Name of the class.
+        effect: 'retryable', 'dedup' or 'fragile', as in the settings.
+        deadline_s: Default deadline of a request.
+        share: Share of all requests.
+        fresh_s: Time for which a copy is fresh; 0 if it is valid until purged.
+        stale_s: Time for which a copy may be served stale after that.
+        through: Whether requests are not cached but run at the origin.
+        window_s: Deduplication window.
+    """
 
     name: str
-    effect: str  # 'retryable', 'dedup' or 'fragile', as the settings name it
+    effect: str
     deadline_s: float
-    share: float  # of the requests
+    share: float
     fresh_s: float = 0.0
     stale_s: float = 0.0
     through: bool = False
     window_s: float = 0.0
 
 
-USUAL = (
+DEFAULT_KINDS = (
     Kind("page", "retryable", 2.5, 0.66),
     Kind("feed", "retryable", 2.0, 0.12, fresh_s=2.0, stale_s=2.0),
     Kind("order", "fragile", 2.5, 0.12, through=True),
     Kind("form", "dedup", LONGEST_S, 0.10, through=True, window_s=2.0),
 )
-KINDS = {kind.name: kind for kind in USUAL}
+KINDS = {kind.name: kind for kind in DEFAULT_KINDS}
 
 
 def use_deadlines(scale):
-    """Classes with deadlines of so much of the usual ones, in this process from now on."""
-    for kind in USUAL:
+    """Scale the deadlines of all classes by a factor, in this process from now on."""
+    for kind in DEFAULT_KINDS:
         KINDS[kind.name] = replace(kind, deadline_s=kind.deadline_s * scale)
 
 
 def longest_s():
+    """Return the longest deadline of all classes."""
     return max(kind.deadline_s for kind in KINDS.values())
 
 
 def kill_after_s():
-    """From SIGTERM to the earliest SIGKILL."""
+    """Return the time from SIGTERM to SIGKILL."""
     return min(LONGEST_S, longest_s()) + 0.7
 
 
 def object_name(number):
-    """The object's id, 16 hex digits; its first two are its group."""
+    """Return the id of an object: 16 hexadecimal digits, of which the first two are its group."""
     return f"{number % GROUPS:02x}{zlib.crc32(b'object %d' % number):08x}{number:06x}"
 
 
 def group_of(name):
+    """Return the group of an object."""
     return int(name[:2], 16)
 
 
 def slow_start_calls(age_s):
-    """Calls in one window that the settings allow a cold server of that age, before what chance adds."""
+    """Return the calls per window that the settings allow for a cold server, without random variation."""
     share = SLOW_START_SHARE + (1.0 - SLOW_START_SHARE) * min(1.0, max(0.0, age_s) / SLOW_START_S)
     return SLOW_START_MULTIPLE * share * POWER * SLOW_START_WINDOW_S / WORK_S
 
 
 def settings(routers):
-    """The settings of a router, as the operators' configuration gives them."""
+    """Return the settings of a router in the form of the operator's configuration."""
     kinds = KINDS.values()
     return {
         "Az": ZONE,
@@ -142,6 +155,7 @@
 
 
 def configuration(name, port, channel_port, seed, routers, known, descriptors):
+    """Return the configuration of a router."""
     return {
         "name": name,
         "listen": f"{HOST}:{port}",
@@ -156,7 +170,7 @@
 
 
 def body_of(name, part, version, made):
-    """The bytes of a part: a head that tells what they are and when the origin made them, and filler that can be checked."""
+    """Return the body of a part: a head with its identity and time of production, then verifiable filler."""
     head = f"{name} {part} {version} {made:.6f} ".encode()
     size = 300 + zlib.crc32(f"{name}/{part}".encode()) % 9_000
     if zlib.crc32(name.encode()) % 29 == 0:
@@ -166,7 +180,7 @@
 
 
 def read_body(body):
-    """(object, part, version, when the origin made it) of bytes that are whole and unchanged, else None."""
+    """Return (object, part, version, time of production) of an intact body, or None."""
     words = body.split(b" ", 4)
     if len(words) != 5:
         return None
