--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -1,6 +1,8 @@
-"""A soak of real processes: python -m benchmarks.soak --seed N [--short | --brief] | --seeds A-B [--short | --brief]
+"""Runs a soak: python -m benchmarks.soak --seed N [--short | --brief] | --seeds A-B [--short | --brief].
 
-Ends with 1 if an invariant was broken; the evidence stays in a folder that the output names. The last line is one JSON object."""
+The exit status is 1 if an invariant was violated; the evidence then stays in a folder that the output names.
+The last line of the output is one JSON object.
+"""
 
 import argparse
 import asyncio
@@ -21,35 +23,41 @@
 BRIEF_S = 26.0
 SHORT_S = 60.0
 LONG_S = 200.0
-TRACED = 60  # violations of which the way of the request is put together: each is a pass over all that was written down
-SHOWN = 12  # violations printed; all of them stand in the folder
+MAX_TRACED_VIOLATIONS = 60  # violations with a trace of their request; each trace reads all records again
+MAX_PRINTED_VIOLATIONS = 12  # violations printed; the folder has all of them
 
 
 def read_args(args):
+    """Parse the command line."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.soak", description=__doc__.splitlines()[0])
     seeds = parser.add_mutually_exclusive_group(required=True)
-    seeds.add_argument("--seed", type=int, help="the schedule of troubles; the same seed gives the same one")
-    seeds.add_argument("--seeds", type=seed_range, metavar="A-B", help="one run after another; stops at none")
+    seeds.add_argument(
+        "--seed", type=int, help="seed of the schedule of troubles; the same seed gives the same schedule"
+    )
+    seeds.add_argument(
+        "--seeds", type=seed_range, metavar="A-B", help="one run per seed; goes on after violations"
+    )
     length = parser.add_mutually_exclusive_group()
-    length.add_argument("--short", action="store_true", help="under two minutes a seed")
-    length.add_argument("--brief", action="store_true", help="under a minute a seed: for many of them")
+    length.add_argument("--short", action="store_true", help="under two minutes per seed")
+    length.add_argument("--brief", action="store_true", help="under a minute per seed, for many seeds")
     parser.add_argument(
-        "--fault", choices=sorted(FAULTS), help="plants a fault in the routers: the soak has to find it"
+        "--fault", choices=sorted(FAULTS), help="plant a fault in the routers, which the soak must find"
     )
-    parser.add_argument("--tree", help="a checkout whose routers and boxes run in place of this one's")
-    parser.add_argument("--keep", help="a folder for the evidence, also of runs that break nothing")
+    parser.add_argument("--tree", help="checkout whose routers and boxes run instead of this one's")
+    parser.add_argument("--keep", help="folder for the evidence, also of runs without violations")
     return parser.parse_args(args)
 
 
 def seed_range(text):
+    """Parse a range of seeds, A-B."""
     first, dash, last = text.partition("-")
     if not (first.isdigit() and dash and last.isdigit() and int(first) <= int(last)):
-        raise argparse.ArgumentTypeError(f"expected A-B, got {text!r}")
+        raise argparse.ArgumentTypeError(f"expected a range A-B, got {text!r}")
     return range(int(first), int(last) + 1)
 
 
 def router_figures(folder):
-    """What routers counted of themselves: violations by invariant, refusals and closes by reason, failed calls."""
+    """Return what routers logged: counts of violations, refusals, retries and closes, and the fault rows."""
     totals = collections.defaultdict(collections.Counter)
     faults = []
     for path in sorted(Path(folder).glob("r*.log")):
@@ -69,20 +77,20 @@
     return {name: dict(counter) for name, counter in totals.items()}, faults
 
 
-def evidence(folder, violations):
-    """Each violation with the way of its request, from all that was written down."""
+def write_evidence(folder, violations):
+    """Write each violation with the trace of its request to violations.txt."""
     with open(Path(folder) / "violations.txt", "w") as out:
         for number, violation in enumerate(violations):
             out.write(
                 f"{violation.invariant} at {violation.at:.3f}: {violation.ref or '-'}: {violation.detail}\n"
             )
-            if violation.ref and number < TRACED:
-                for line in way_of(folder, violation.ref):
+            if violation.ref and number < MAX_TRACED_VIOLATIONS:
+                for line in trace_of_request(folder, violation.ref):
                     out.write(f"    {line}\n")
 
 
-def way_of(folder, ref):
-    """Every line of records and traces that names the request, by time."""
+def trace_of_request(folder, ref):
+    """Return the lines of records and traces that contain the request id, by time."""
     lines = []
     for path in [*Path(folder).glob("*.records"), *Path(folder).glob("*.trace")]:
         for text in path.read_text(errors="replace").splitlines():
@@ -93,6 +101,7 @@
 
 
 async def play(args, seed, folder, say):
+    """Run the driver for one seed and return it."""
     run_s = SHORT_S if args.short else BRIEF_S if args.brief else LONG_S
     driver = Driver(seed, run_s, folder, args.fault, args.tree, say)
     await driver.run()
@@ -100,7 +109,7 @@
 
 
 def soak(args, seed, say):
-    """One run; the row of its last line."""
+    """Run one seed and return its result row."""
     folder = Path(args.keep) / f"seed-{seed}" if args.keep else Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     folder.mkdir(parents=True, exist_ok=True)
     began = time.monotonic()
@@ -112,12 +121,12 @@
     row["took_s"] = round(time.monotonic() - began, 1)
     broken = row["violations"] or row["router_violations"] or row["faults"]
     if broken or args.keep:
-        evidence(folder, violations)
+        write_evidence(folder, violations)
         (folder / "result.json").write_text(json.dumps(row))
         row["evidence"] = str(folder)
     else:
         shutil.rmtree(folder)
-    for violation in violations[:SHOWN]:
+    for violation in violations[:MAX_PRINTED_VIOLATIONS]:
         say(f"BROKEN {violation.invariant}: {violation.ref or '-'}: {violation.detail}")
     for fault in faults[:3]:
         say(f"FAULT {json.dumps(fault)[:300]}")
@@ -127,6 +136,7 @@
 
 
 def row_of(seed, args, driver, history, violations, figures, faults):
+    """Return the result row of a run."""
     counts = collections.Counter(violation.invariant for violation in violations)
     troubles = collections.Counter(
         r["kind"] for r in history.records if r["event"] == "trouble" and r["begins"]
@@ -165,6 +175,7 @@
 
 
 def main(args=None):
+    """Run the soak of each seed and return the exit status."""
     args = read_args(args)
     began = time.monotonic()
 
@@ -172,7 +183,7 @@
         print(f"{time.monotonic() - began:7.1f} s  {text}", file=sys.stderr, flush=True)
 
     rows = []
-    signal.signal(signal.SIGTERM, signal.default_int_handler)  # it ends what it started, as after SIGINT
+    signal.signal(signal.SIGTERM, signal.default_int_handler)  # stops all started processes, as SIGINT does
     try:
         for seed in args.seeds or [args.seed]:
             rows.append(soak(args, seed, say))
@@ -182,7 +193,7 @@
         print(f"soak: {fault}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
-        print("soak: interrupted; all processes are ended", file=sys.stderr)
+        print("soak: interrupted; all started processes were stopped", file=sys.stderr)
         return 130
     last = rows[-1] if len(rows) == 1 else summary(rows)
     print(json.dumps(last), flush=True)
@@ -190,7 +201,7 @@
 
 
 def summary(rows):
-    """All runs as one row: counts are added up."""
+    """Return the sums over all runs as one row."""
     total = {
         "seed": [row["seed"] for row in rows],
         "broken": [row["seed"] for row in rows if row["violations"]],
--- a/benchmarks/soak/driver.py
+++ b/benchmarks/soak/driver.py
@@ -1,4 +1,4 @@
-"""Starts the processes of a soak, plays its schedule of troubles, and ends all that it started."""
+"""Starts the processes of a soak, carries out its schedule of troubles and stops all processes at the end."""
 
 import asyncio
 import contextlib
@@ -23,16 +23,17 @@
 BOXES = 2
 WITNESSES = 3
 CLIENTS = 6
-RATE = 55.0  # requests a second of each client process
-DESCRIPTORS = 220  # of each router
-PURGES_A_S = 1.5
-START_S = 60.0  # until a process of the soak itself or a box has started: nothing is judged by it
-READY_S = 10.0  # until a restarted router has to serve
-FRONT_LEAVES_S = 0.3  # after SIGTERM no new connections come; those that are open are used until the kill
-SECOND_TERM_S = 0.05  # between two SIGTERM to one router
+REQUESTS_PER_S = 55.0  # requests per second of each client process
+MAX_DESCRIPTORS = 220  # file descriptor limit of each router
+PURGES_PER_S = 1.5
+START_S = 60.0  # time limit for the start of stand-ins and boxes; the judge does not use it
+READY_S = 10.0  # time in which a restarted router must become ready
+# Time after SIGTERM until clients stop opening connections; they use open ones until the kill.
+OPEN_ONLY_AFTER_S = 0.3
+SECOND_TERM_S = 0.05  # time between two SIGTERM to one router
 KNOWN_PURGES_S = 20.0
-EXCLUSIVE = (Trouble.ROUTER_STOP, Trouble.ROUTER_KILL)  # one of these at a time for a router
-# Of each trouble of links: the witness's name for it, at how many servers, and how often it strikes while it stands.
+EXCLUSIVE = (Trouble.ROUTER_STOP, Trouble.ROUTER_KILL)  # at most one of these at a time per router
+# For each trouble of links: its name at the witness, the number of servers, and its rate while it is active.
 LINK_TROUBLES = {
     Trouble.LINK_RESET: ("reset", 4, 0.15),
     Trouble.LINK_SILENT: ("silent", 2, 1.0),
@@ -42,8 +43,8 @@
     Trouble.ANSWERS_SPOILT: ("spoil", 4, 0.15),
     Trouble.ANSWERS_LOST: ("lose", 4, 0.2),
 }
-ACCEPT_FAILS_S = 2.0  # at most: less than the time that a router has to end
-SETTLE_S = 5.0  # at the end, until every request has its answer
+ACCEPT_FAILS_S = 2.0  # upper limit, less than the time that a router has to stop
+SETTLE_S = 5.0  # time at the end in which open requests get their answers
 BOX = """box "{name}" {{
   listen = "{host}:{port}"
   channel = "{host}:{channel}"
@@ -65,11 +66,11 @@
 
 
 class Stuck(RuntimeError):
-    """A process of the soak itself did not start."""
+    """A process that the soak needs did not start."""
 
 
 class StandIn:
-    """A process of this package, with orders on its standard input."""
+    """A process of this package that takes orders on its standard input."""
 
     def __init__(self, driver, module, name, **spec):
         self.driver = driver
@@ -80,6 +81,7 @@
         self.process = None
 
     async def start(self):
+        """Start the process and wait until it is ready."""
         self.process = await self.driver.spawn(
             self.name,
             [sys.executable, "-m", f"benchmarks.soak.{self.module}", json.dumps(self.spec)],
@@ -89,15 +91,16 @@
         )
         line = await asyncio.wait_for(self.process.stdout.readline(), START_S)
         if line != b"ready\n":
-            raise Stuck(f"{self.name} did not start: see {self.driver.folder / self.name}.err")
+            raise Stuck(f"{self.name} did not become ready: see {self.driver.folder / self.name}.err")
 
     def order(self, do, **values):
+        """Send an order unless the process has exited."""
         if self.process is not None and self.process.returncode is None:
             self.process.stdin.write(json.dumps({"do": do, **values}).encode() + b"\n")
 
 
 class Router:
-    """One router: its process, configuration and control block."""
+    """One router with its process, configuration and control block."""
 
     def __init__(self, driver, number):
         self.driver = driver
@@ -109,12 +112,14 @@
         self.process = None
         self.lock = asyncio.Lock()
         self.starts = 0
-        self.ready = False  # since its last start: no new configuration comes before
+        self.ready = False  # since its last start; no SIGHUP is sent before
 
     def config_path(self):
+        """Return the path of the configuration file."""
         return self.driver.folder / f"{self.name}.json"
 
     def write_config(self):
+        """Write the configuration file and return the cursor of its last event."""
         known, cursor = self.driver.known()
         port = self.driver.channel_ports[self.channel][self.name]
         values = world.configuration(
@@ -124,12 +129,13 @@
             self.driver.seed * 1000 + self.number * 10 + self.starts,
             ROUTERS,
             known,
-            DESCRIPTORS,
+            MAX_DESCRIPTORS,
         )
         self.config_path().write_text(json.dumps(values))
         return cursor
 
     async def start(self):
+        """Start the router and wait until it is ready."""
         self.starts += 1
         self.ready = False
         cursor = self.write_config()
@@ -145,17 +151,19 @@
             self.name,
             [sys.executable, "-m", *program],
             environ,
-            descriptors=DESCRIPTORS,
+            descriptors=MAX_DESCRIPTORS,
             tree=self.driver.tree,
         )
         asyncio.ensure_future(self.watch(self.process))
         await self.until_ready()
 
     async def watch(self, process):
+        """Record the exit of a process."""
         code = await process.wait()
         self.driver.record("router_exit", router=self.name, code=code, process=process.pid)
 
     async def until_ready(self):
+        """Wait until the router answers a health check, and record whether it did in time."""
         began = time.monotonic()
         while time.monotonic() - began < READY_S:
             if self.process.returncode is not None:
@@ -163,9 +171,9 @@
             connection = Connection((world.HOST, self.port))
             try:
                 await asyncio.wait_for(connection.connect(), 1.0)
-                well = await connection.is_healthy()
+                healthy = await connection.is_healthy()
                 connection.close()
-                if well:
+                if healthy:
                     self.ready = True
                     self.driver.record("router_ready", router=self.name, after_s=time.monotonic() - began)
                     return self.driver.tell_clients("use", router=self.name, used=True)
@@ -175,7 +183,10 @@
         self.driver.record("router_not_ready", router=self.name)
 
     async def stop(self, ending=schedule.StopSignals.TERM):
-        """SIGTERM; no new connections come a little later; SIGKILL at the earliest if it has not ended."""
+        """Stop the router by SIGTERM, and by SIGKILL if it has not exited by the time limit.
+
+        Clients stop opening connections shortly after SIGTERM.
+        """
         process = self.process
         loop = asyncio.get_running_loop()
         if ending is schedule.StopSignals.HUP_FIRST and self.ready:
@@ -184,7 +195,7 @@
         self.signal(signal.SIGTERM)
         if ending is schedule.StopSignals.TERM_TWICE:
             loop.call_later(SECOND_TERM_S, self.signal, signal.SIGTERM)
-        loop.call_later(FRONT_LEAVES_S, lambda: self.driver.tell_clients("open_only", router=self.name))
+        loop.call_later(OPEN_ONLY_AFTER_S, lambda: self.driver.tell_clients("open_only", router=self.name))
         try:
             await asyncio.wait_for(asyncio.shield(process.wait()), world.kill_after_s())
         except TimeoutError:
@@ -194,9 +205,11 @@
         self.driver.tell_clients("use", router=self.name, used=False)
 
     def signal(self, number):
+        """Send a signal to the process."""
         send_signal(self.process, number)
 
     async def kill(self):
+        """Kill the router."""
         process = self.process
         self.driver.record("router_killed", router=self.name, process=process.pid, late=False)
         process.kill()
@@ -205,7 +218,7 @@
 
 
 class Box:
-    """A `brookhinge box` with a folder that lasts."""
+    """A `brookhinge box` whose folder is kept over restarts."""
 
     def __init__(self, driver, number):
         self.driver = driver
@@ -217,6 +230,7 @@
         self.lock = asyncio.Lock()
 
     async def start(self):
+        """Start the box and wait until it accepts connections."""
         path = self.driver.folder / f"{self.name}.hcl"
         channel = self.driver.channel_ports[0][self.name]
         path.write_text(
@@ -229,14 +243,25 @@
         await self.driver.until_open(self.port, self.name)
 
     async def kill(self):
+        """Kill the box."""
         self.process.kill()
         await self.process.wait()
 
 
 class Driver:
+    """Runs one soak."""
+
     def __init__(self, seed, run_s, folder, fault=None, tree=None, say=lambda text: None):
-        """fault: one of faults.py, planted in the routers; tree: a checkout whose routers and boxes run in place of this
-        one's."""
+        """Prepare a soak.
+
+        Args:
+            seed: Seed of the schedule.
+            run_s: Length of the run in seconds.
+            folder: Folder for records and logs.
+            fault: Name of the fault in faults.py to plant in the routers, or None.
+            tree: Checkout whose routers and boxes run instead of this one's, or None.
+            say: Function that prints progress.
+        """
         self.seed = seed
         self.run_s = run_s
         self.folder = Path(folder)
@@ -256,9 +281,10 @@
         self.steps = schedule.steps_of(seed, run_s)
         world.use_deadlines(schedule.deadline_scale(seed))
 
-    # starting and ending
+    # start and end
 
     async def spawn(self, name, args, environ, descriptors=4096, tree=None, **pipes):
+        """Start a process with its output in the folder."""
         out = pipes.pop("stdout", None)
         stdout = out if out is not None else open(self.folder / f"{name}.log", "ab")
         root = str(Path(__file__).parents[2])
@@ -278,6 +304,7 @@
         return process
 
     async def until_open(self, port, name):
+        """Wait until a port accepts connections."""
         until = time.monotonic() + START_S
         while time.monotonic() < until:
             try:
@@ -286,10 +313,10 @@
                 return
             except OSError:
                 await asyncio.sleep(0.025)
-        raise Stuck(f"{name} did not start: see {self.folder / name}.err")
+        raise Stuck(f"{name} did not open its port: see {self.folder / name}.err")
 
-    def lay_out(self):
-        """Names, ports and parts of every process."""
+    def create_processes(self):
+        """Assign the name and port of every process and create their objects."""
         self.routers = [Router(self, number) for number in range(ROUTERS)]
         self.boxes = [Box(self, number) for number in range(BOXES)]
         roles = {"o1": world.ORIGIN, **{f"p{n}": world.PARENT for n in range(PARENTS)}}
@@ -314,7 +341,11 @@
         router_ports = {router.name: router.port for router in self.routers}
         self.clients = [
             StandIn(
-                self, "client", f"client{n}", routers=router_ports, rate=RATE * schedule.load_scale(self.seed)
+                self,
+                "client",
+                f"client{n}",
+                routers=router_ports,
+                rate=REQUESTS_PER_S * schedule.load_scale(self.seed),
             )
             for n in range(CLIENTS)
         ]
@@ -332,9 +363,9 @@
             }
 
     async def run(self):
-        """The whole soak; every process is ended on the way out, whatever happened."""
+        """Run the whole soak and stop every process at the end, also after an error."""
         try:
-            self.lay_out()
+            self.create_processes()
             self.tell_event(nodes={"seq": 1, "whole": True, "hosts": list(self.hosts.values())})
             for channel in self.channels:
                 channel.spec["events"] = list(self.events)
@@ -351,15 +382,16 @@
             await self.end_all()
 
     async def play(self):
+        """Carry out the schedule."""
         began = time.monotonic()
-        self.tasks.append(asyncio.ensure_future(self.purge_now_and_then()))
+        self.tasks.append(asyncio.ensure_future(self.purge_periodically()))
         for step in self.steps:
             await asyncio.sleep(max(0.0, began + step.at_s - time.monotonic()))
             self.tasks.append(asyncio.ensure_future(self.trouble(step)))
         await asyncio.sleep(max(0.0, began + self.run_s - time.monotonic()))
 
     async def finish(self):
-        """No more requests; what is open is answered; then the routers are told to end."""
+        """Stop new requests, wait for the open ones, then stop the routers."""
         for client in self.clients:
             for router in self.routers:
                 client.order("use", router=router.name, used=False)
@@ -369,6 +401,7 @@
         await asyncio.sleep(0.1)
 
     async def end_all(self):
+        """Kill all processes that were started."""
         for task in self.tasks:
             task.cancel()
         for process in self.processes:
@@ -377,13 +410,14 @@
                 process.kill()
         await asyncio.gather(*(process.wait() for process in self.processes))
 
-    # what the command channel tells
+    # events of the command channel
 
     def wall_ms(self):
-        """The wall clock of the machines beside the routers."""
+        """Return the wall clock of all processes other than routers and boxes, in milliseconds."""
         return round((time.time() + self.others.offset_s) * 1000)
 
     def tell_event(self, **event):
+        """Publish an event on all channels and return its cursor."""
         self.cursor += 1
         row = {"cursor": self.cursor, **event}
         self.events.append(row)
@@ -392,6 +426,7 @@
         return self.cursor
 
     def list_server(self, name, health, born_ms=None):
+        """Publish the health of a server."""
         host = self.hosts[name]
         host["health"] = health
         if born_ms is not None:
@@ -400,7 +435,7 @@
         self.record("listed", server=name, health=health, cursor=cursor)
 
     def known(self):
-        """What a router finds in its configuration at a start, and the number of the last event in it."""
+        """Return the events for a router's configuration at its start, and the cursor of the last one."""
         hosts = [host for host in self.hosts.values() if host["health"] != "removed"]
         recent = [
             (cursor, drop) for at, drop, _, cursor in self.purged if time.monotonic() - at < KNOWN_PURGES_S
@@ -411,13 +446,13 @@
         return {"cursor": self.cursor, "cmds": rows}, self.cursor
 
     def purge(self, number):
-        """An object (or the group that it is in) has other bytes from now on."""
+        """Give an object, or its whole group, a new version and publish a purge."""
         name = world.object_name(number)
         by_group = number % 5 == 0
         names = [name]
         if by_group:
-            every = map(world.object_name, range(world.OBJECTS))
-            names = [other for other in every if world.group_of(other) == world.group_of(name)]
+            all_names = map(world.object_name, range(world.OBJECTS))
+            names = [other for other in all_names if world.group_of(other) == world.group_of(name)]
         at = time.monotonic()
         when = self.wall_ms()
         for index, server in enumerate(self.servers.values()):
@@ -428,20 +463,23 @@
         self.purged.append((at, drop, names, cursor))
         self.record("purge", at, names=names, cursor=cursor)
 
-    async def purge_now_and_then(self):
+    async def purge_periodically(self):
+        """Purge popular objects at a steady rate."""
         number = self.seed
         while True:
-            await asyncio.sleep(1.0 / PURGES_A_S)
+            await asyncio.sleep(1.0 / PURGES_PER_S)
             number = (number * 1103515245 + 12345) % (1 << 31)
-            self.purge(number % 60)  # those that are asked for most
+            self.purge(number % 60)  # the most popular objects
 
     def tell_clients(self, do, **values):
+        """Send an order to all clients."""
         for client in self.clients:
             client.order(do, **values)
 
     # troubles
 
     async def trouble(self, step):
+        """Carry out one step of the schedule and record its begin and end."""
         target = self.target_of(step)
         if target is None:
             return
@@ -454,13 +492,13 @@
             self.record("trouble", kind=step.kind, target=name, begins=False)
 
     def player(self, kind):
-        """What plays a kind of trouble: called with its target and its step."""
+        """Return the method for a kind of trouble, which takes the target and the step."""
         if kind in LINK_TROUBLES:
             return self.link
         return self.channel if kind.startswith("channel_") else getattr(self, kind.value)
 
     def target_of(self, step):
-        """The router, server, box, channel or name that a trouble is for; None where all of those are in another one."""
+        """Return the target of a trouble, or None if none is available."""
         family = step.kind.partition("_")[0]
         if family == "router":
             free = [r for r in self.routers if r.process.returncode is None]
@@ -480,27 +518,30 @@
         return free[step.target % len(free)] if free else None
 
     def witness_of(self, server):
+        """Return the witness in front of a server."""
         return next(w for w in self.witnesses if server in w.spec["fronts"])
 
-    def neighbours(self, server, count=3):
-        """A few servers, that one first: many troubles need more than one to matter."""
+    def neighbors(self, server, count=3):
+        """Return a few servers, the given one first: many troubles matter only at several servers."""
         names = [name for name in self.servers if name[0] == "c"]
         first = names.index(server) if server in names else 0
         return [names[(first + n) % len(names)] for n in range(count)]
 
     async def router_stop(self, router, step):
+        """Stop a router and start it again."""
         async with router.lock:
             await router.stop(schedule.stop_signals(step.size))
             await router.start()
 
     async def router_kill(self, router, step):
+        """Kill a router and start it again."""
         async with router.lock:
             await router.kill()
             await asyncio.sleep(0.3)
             await router.start()
 
     async def router_reload(self, router, step):
-        """New configurations in quick succession; one of them may be no JSON."""
+        """Load new configurations in quick succession; one of them may be invalid JSON."""
         for number in range(1 + int(step.size * 3)):
             router.channel = 1 - router.channel
             router.write_config()
@@ -512,10 +553,11 @@
         router.write_config()
 
     async def router_freeze(self, router, step):
+        """Freeze a router for 0.2 to 1.2 s."""
         await self.freeze(router, 0.2 + step.size)
 
     async def router_series(self, router, step):
-        """Stopped, going on and stopped again within hundredths of a second: one router, some, or all at once."""
+        """Freeze one, half or all of the routers several times with pauses of at most 50 ms."""
         first = self.routers.index(router)
         count = schedule.series_router_count(step, len(self.routers))
         chosen = [self.routers[(first + number) % len(self.routers)] for number in range(count)]
@@ -524,6 +566,7 @@
             await asyncio.sleep(pause_s)
 
     async def freeze(self, router, for_s):
+        """Freeze a router by SIGSTOP for a while."""
         process = router.process
         if process.returncode is not None:
             return
@@ -534,40 +577,47 @@
         self.record("thaw", router=router.name)
 
     async def router_clock(self, router, step):
+        """Step a router's wall clock."""
         router.control.set(offset_s=router.control.offset_s + schedule.clock_step_s(step.size))
         await asyncio.sleep(step.for_s)
-        if step.target % 2:  # it is set right again, or stays
+        if step.target % 2:  # the clock is set right again, or stays wrong
             router.control.set(offset_s=0.0)
 
     async def all_clocks(self, _, step):
+        """Step the wall clocks of all processes with a control block."""
         step_s = schedule.clock_step_s(step.size)
         for control in self.controls():
             control.set(offset_s=control.offset_s + step_s)
         await asyncio.sleep(step.for_s)
 
     def controls(self):
+        """Return the control blocks of all processes."""
         return [self.others, *(part.control for part in (*self.routers, *self.boxes))]
 
     async def calls_fail(self, router, for_s, **rates):
+        """Let system calls of a router fail for a while."""
         router.control.set(**rates)
         await asyncio.sleep(for_s)
         router.control.clear_failures()
 
     async def router_calls(self, router, step):
-        """Receives and sends fail in ways that pass, those to servers also in ways that do not."""
+        """Let receives and sends fail transiently; those to servers may also end the connection."""
         await self.calls_fail(router, step.for_s, receive=30_000, send=30_000, upstream=5_000)
 
     async def router_accept(self, router, step):
+        """Let nearly all accept calls of a router fail."""
         await self.calls_fail(router, min(step.for_s, ACCEPT_FAILS_S), accept=995_000)
 
     async def router_connect(self, router, step):
+        """Let connect and socket calls of a router fail."""
         await self.calls_fail(router, step.for_s, connect=400_000, socket=300_000)
 
     async def router_short(self, router, step):
+        """Shorten sends and receives of a router."""
         await self.calls_fail(router, step.for_s, shorten=500_000, receive=20_000)
 
     async def server_kill(self, server, step):
-        """The process dies, the list says so a little later, it comes back cold."""
+        """Kill a server, remove it from the list a little later and restart it with no copies."""
         part = self.servers[server]
         witness = self.witness_of(server)
         part.process.kill()
@@ -582,7 +632,8 @@
         self.list_server(server, "up", born_ms=self.wall_ms())
 
     async def server_hang(self, server, step):
-        names = self.neighbours(server, 1 + int(step.size * 3))
+        """Freeze one or a few servers."""
+        names = self.neighbors(server, 1 + int(step.size * 3))
         for name in names:
             self.servers[name].process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(step.for_s)
@@ -591,10 +642,8 @@
                 self.servers[name].process.send_signal(signal.SIGCONT)
 
     async def server_drain(self, server, step):
-        """One or a few drain; they leave the list and come back, or come back from the drain."""
-        names = [
-            n for n in self.neighbours(server, 1 + int(step.size * 3)) if self.hosts[n]["health"] == "up"
-        ]
+        """Drain one or a few servers; some are also removed from the list before they come back."""
+        names = [n for n in self.neighbors(server, 1 + int(step.size * 3)) if self.hosts[n]["health"] == "up"]
         for name in names:
             self.list_server(name, "draining")
         await asyncio.sleep(step.for_s)
@@ -606,12 +655,15 @@
             self.list_server(name, "up")
 
     async def server_slow(self, server, step):
-        await self.behave(self.neighbours(server, 2), step.for_s, slow=20.0 + 60.0 * step.size)
+        """Slow two servers down."""
+        await self.behave(self.neighbors(server, 2), step.for_s, slow=20.0 + 60.0 * step.size)
 
     async def server_fail(self, server, step):
-        await self.behave(self.neighbours(server, 3), step.for_s, fail_rate=0.4, refuse_rate=0.3)
+        """Let three servers fail or refuse requests."""
+        await self.behave(self.neighbors(server, 3), step.for_s, fail_rate=0.4, refuse_rate=0.3)
 
     async def behave(self, names, for_s, **how):
+        """Change the behavior of servers for a while."""
         for name in names:
             self.servers[name].order("behave", **how)
         await asyncio.sleep(for_s)
@@ -619,60 +671,69 @@
             self.servers[name].order("behave", slow=1.0, fail_rate=0.0, refuse_rate=0.0)
 
     async def link(self, server, step):
-        """A trouble at the witness of a server and of a few of its neighbours."""
+        """Cause a trouble at the witnesses of a server and some of its neighbors."""
         kind, count, rate = LINK_TROUBLES[step.kind]
-        for name in self.neighbours(server, count):
+        for name in self.neighbors(server, count):
             self.witness_of(name).order("trouble", server=name, kind=kind, rate=rate, for_s=step.for_s)
         await asyncio.sleep(step.for_s)
 
     async def channel(self, channel, step):
+        """Cause a trouble at a command channel."""
         channel.order(step.kind.value.removeprefix("channel_"), for_s=step.for_s)
         await asyncio.sleep(step.for_s)
 
     async def clients_slow(self, _, step):
+        """Let clients read and write slowly."""
         self.tell_clients("slow", for_s=step.for_s)
         await asyncio.sleep(step.for_s)
 
     async def clients_gone(self, router, step):
+        """Let clients of a router disconnect, with open requests."""
         for _ in range(4):
             self.tell_clients("go", router=router.name, part=0.7, reset=step.size > 0.5)
             await asyncio.sleep(step.for_s / 4)
 
     async def clients_cancel(self, router, step):
+        """Let clients of a router cancel their requests."""
         for _ in range(8):
             self.tell_clients("cancel_all", router=router.name)
             await asyncio.sleep(step.for_s / 8)
 
     async def clients_crowd(self, router, step):
+        """Open many idle connections to a router."""
         self.tell_clients("crowd", router=router.name, count=40, for_s=step.for_s)
         await asyncio.sleep(step.for_s)
 
     async def clients_bad(self, router, step):
+        """Send malformed data to a router."""
         for _ in range(4):
             self.tell_clients("bad", router=router.name, count=4)
             await asyncio.sleep(step.for_s / 4)
 
     async def clients_burst(self, _, step):
+        """Increase the request rate."""
         self.tell_clients("burst", for_s=step.for_s)
         await asyncio.sleep(step.for_s)
 
     async def clients_retry(self, _, step):
+        """Let clients retry most refused requests."""
         self.tell_clients("retry_often", rate=0.9)
         await asyncio.sleep(step.for_s)
         self.tell_clients("retry_often", rate=0.2)
 
     async def purges(self, _, step):
-        """A burst, of what is asked for most."""
+        """Purge a burst of the most popular objects."""
         for number in range(20):
             self.purge((step.target + number) % 40)
             await asyncio.sleep(0.02)
 
     async def box_kill(self, box, step):
+        """Kill a box and restart it."""
         async with box.lock:
             await self.replace_box(box, step.for_s / 2)
 
     async def box_folder(self, box, step):
-        """Its folder takes no writes for a while, then it is killed while that lasts."""
+        """Let half of the writes to the box's folder fail for a while; often kill the box meanwhile."""
         async with box.lock:
             box.control.set(file_write=500_000, file_sync=500_000)
             await asyncio.sleep(step.for_s)
@@ -681,6 +742,7 @@
             box.control.clear_failures()
 
     async def replace_box(self, box, down_s):
+        """Kill a box, remove it from the list and restart it."""
         witness = self.witness_of(box.name)
         await box.kill()
         box.control.clear_failures()
@@ -694,11 +756,15 @@
 
 
 def send_signal(process, number):
-    """Sends it if the process is there. `Popen.send_signal` would take the exit code from under the loop's own watch of it."""
+    """Send a signal if the process still runs.
+
+    `Popen.send_signal` would reap the exit status before the event loop's own child watcher.
+    """
     if process.returncode is None:
         with contextlib.suppress(ProcessLookupError):
             os.kill(process.pid, number)
 
 
-def limit_descriptors(most):
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
+def limit_descriptors(limit):
+    """Set the file descriptor limit of this process."""
+    resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
