--- a/benchmarks/soak/client.py
+++ b/benchmarks/soak/client.py
@@ -29,7 +29,7 @@
 )
 
 
-def serve_call(number, fields, body=b""):
+def encode_serve(number, fields, body=b""):
     """Encode a call of the serve method."""
     values = {key.encode(): str(value).encode() for key, value in fields.items()}
     return thrift.encode_message(
@@ -44,7 +44,7 @@
     )
 
 
-def forget_call(number):
+def encode_cancel(number):
     """Encode the cancel of a request."""
     head = thrift.FIELD_HEADER.pack(thrift.I32, 1)
     return thrift.encode_message(b"forget", thrift.ONEWAY, number, head, thrift.INT32.pack(number), b"\0")
@@ -97,11 +97,11 @@
         self.writer.transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.task = asyncio.ensure_future(self.read())
 
-    async def ask(self, request):
+    async def send(self, request):
         """Write a request, sometimes in two pieces if clients are slow."""
         self.serial += 1
         number = self.serial
-        wire = serve_call(number, request.fields())
+        wire = encode_serve(number, request.fields())
         async with self.writing:
             if self.ended:
                 return self.client.resend(request)
@@ -129,15 +129,15 @@
 
     def cancel(self, number):
         """Cancel a request in the background."""
-        asyncio.ensure_future(self.forget(number))
+        asyncio.ensure_future(self.send_cancel(number))
 
-    async def forget(self, number):
+    async def send_cancel(self, number):
         """Cancel a request once no other request is partly written."""
         async with self.writing:
             request = self.open_requests.pop(number, None)
             if request is None or self.ended:
                 return
-            self.writer.write(forget_call(number))
+            self.writer.write(encode_cancel(number))
             self.record("cancel", ref=request.ref)
 
     def leave(self, reset):
@@ -185,11 +185,11 @@
         self.used_at = at
         if request is None:
             return self.record("unasked", at, connection=self.number, number=number, kind=kind)
-        made = world.read_body(body) if kind == "served" and not same else None
-        right = made is not None and made[:2] == (request.name, request.part)
+        content = world.read_body(body) if kind == "served" and not same else None
+        right = content is not None and content[:2] == (request.name, request.part)
         self.record(
-            "answer", at, ref=request.ref, kind=kind, same=same, right=right, version=made and made[2],
-            made=made and made[3],
+            "answer", at, ref=request.ref, kind=kind, same=same, right=right, version=content and content[2],
+            made=content and content[3],
         )  # fmt: skip
         if self.dedicated and not self.open_requests:
             self.leave(False)
@@ -360,7 +360,7 @@
             return
         if connection is None:
             return
-        await connection.ask(request)
+        await connection.send(request)
         if self.rng.random() < GIVE_UP_PROBABILITY:
             await self.give_up(connection, request)
         elif self.rng.random() < 0.04:
--- a/benchmarks/soak/judge.py
+++ b/benchmarks/soak/judge.py
@@ -138,7 +138,7 @@
         self.attempts = collections.defaultdict(list)
         self.frozen = Spans()
         self.killed = collections.defaultdict(list)
-        self.terms = collections.defaultdict(list)
+        self.sigterm_times = collections.defaultdict(list)
         self.deliveries = collections.defaultdict(list)
         self.health_changes = collections.defaultdict(list)
         self.purges = []
@@ -292,7 +292,7 @@
 
     def on_router_term(self, r):
         """Note that the driver sent SIGTERM to a router."""
-        self.terms[r["router"]].append(r["at"])
+        self.sigterm_times[r["router"]].append(r["at"])
 
     # queries
 
@@ -304,7 +304,7 @@
         """Return the name of the router that got the request, or None if the request is unknown."""
         return self.requests[ref].router if ref in self.requests else None
 
-    def was_killed(self, router, begin, end):
+    def is_excused_by_kill(self, router, begin, end):
         """Return whether a kill in the span excuses missing answers.
 
         A kill after SIGTERM does not, unless the router was frozen in between.
@@ -322,7 +322,7 @@
     """Check that every accepted request gets exactly one final answer in time."""
     out = []
     for request in history.requests.values():
-        out += answer_of(history, request)
+        out += answer_violations(history, request)
     for r in history.unexpected_answers:
         detail = f"{r['by']}, connection {r['connection']}: {r['kind']} under number {r['number']}"
         if not was_cancelled(history, r):
@@ -339,10 +339,10 @@
     )  # fmt: skip
 
 
-def answer_of(history, request):
+def answer_violations(history, request):
     """Return the violations of one request's answers."""
     if len(request.answers) > 1:
-        return [violated(Invariant.ANSWER_TWICE, request, f"{len(request.answers)} answers")]
+        return [request_violation(Invariant.ANSWER_TWICE, request, f"{len(request.answers)} answers")]
     if request.cancelled_at is not None or request.left_at is not None:
         return []
     due = request.sent_at + request.allow_s + LATE_S + WIRE_S
@@ -351,7 +351,9 @@
         stalled = (request.router, "accept of " + request.router)
         late_s = at - due - sum(history.frozen.overlap(name, request.sent_at, at) for name in stalled)
         return (
-            [violated(Invariant.ANSWER_LATE, request, f"{late_s + LATE_S:.2f} s late")] if late_s > 0 else []
+            [request_violation(Invariant.ANSWER_LATE, request, f"{late_s + LATE_S:.2f} s late")]
+            if late_s > 0
+            else []
         )
     return missing_answer(history, request, due)
 
@@ -359,7 +361,7 @@
 def missing_answer(history, request, due):
     """Return the violation of a request without an answer, unless the absence is allowed."""
     due += history.frozen.overlap(request.router, request.sent_at, history.end_at)
-    if history.was_killed(request.router, request.sent_at - WIRE_S, due + WIRE_S):
+    if history.is_excused_by_kill(request.router, request.sent_at - WIRE_S, due + WIRE_S):
         return []
     if request.ended_at is not None and request.ended_at <= due:
         if request.sent_at >= request.ended_at - CROSSED_S:
@@ -367,13 +369,15 @@
         detail = (
             f"the router closed the connection {request.ended_at - request.sent_at:.3f} s after the request"
         )
-        return [violated(Invariant.CLOSED_UNANSWERED, request, detail)]
+        return [request_violation(Invariant.CLOSED_UNANSWERED, request, detail)]
     if due > history.end_at:
         return []
-    return [violated(Invariant.ANSWER_MISSING, request, f"{request.kind} to {request.router}, no answer")]
+    return [
+        request_violation(Invariant.ANSWER_MISSING, request, f"{request.kind} to {request.router}, no answer")
+    ]
 
 
-def violated(invariant, request, detail):
+def request_violation(invariant, request, detail):
     """Return a violation at the time at which the request was sent."""
     return Violation(invariant, request.sent_at, request.ref, detail)
 
@@ -387,7 +391,7 @@
                 continue
             if not answer["right"]:
                 out.append(
-                    violated(
+                    request_violation(
                         Invariant.BODY_WRONG,
                         request,
                         "body differs from what a server produced for the request",
@@ -397,7 +401,7 @@
             kind = world.KINDS[request.kind]
             age_s = request.sent_at - answer["made"]
             if kind.fresh_s and age_s > kind.fresh_s + kind.stale_s + WIRE_S:
-                out.append(violated(Invariant.AGED_COPY, request, f"copy is {age_s:.2f} s old"))
+                out.append(request_violation(Invariant.AGED_COPY, request, f"copy is {age_s:.2f} s old"))
     return out
 
 
@@ -628,7 +632,7 @@
             detail = (
                 f"{request.object}: copy from {age_s:.2f} s before a purge that was known for {late_s:.2f} s"
             )
-            return [violated(Invariant.PURGED_COPY, request, detail)]
+            return [request_violation(Invariant.PURGED_COPY, request, detail)]
     return []
 
 
@@ -644,17 +648,17 @@
         elif r["event"] == "router_killed" and r["late"] and not frozen_since_term(history, r):
             out.append(Violation(Invariant.STOP_LATE, r["at"], None, r["router"]))
         elif r["event"] == "router_exit":
-            out += exit_of(history, r)
+            out += exit_violations(history, r)
     return out
 
 
 def frozen_since_term(history, r):
     """Return whether the process was frozen (SIGSTOP) between SIGTERM and the kill."""
-    term_at = max(at for at in history.terms[r["router"]] if at <= r["at"])
+    term_at = max(at for at in history.sigterm_times[r["router"]] if at <= r["at"])
     return history.frozen.overlap(r["router"], term_at, r["at"]) > 0
 
 
-def exit_of(history, r):
+def exit_violations(history, r):
     """Return a violation unless the driver killed the router or it exited with 0 after SIGTERM."""
     killed = {x["process"] for x in history.records if x["event"] == "router_killed"}
     terminated = {x["process"] for x in history.records if x["event"] == "router_term"}
--- a/benchmarks/soak/server.py
+++ b/benchmarks/soak/server.py
@@ -123,7 +123,7 @@
         if not pull.source:
             return b"absent", [], b""
         next_source = self.origin_id if self.role == world.CACHE and pull.source != self.origin_id else ""
-        return await self.ask(pull.source, name, pull, kind, next_source, 0.0)
+        return await self.fetch(pull.source, name, pull, kind, next_source, 0.0)
 
     def run(self, ref, pull, kind):
         """Execute a request, unless it repeats one within the deduplication window."""
@@ -166,7 +166,7 @@
         """Fetch an object from the source and keep it."""
         next_source = "" if pull.cached_only or pull.source == self.origin_id else self.origin_id
         accept_s = 0.0 if oldest_s == float("inf") else oldest_s
-        word, fields, body = await self.ask(pull.source, name, pull, kind, next_source, accept_s)
+        word, fields, body = await self.fetch(pull.source, name, pull, kind, next_source, accept_s)
         if word == b"absent":
             return b"absent", [(b"n", b"src_lacks")], b""
         if word != b"data":
@@ -181,7 +181,7 @@
         )
         return self.data_response(pull, copy, b"via_origin" if came_from_origin else b"filled")
 
-    async def ask(self, source, name, pull, kind, next_source, accept_s):
+    async def fetch(self, source, name, pull, kind, next_source, accept_s):
         """Send a request to another server on a persistent connection; return (word, fields, body)."""
         port = self.sources.get(source)
         if port is None:
@@ -190,7 +190,7 @@
         try:
             if link is None or link.closed:
                 link = self.links[source] = await Link.connect(port)
-            return await link.ask(name, pull, kind, next_source, accept_s)
+            return await link.fetch(name, pull, kind, next_source, accept_s)
         except ConnectionRefusedError:
             return b"full", [(b"n", b"src_refused")], b""
         except (TimeoutError, OSError):
@@ -226,7 +226,7 @@
             if not future.done():
                 future.set_exception(ConnectionResetError())
 
-    async def ask(self, name, pull, kind, next_source, accept_s):
+    async def fetch(self, name, pull, kind, next_source, accept_s):
         """Send a request and return the response as (word, fields, body)."""
         patience_s = min(pull.timeout_s, world.LONGEST_S)
         tag = b"%b.%d" % (name, len(self.waiting)) if name in self.waiting else name
--- a/benchmarks/soak/witness.py
+++ b/benchmarks/soak/witness.py
@@ -71,7 +71,7 @@
         self.front.connections.add(self)
         try:
             up_reader, self.upstream_writer = await asyncio.open_connection(world.HOST, self.front.upstream)
-            if time.monotonic() - self.used_at > MIN_STALL_S:  # data that came meanwhile was not read
+            if time.monotonic() - self.used_at > MIN_STALL_S:  # data that arrived meanwhile was not read
                 self.unread_since = self.used_at
             tasks = [
                 asyncio.ensure_future(direction)
