--- a/tests/rollout/test_rig_worse.py
+++ b/tests/rollout/test_rig_worse.py
@@ -7,7 +7,7 @@
 from brookhinge.emulator import rollout_cluster
 from brookhinge.emulator.load_generator import Load
 from brookhinge.limits.lease_terms import START_S
-from tests.limits.test_rig import ROOM, WINDOW_S, WORK_S
+from tests.limits.test_rig import MAX_REQUESTS, WINDOW_S, WORK_S
 from tests.rollout.playback import LONG, play
 
 
@@ -75,7 +75,9 @@
             # as for the moment of the start, which is the least that it bears later
             early = [at for at in box.came if at < box.came[0] + 4.0]
             most = max(sum(at - WINDOW_S < other <= at for other in early) for at in early)
-            assert most <= ROOM and len(early) > 20, f"{name} got {most} of {len(early)} within {WINDOW_S} s"
+            assert most <= MAX_REQUESTS and len(early) > 20, (
+                f"{name} got {most} of {len(early)} within {WINDOW_S} s"
+            )
         roll.terminate()
 
     play(
