--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -0,0 +1,1 @@
+"""Benchmarks, each run as `python -m benchmarks.NAME`."""
--- a/benchmarks/structures.py
+++ b/benchmarks/structures.py
@@ -1,7 +1,11 @@
-"""Structures made for storms beside plain ones, in the same run: python -m benchmarks.structures [--short]
+"""Benchmarks the data structures for retry storms against simple alternatives in the same run.
 
-Places in time: a hashed wheel of slots against heapq with lazy deletion: half of what is put in is taken back. Tries:
-the bounded table of overload/retry_lineage.py against a dict that is swept each second. Last line: one JSON object."""
+    python -m benchmarks.structures [--short]
+
+Timer queues: a hashed timer wheel against heapq with lazy deletion, where half of the entries are canceled.
+Retry tables: the bounded table of overload/retry_lineage.py against a dict that is swept every second.
+The last line of the output is one JSON object.
+"""
 
 import argparse
 import heapq
@@ -17,13 +21,15 @@
 
 
 class Wheel:
-    """Slots of 50 ms in a dict: an entry is put in and taken out without a comparison."""
+    """Hashed timer wheel with slots of 50 ms, which adds and cancels an entry without comparisons."""
 
     def __init__(self):
+        """Create an empty wheel that starts at time 0."""
         self.slots = {}
-        self.at = 0
+        self.next_slot = 0
 
     def add(self, when, item):
+        """Schedule an item at a time in seconds and return the slot, which `cancel` needs."""
         slot = int(when / SLOT_S)
         entry = self.slots.get(slot)
         if entry is None:
@@ -32,67 +38,77 @@
         return slot
 
     def cancel(self, slot, item):
+        """Remove an item from its slot."""
         self.slots[slot].pop(item, None)
 
     def due(self, now):
-        last = int(now / SLOT_S)
+        """Remove and return the items that are due by now."""
+        end_slot = int(now / SLOT_S)
         items = []
-        while self.at < last:
-            items += self.slots.pop(self.at, ())
-            self.at += 1
+        while self.next_slot < end_slot:
+            items += self.slots.pop(self.next_slot, ())
+            self.next_slot += 1
         return items
 
 
 class Heap:
+    """Timer queue on heapq with lazy deletion: a canceled item stays in the heap until it is due."""
+
     def __init__(self):
+        """Create an empty queue."""
         self.heap = []
-        self.gone = set()
+        self.canceled = set()
 
     def add(self, when, item):
+        """Schedule an item at a time in seconds; `cancel` needs no handle."""
         heapq.heappush(self.heap, (when, item))
         return None
 
     def cancel(self, _, item):
-        self.gone.add(item)
+        """Mark an item as canceled."""
+        self.canceled.add(item)
 
     def due(self, now):
+        """Remove and return the items that are due by now."""
         items = []
         while self.heap and self.heap[0][0] <= now:
             _, item = heapq.heappop(self.heap)
-            if item in self.gone:
-                self.gone.discard(item)
+            if item in self.canceled:
+                self.canceled.discard(item)
             else:
                 items.append(item)
         return items
 
 
-def places(kind, count):
-    """Nanoseconds an entry: put in over 60 s ahead, half taken back, the rest come due."""
-    chance = random.Random(1)
-    whens = [60.0 * chance.random() for _ in range(count)]
-    wheel = kind()
+def time_timer_queue(queue_class, count):
+    """Return nanoseconds per entry: all are scheduled within 60 s, half are canceled, the rest become due."""
+    rng = random.Random(1)
+    due_times = [60.0 * rng.random() for _ in range(count)]
+    queue = queue_class()
     began = time.perf_counter()
     handles = []
-    for n, when in enumerate(whens):
-        handles.append(wheel.add(when, n))
+    for n, when in enumerate(due_times):
+        handles.append(queue.add(when, n))
     for n in range(0, count, 2):
-        wheel.cancel(handles[n], n)
-    came = sum(len(wheel.due(step * SLOT_S)) for step in range(1, 1300))
-    assert came == count // 2
+        queue.cancel(handles[n], n)
+    due_count = sum(len(queue.due(step * SLOT_S)) for step in range(1, 1300))
+    assert due_count == count // 2
     return round((time.perf_counter() - began) / count * 1e9)
 
 
-class Swept:
-    """A dict of tries, swept each second."""
+class SweptTable:
+    """Attempts in a dict without a size limit, from which expired attempts are swept every second."""
 
     def __init__(self, remember_s=15.0):
+        """Create an empty table that remembers an attempt for `remember_s` after its last use."""
         self.remember_s = remember_s
         self.attempts = {}
-        self.swept = 0.0
+        self.swept_at = 0.0
 
     def recognize(self, now, query, address, connection, name):
-        if now - self.swept > 1.0:
-            self.swept = now
+        """Record an attempt and return whether an earlier attempt of the same client and object is known."""
+        if now - self.swept_at > 1.0:
+            self.swept_at = now
             self.attempts = {key: row for key, row in self.attempts.items() if now - row[1] < self.remember_s}
         key = address, name
         known = self.attempts.get(key)
@@ -100,46 +116,49 @@
         return known is not None
 
 
-def tries(table, count, rate=3000.0):
-    """(microseconds a try, the longest one in ms, tries remembered at the end)"""
-    chance = random.Random(2)
-    longest = 0.0
-    total = 0.0
+def time_retry_table(table, count, rate=3000.0):
+    """Return microseconds per attempt, the longest attempt in ms, and the attempts remembered at the end."""
+    rng = random.Random(2)
+    longest_s = 0.0
+    total_s = 0.0
     for n in range(count):
         now = n / rate
-        address = f"a{chance.randrange(count)}"
-        name = 0, "object", chance.randrange(50)
+        address = f"a{rng.randrange(count)}"
+        name = 0, "object", rng.randrange(50)
         began = time.perf_counter()
         table.recognize(now, n, address, n, name)
         if isinstance(table, RetryLineage):
             table.end(now, n, was_served=False)
-        took = time.perf_counter() - began
-        longest = max(longest, took)
-        total = total + took
-    return round(total / count * 1e6, 2), round(longest * 1000, 2), len(table.attempts)
+        elapsed_s = time.perf_counter() - began
+        longest_s = max(longest_s, elapsed_s)
+        total_s = total_s + elapsed_s
+    return round(total_s / count * 1e6, 2), round(longest_s * 1000, 2), len(table.attempts)
 
 
 def main():
-    options = argparse.ArgumentParser()
-    options.add_argument("--short", action="store_true")
-    options.add_argument("--keep")
-    given = options.parse_args()
-    counts = (1000, 10_000, 100_000) if given.short else (1000, 10_000, 100_000, 1_000_000)
+    """Run the benchmark with the command-line options."""
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--short", action="store_true")
+    parser.add_argument("--keep")
+    options = parser.parse_args()
+    counts = (1000, 10_000, 100_000) if options.short else (1000, 10_000, 100_000, 1_000_000)
     figures = {
         "places_ns": {
-            kind.__name__: {str(count): min(places(kind, count) for _ in range(3)) for count in counts}
-            for kind in (Wheel, Heap)
+            queue_class.__name__: {
+                str(count): min(time_timer_queue(queue_class, count) for _ in range(3)) for count in counts
+            }
+            for queue_class in (Wheel, Heap)
         }
     }
-    count = 60_000 if given.short else 300_000
+    count = 60_000 if options.short else 300_000
     figures["tries_us_longest_ms_held"] = {
-        "bounded": tries(RetryLineage(), count),
-        "swept": tries(Swept(), count),
+        "bounded": time_retry_table(RetryLineage(), count),
+        "swept": time_retry_table(SweptTable(), count),
     }
-    entry = sys.getsizeof(OrderedDict.fromkeys(range(1000))) / 1000
-    figures["ordered_dict_bytes_an_entry"] = round(entry)
-    if given.keep:
-        with open(given.keep + ".json", "w") as file:
+    entry_bytes = sys.getsizeof(OrderedDict.fromkeys(range(1000))) / 1000
+    figures["ordered_dict_bytes_an_entry"] = round(entry_bytes)
+    if options.keep:
+        with open(options.keep + ".json", "w") as file:
             file.write(json.dumps(figures, indent=1) + "\n")
     print(json.dumps(figures))
 
--- a/benchmarks/view_traffic.py
+++ b/benchmarks/view_traffic.py
@@ -1,10 +1,12 @@
-"""What the fleet's view costs a router, at the size designed for: python -m benchmarks.view_traffic [--short]
+"""Measures the membership protocol's network traffic per router, at its design fleet size.
 
+    python -m benchmarks.view_traffic [--short]
     python -m benchmarks.view_traffic --members 530 --seeds 1,2,3 --loss 0.01
 
-In virtual time (simulated) with the daemon's own peers and codec: bytes sent and received with the headers of IP and UDP,
-a router a second; the worst router over any 10 s, and the median one. A fleet is settled when all views are one. Last line:
-one JSON object."""
+Runs the daemon's own peers and codec in simulated time. Reports bytes sent and received per router and
+second, with the headers of IP and UDP, for the worst router over any 10 s and for the median router. A fleet
+is settled when all routers have the same membership view. The last line of the output is one JSON object.
+"""
 
 import argparse
 import collections
@@ -18,21 +20,22 @@
 
 SITE_ROUTERS = 16
 LEASE_S = 10.0
-BORN_MS = 1_764_600_000_000  # moments of start as long as real ones
+START_TIME_MS = 1_764_600_000_000  # as many digits as a real start time
 STEP_S = 0.25
-WATCHED_S = 60.0  # after each event
+OBSERVATION_S = 60.0  # simulated time after each event
 SCENARIOS = ("idle", "join", "restart", "crash", "all")
 
 
-def add(net, n):
-    return net.add(n, born=BORN_MS + 997 * n, name=f"r{n:04d}", zone=f"zone-{n % 13:02d}")
+def add_router(net, n):
+    """Add router n to the simulated network."""
+    return net.add(n, born=START_TIME_MS + 997 * n, name=f"r{n:04d}", zone=f"zone-{n % 13:02d}")
 
 
 def settled_fleet(seed, members, loss):
-    """A fleet whose members know one another, as after a long time."""
+    """Return a fleet whose members all know one another and have finished joining."""
     net = Net(seed, loss)
     for n in range(1, members + 1):
-        add(net, n)
+        add_router(net, n)
     hosts = list(net.hosts.values())
     claims = [host.peer.view.claim(0, 0.0) for host in hosts]
     for host in hosts:
@@ -43,40 +46,46 @@
 
 
 def one_view(net):
-    """Whether all who live hold one view, and that of just each other."""
+    """Return whether all live routers have the same view, which lists exactly the live routers."""
     living = net.living()
     first = living[0].peer
-    names = {host.name for host in living}
-    known = {name for name, state, *_ in first.members() if state in PRESENT_STATES}
-    return known == names and len({host.peer.view.digest() for host in living}) == 1
+    live_names = {host.name for host in living}
+    present_names = {name for name, state, *_ in first.members() if state in PRESENT_STATES}
+    return present_names == live_names and len({host.peer.view.digest() for host in living}) == 1
 
 
-def counted_too_few(net, configured):
-    """By how many the count of any router is short of those that use a share by now."""
-    using = sum(net.now - host.started_at > NO_QUOTA_S for host in net.living())
-    return max(using - host.peer.estimate_fleet_size(net.now, LEASE_S, configured) for host in net.living())
+def fleet_size_shortfall(net, configured):
+    """Return how far the lowest fleet size estimate is below the number of routers that use a quota now."""
+    active_routers = sum(net.now - host.started_at > NO_QUOTA_S for host in net.living())
+    return max(
+        active_routers - host.peer.estimate_fleet_size(net.now, LEASE_S, configured) for host in net.living()
+    )
 
 
 def watch(net, seconds, configured):
-    """Plays on: seconds till one view for good (None: not within), and the worst shortage of a count."""
-    began, settled, short = net.now, None, 0
+    """Run the simulation and return the settling time and the worst shortfall of a fleet size estimate.
+
+    The settling time is the seconds until all views became and stayed equal; None if they differ at the end.
+    """
+    began, settled, shortfall = net.now, None, 0
     while net.now - began < seconds - 1e-9:
         net.run(STEP_S)
-        short = max(short, counted_too_few(net, configured))
+        shortfall = max(shortfall, fleet_size_shortfall(net, configured))
         if not one_view(net):
             settled = None
         elif settled is None:
             settled = round(net.now - began, 2)
-    return settled, short
+    return settled, shortfall
 
 
 def join(net, members):
+    """Add the last site to the fleet."""
     for n in range(members - SITE_ROUTERS + 1, members + 1):
-        add(net, n)
+        add_router(net, n)
 
 
 def restart(net, members):
-    """All routers of a site leave by their own claim and start again a second later."""
+    """Stop all routers of a site, which announce that they leave, and start them again a second later."""
     site = [net.hosts[n] for n in range(SITE_ROUTERS + 1, 2 * SITE_ROUTERS + 1)]
     for host in site:
         host.peer.leave(net.now, host)
@@ -85,30 +94,31 @@
         net.kill(host.n)
     net.run(1.0)
     for host in site:
-        host.start(BORN_MS + 10_000_000 + host.n, [("10.0.0.1", seed) for seed in (1, 2, 3)])
+        host.start(START_TIME_MS + 10_000_000 + host.n, [("10.0.0.1", seed) for seed in (1, 2, 3)])
 
 
 def crash(net, members):
+    """Kill all routers of a site."""
     for n in range(SITE_ROUTERS + 1, 2 * SITE_ROUTERS + 1):
         net.kill(n)
 
 
-def play(job):
-    """One scenario of one seed: its figures."""
+def run_scenario(job):
+    """Run one scenario with one seed and return its results."""
     scenario, seed, members, loss, seconds = job
     if scenario == "all":
         net = Net(seed, loss)
         for n in range(1, members + 1):
-            add(net, n)
+            add_router(net, n)
     else:
         net = settled_fleet(seed, members - SITE_ROUTERS * (scenario == "join"), loss)
         net.run(15.0)
-    since = net.now
+    observed_from = net.now
     {"join": join, "restart": restart, "crash": crash}.get(scenario, lambda net, members: None)(net, members)
-    settled, short = watch(net, seconds, members)
+    settled, shortfall = watch(net, seconds, members)
     hosts = net.living()
-    rates = sorted(host.traffic.worst_rate(since, net.now) for host in hosts)
-    methods, datagrams, lasted = collections.Counter(), collections.Counter(), net.now
+    rates = sorted(host.traffic.worst_rate(observed_from, net.now) for host in hosts)
+    methods, datagrams, elapsed_s = collections.Counter(), collections.Counter(), net.now
     for host in hosts:
         methods.update(host.traffic.by_method)
         datagrams.update(host.traffic.datagrams)
@@ -118,15 +128,19 @@
         "members": members,
         "loss": loss,
         "settled_s": settled,
-        "counted_short": short,
+        "counted_short": shortfall,
         "worst_10s": round(rates[-1]),
         "median_10s": round(statistics.median(rates)),
-        "mean": round(sum(h.traffic.total(since, net.now) for h in hosts) / len(hosts) / (net.now - since)),
+        "mean": round(
+            sum(h.traffic.total(observed_from, net.now) for h in hosts)
+            / len(hosts)
+            / (net.now - observed_from)
+        ),
         "lost": len({name for h in hosts for at, change, name, _ in h.log if change == "lost"}),
         "methods": {
             f"{direction} {method}": (
-                round(size / len(hosts) / lasted, 1),
-                round(datagrams[direction, method] / len(hosts) / lasted, 2),
+                round(size / len(hosts) / elapsed_s, 1),
+                round(datagrams[direction, method] / len(hosts) / elapsed_s, 2),
             )
             for (direction, method), size in sorted(methods.items())
         },
@@ -134,25 +148,26 @@
 
 
 def main():
+    """Run the benchmark with the command-line options."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--members", type=int, default=530)
     parser.add_argument("--seeds", default="1")
     parser.add_argument("--loss", type=float, default=0.01)
     parser.add_argument("--scenarios", default=",".join(SCENARIOS))
-    parser.add_argument("--seconds", type=float, default=WATCHED_S)
+    parser.add_argument("--seconds", type=float, default=OBSERVATION_S)
     parser.add_argument("--processes", type=int, default=2)
     parser.add_argument("--short", action="store_true")
-    asked = parser.parse_args()
-    if asked.short:
-        asked.members, asked.seconds = 66, 20.0
+    options = parser.parse_args()
+    if options.short:
+        options.members, options.seconds = 66, 20.0
     jobs = [
-        (scenario, int(seed), asked.members, asked.loss, asked.seconds)
-        for scenario in asked.scenarios.split(",")
-        for seed in asked.seeds.split(",")
+        (scenario, int(seed), options.members, options.loss, options.seconds)
+        for scenario in options.scenarios.split(",")
+        for seed in options.seeds.split(",")
     ]
     rows = []
-    with ProcessPoolExecutor(asked.processes) as pool:
-        for row in pool.map(play, jobs):
+    with ProcessPoolExecutor(options.processes) as pool:
+        for row in pool.map(run_scenario, jobs):
             print(json.dumps(row), flush=True)
             rows.append(row)
     print(json.dumps({"rows": rows}))
