--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -1,10 +1,13 @@
-"""How soon a fleet of routers knows, how sure it is, what it costs: python -m benchmarks.fleet_view [--short]
+"""Measures how fast, how reliably and at what cost a fleet of routers learns of changes.
 
+    python -m benchmarks.fleet_view [--short]
     python -m benchmarks.fleet_view --keep benchmarks/results/fleet_view
 
-In virtual time (simulated): the daemon's own peers on a network that loses datagrams, 2 ms apart; beside them all-to-all
-heartbeats on the same network. Then real routers as processes on loopback, the same figures. Seconds, bytes a member a
-second; a fleet knows when 99% of those who live do. Last line: one JSON object."""
+Runs the daemon's own peers in simulated time, on a network with a delay of 2 ms that loses datagrams, and for
+comparison all-to-all heartbeats with the same loss. Then measures the same with real router processes on
+loopback. Times are in seconds, traffic in bytes per member and second; a fleet knows of a change when 99% of
+the live members do. The last line of the output is one JSON object.
+"""
 
 import asyncio
 import json
@@ -24,38 +27,48 @@
 from brookhinge.membership.messages import Announcement, Received
 from brookhinge.membership.peer import Peer
 
-CUT_S = 60.0
+PARTITION_S = 60.0
 
 
 def state_of(host, name):
-    v = host.peer.view
-    i = v.index.get(name)
-    return None if i is None else v.states[i]
+    """Return the state of a member in a host's view, or None if the view does not list it."""
+    view = host.peer.view
+    i = view.index.get(name)
+    return None if i is None else view.states[i]
 
 
-def until(net, holds, most, step=0.02):
-    """Seconds till holds(); `most` if it never did."""
+def time_until(net, condition, limit_s, step_s=0.02):
+    """Run the simulation until condition() and return the seconds, or about `limit_s` if it never held."""
     began = net.now
-    while net.now - began < most:
-        net.run(step)
-        if holds():
+    while net.now - began < limit_s:
+        net.run(step_s)
+        if condition():
             break
     return round(net.now - began, 3)
 
 
-def most_of(net, holds, part=0.99):
+def holds_for_share(net, condition, share=0.99):
+    """Return whether the condition holds for at least this share of the live hosts."""
     hosts = net.living()
-    return sum(map(holds, hosts)) >= part * len(hosts)
-
-
-def first_and_most(net, holds, most):
-    first = until(net, lambda: most_of(net, holds, 1e-9), most)
-    return first, round(
-        first + (until(net, lambda: most_of(net, holds), most) if not most_of(net, holds) else 0.0), 3
+    return sum(map(condition, hosts)) >= share * len(hosts)
+
+
+def times_to_first_and_99_percent(net, condition, limit_s):
+    """Return the seconds until the condition holds for the first live host, and for 99% of them."""
+    first_s = time_until(net, lambda: holds_for_share(net, condition, 1e-9), limit_s)
+    return first_s, round(
+        first_s
+        + (
+            time_until(net, lambda: holds_for_share(net, condition), limit_s)
+            if not holds_for_share(net, condition)
+            else 0.0
+        ),
+        3,
     )
 
 
-def fleet(seed, count, loss):
+def started_fleet(seed, count, loss):
+    """Return a fleet of simulated hosts that has run for 15 s."""
     net = Net(seed, loss)
     for n in range(1, count + 1):
         net.add(n)
@@ -63,48 +76,48 @@
     return net
 
 
-def play(job):
-    """One seed of one size and loss."""
+def run_scenario(job):
+    """Run a drain, a crash, a join and, with `cut`, a partition with one seed, fleet size and loss."""
     seed, count, loss, cut = job
-    net, told = fleet(seed, count, loss), {}
-    before = sum(h.bytes for h in net.hosts.values())
+    net, results = started_fleet(seed, count, loss), {}
+    bytes_before = sum(h.bytes for h in net.hosts.values())
     net.run(10.0)
-    told["bytes_s"] = (sum(h.bytes for h in net.hosts.values()) - before) / count / 10.0
+    results["bytes_s"] = (sum(h.bytes for h in net.hosts.values()) - bytes_before) / count / 10.0
     net.hosts[2].peer.spread(net.now, "draining", ("s-1", 5), net.hosts[2])
     notice = ("draining", "s-1", 5)
-    told["drain_first"], told["drain_most"] = first_and_most(
+    results["drain_first"], results["drain_most"] = times_to_first_and_99_percent(
         net, lambda h: h.n == 2 or notice in h.notices, 10.0
     )
     net.kill(5)
-    told["crash_first"], told["crash_most"] = first_and_most(
+    results["crash_first"], results["crash_most"] = times_to_first_and_99_percent(
         net, lambda h: state_of(h, "n5") == MemberState.LOST, 60.0
     )
     net.add(count + 1)
-    told["join_first"], told["join_most"] = first_and_most(
+    results["join_first"], results["join_most"] = times_to_first_and_99_percent(
         net, lambda h: state_of(h, f"n{count + 1}") in PRESENT_STATES, 30.0
     )
     if cut:
         half = count // 2
         net.cut = lambda a, b: (a <= half) != (b <= half)
-        net.run(CUT_S)
+        net.run(PARTITION_S)
         net.cut = lambda a, b: False
-        told["one_view_after_cut"] = until(net, net.one_view, 120.0, 0.25)
-    return told
+        results["one_view_after_cut"] = time_until(net, net.one_view, 120.0, 0.25)
+    return results
 
 
-def starved(job):
-    """False 'lost' in a simulated time at 10% loss, a tenth of the members held up for a second each few."""
+def run_starved(job):
+    """Count false 'lost' reports at 10% loss while random members of a tenth of the fleet freeze for 1 s."""
     seed, count, seconds = job
-    net, chance = fleet(seed, count, 0.1), random.Random(seed)
+    net, rng = started_fleet(seed, count, 0.1), random.Random(seed)
     for host in net.hosts.values():
         host.log.clear()
-    slow, end = list(range(1, count + 1, 10)), net.now + seconds
+    slow_hosts, end = list(range(1, count + 1, 10)), net.now + seconds
     while net.now < end:
-        held = [n for n in slow if chance.random() < 0.3]
-        for n in held:
+        frozen = [n for n in slow_hosts if rng.random() < 0.3]
+        for n in frozen:
             net.freeze(n)
         net.run(1.0)
-        for n in held:
+        for n in frozen:
             net.thaw(n)
         net.run(0.5)
     lost = [(name, at) for h in net.hosts.values() for at, change, name, _ in h.log if change == "lost"]
@@ -117,102 +130,112 @@
     }
 
 
-def cost(count, seconds):
-    """One member among so many: the part of a core that datagrams and rounds take, and KB that its view holds."""
-    net = fleet(1, count, 0.0)
+def measure_cost(count, seconds):
+    """Return the share of a core that a member needs for datagrams and rounds, and the KB of its view."""
+    net = started_fleet(1, count, 0.0)
     host = net.hosts[1]
-    total = [0.0]
+    cpu_s = [0.0]
 
     def timed(call):
-        def and_count(*given):
+        def timed_call(*args):
             began = time.process_time()
-            result = call(*given)
-            total[0] += time.process_time() - began
+            result = call(*args)
+            cpu_s[0] += time.process_time() - began
             return result
 
-        return and_count
+        return timed_call
 
     host.read, host.peer.round = timed(host.read), timed(host.peer.round)
     net.run(seconds)
     del host.read, host.peer.round
     tracemalloc.start()
-    held = Peer(Identity("n0", ("10.0.0.1", 9999), "z", 1, 1), [], random.Random(1), 0.0)
+    peer = Peer(Identity("n0", ("10.0.0.1", 9999), "z", 1, 1), [], random.Random(1), 0.0)
     for n, other in net.hosts.items():
-        held.round(0.0, [Received(other.peer.claim(0.0), 0, (), (), Announcement())], host)
-    size = tracemalloc.get_traced_memory()[0]
+        peer.round(0.0, [Received(other.peer.claim(0.0), 0, (), (), Announcement())], host)
+    view_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return {"members": count, "core_share": round(total[0] / seconds, 5), "view_kb": round(size / 1024)}
+    return {"members": count, "core_share": round(cpu_s[0] / seconds, 5), "view_kb": round(view_bytes / 1024)}
 
 
-def heartbeats(seed, count, loss, seconds=60.0, every=0.5, missed=5):
-    """All to all: each sends to each; lost after so many missed. The crash of one, and false 'lost' of the others."""
-    chance, heard, false = random.Random(seed), [[0.0] * count for _ in range(count)], 0
-    took, now = [], 0.0
-    out = [[False] * count for _ in range(count)]
+def simulate_heartbeats(seed, count, loss, seconds=60.0, interval_s=0.5, missed_limit=5):
+    """Simulate all-to-all heartbeats with one crash at half of the time.
+
+    A member is lost to another one when no heartbeat has arrived for `missed_limit` intervals.
+
+    Returns:
+        Seconds until 99% of the members know of the crash, bytes per member and second, and false 'lost'
+        reports per hour.
+    """
+    rng, last_heard, false_lost = random.Random(seed), [[0.0] * count for _ in range(count)], 0
+    detection_s, now = [], 0.0
+    lost = [[False] * count for _ in range(count)]
     while now < seconds:
-        now += every
+        now += interval_s
         for a in range(count):
             if a == 1 and now > seconds / 2:
                 continue
             for b in range(count):
-                if chance.random() >= loss:
-                    heard[b][a] = now
+                if rng.random() >= loss:
+                    last_heard[b][a] = now
         for b in range(count):
             if b == 1 and now > seconds / 2:
                 continue
             for a in range(count):
-                gone = now - heard[b][a] >= missed * every
-                if gone and not out[b][a]:
+                is_lost = now - last_heard[b][a] >= missed_limit * interval_s
+                if is_lost and not lost[b][a]:
                     if a == 1 and now > seconds / 2:
-                        took.append(now - seconds / 2)
+                        detection_s.append(now - seconds / 2)
                     else:
-                        false += 1
-                out[b][a] = gone
+                        false_lost += 1
+                lost[b][a] = is_lost
     return {
-        "crash_most": round(sorted(took)[int(0.99 * (len(took) - 1))], 2),
-        "bytes_s": round(count / every * 120),
-        "false_lost_an_hour": round(false * 3600 / seconds),
+        "crash_most": round(sorted(detection_s)[int(0.99 * (len(detection_s) - 1))], 2),
+        "bytes_s": round(count / interval_s * 120),
+        "false_lost_an_hour": round(false_lost * 3600 / seconds),
     }
 
 
-async def processes(count, cut_s):
-    """The same among real routers; where rules are those of the rig's wires."""
-    told = {}
+async def run_processes(count, cut_s):
+    """Measure a drain, a crash and a partition among real routers, which talk through datagram proxies."""
+    results = {}
     with tempfile.TemporaryDirectory(prefix="brookhinge-") as folder:
-        async with ProcessCluster(folder, routers=count, boxes=1) as rig:
-            told["one_view_at_start"] = await rig.until(rig.one_view, 60.0)
+        async with ProcessCluster(folder, routers=count, boxes=1) as cluster:
+            results["one_view_at_start"] = await cluster.until(cluster.one_view, 60.0)
             await asyncio.sleep(3.0)
-            rig.channels["n2"].list("s-1", health="draining")
+            cluster.channels["n2"].list("s-1", health="draining")
             began = time.time()
             await asyncio.sleep(2.0)
-            took = sorted(
-                line["at"] - began for name in rig.names if name != "n2" for line in rig.log(name, "notice")
+            delays = sorted(
+                line["at"] - began
+                for name in cluster.names
+                if name != "n2"
+                for line in cluster.log(name, "notice")
             )
-            told["drain_first"], told["drain_most"] = (
-                (took[0], took[int(0.99 * (len(took) - 1))]) if took else (9, 9)
+            results["drain_first"], results["drain_most"] = (
+                (delays[0], delays[int(0.99 * (len(delays) - 1))]) if delays else (9, 9)
             )
-            told["drain_heard_by"] = len(took)
+            results["drain_heard_by"] = len(delays)
             began = time.time()
-            await rig.kill("n3")
-            await rig.until(rig.one_view, 60.0)
-            took = sorted(
+            await cluster.kill("n3")
+            await cluster.until(cluster.one_view, 60.0)
+            delays = sorted(
                 line["at"] - began
-                for name in rig.names
+                for name in cluster.names
                 if name != "n3"
-                for line in rig.log(name, "fleet")
+                for line in cluster.log(name, "fleet")
                 if line["change"] == "lost" and line["member"] == "n3"
             )
-            told["crash_first"], told["crash_most"] = took[0], took[int(0.99 * (len(took) - 1))]
-            half = set(rig.names[: count // 2])
-            rig.wires.cut = lambda a, b: (a in half) != (b in half)
+            results["crash_first"], results["crash_most"] = delays[0], delays[int(0.99 * (len(delays) - 1))]
+            half = set(cluster.names[: count // 2])
+            cluster.wires.cut = lambda a, b: (a in half) != (b in half)
             await asyncio.sleep(cut_s)
-            rig.wires.cut = lambda a, b: False
-            told["one_view_after_cut"] = await rig.until(rig.one_view, 120.0)
-    return {key: round(value, 3) for key, value in told.items()}
+            cluster.wires.cut = lambda a, b: False
+            results["one_view_after_cut"] = await cluster.until(cluster.one_view, 120.0)
+    return {key: round(value, 3) for key, value in results.items()}
 
 
-def summed(rows):
-    """Median and worst over seeds of each figure."""
+def summarize(rows):
+    """Return the median and the worst value of each result over all seeds."""
     return {
         key: {
             "median": round(statistics.median(row[key] for row in rows), 3),
@@ -222,45 +245,47 @@
     }
 
 
-def chart(figures, path):
+def chart(results, path):
+    """Draw the chart of the results to a file."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    board, places = pyplot.subplots(1, 3, figsize=(15, 4.2))
-    for place, key, title in zip(
-        places,
+    figure, axes = pyplot.subplots(1, 3, figsize=(15, 4.2))
+    for axis, key, title in zip(
+        axes,
         ("drain_most", "crash_most", "bytes_s"),
         ("seconds till 99% know a drain", "seconds till 99% know a crash", "bytes a member a second"),
     ):
-        for loss in sorted({row["loss"] for row in figures["virtual"]}):
-            rows = [row for row in figures["virtual"] if row["loss"] == loss]
-            place.plot(
+        for loss in sorted({row["loss"] for row in results["virtual"]}):
+            rows = [row for row in results["virtual"] if row["loss"] == loss]
+            axis.plot(
                 [row["members"] for row in rows],
                 [row[key]["median"] for row in rows],
                 "o-",
                 label=f"{loss:.0%} lost",
             )
         if key != "drain_most":
-            place.plot(
-                [row["members"] for row in figures["heartbeats"]],
-                [row[key] for row in figures["heartbeats"]],
+            axis.plot(
+                [row["members"] for row in results["heartbeats"]],
+                [row[key] for row in results["heartbeats"]],
                 "k--",
                 label="all to all, 10%",
             )
-        place.set_xscale("log")
-        place.set_title(title + " (simulated)")
-        place.legend()
-    board.tight_layout()
-    board.savefig(path, dpi=90)
+        axis.set_xscale("log")
+        axis.set_title(title + " (simulated)")
+        axis.legend()
+    figure.tight_layout()
+    figure.savefig(path, dpi=90)
 
 
 def main():
-    given = kept.given()
+    """Run the benchmark with the command-line options."""
+    options = kept.given()
     sizes = (
         ((16, 2, (0.0, 0.1)), (64, 2, (0.1,)))
-        if given.short
+        if options.short
         else (
             (16, 20, (0.0, 0.1, 0.3)),
             (64, 20, (0.0, 0.1, 0.3)),
@@ -275,23 +300,23 @@
         for seed in range(1, seeds + 1)
     ]
     jobs.sort(key=lambda job: -job[1])
-    figures = {"virtual": []}
+    results = {"virtual": []}
     with ProcessPoolExecutor() as pool:
-        hold = pool.submit(starved, (1, 32, 60.0) if given.short else (1, 100, 3600.0))
-        done = dict(zip(jobs, pool.map(play, jobs)))
-        figures["starved"] = hold.result()
+        starved = pool.submit(run_starved, (1, 32, 60.0) if options.short else (1, 100, 3600.0))
+        results_by_job = dict(zip(jobs, pool.map(run_scenario, jobs)))
+        results["starved"] = starved.result()
     for count, seeds, losses in sizes:
         for loss in losses:
-            rows = [done[job] for job in done if job[1] == count and job[2] == loss]
-            figures["virtual"].append({"members": count, "loss": loss, "seeds": seeds, **summed(rows)})
-            print(json.dumps(figures["virtual"][-1]), file=sys.stderr)
-    figures["heartbeats"] = [
-        {"members": count, **heartbeats(1, count, 0.1)}
-        for count in ((16, 64) if given.short else (16, 64, 200))
+            rows = [results_by_job[job] for job in results_by_job if job[1] == count and job[2] == loss]
+            results["virtual"].append({"members": count, "loss": loss, "seeds": seeds, **summarize(rows)})
+            print(json.dumps(results["virtual"][-1]), file=sys.stderr)
+    results["heartbeats"] = [
+        {"members": count, **simulate_heartbeats(1, count, 0.1)}
+        for count in ((16, 64) if options.short else (16, 64, 200))
     ]
-    figures["cost"] = cost(*(64, 20.0) if given.short else (200, 120.0))
-    figures["processes"] = asyncio.run(processes(*(6, 8.0) if given.short else (16, 30.0)))
-    kept.finish(figures, given.keep, chart)
+    results["cost"] = measure_cost(*(64, 20.0) if options.short else (200, 120.0))
+    results["processes"] = asyncio.run(run_processes(*(6, 8.0) if options.short else (16, 30.0)))
+    kept.finish(results, options.keep, chart)
 
 
 if __name__ == "__main__":
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -1,11 +1,14 @@
-"""How surely a rollout's judge tells worse from no worse, and what a rollout costs: python -m benchmarks.rollout [--short]
+"""Measures how reliably canary analysis tells a worse version from an equal one, and what a rollout costs.
 
+    python -m benchmarks.rollout [--short]
     python -m benchmarks.rollout --keep benchmarks/results/rollout
 
-Simulated: ten routers at two places, 40 queries a window each, windows drawn by a seed, with troubles going on (a box fails, a
-place is worse for a while, load swings); each method sees the same windows. Three stages a rollout. Beside the judge stand a fixed
-window test (one look at its end) and a plain threshold at each window. Then ten real routers through a good change. Last line:
-one JSON object."""
+Simulated: ten routers at two sites with 40 requests per window each. A seed draws the windows, in which
+unrelated disturbances occur: a cache server fails, one site is worse for a while, or the load swings. Each
+method sees the same windows in three stages per rollout. Canary analysis is compared with a fixed window test
+(evaluated once, at its end) and with a plain threshold at each window. Then a good change is rolled out to
+ten real routers. The last line of the output is one JSON object.
+"""
 
 import asyncio
 import math
@@ -30,83 +33,103 @@
 from brookhinge.rollout.plan import Metric
 
 ROUTERS = 10
-QUERIES = 40
-BEFORE = 60
-WINDOWS = 150
+REQUESTS_PER_WINDOW = 40
+BASELINE_WINDOWS = 60
+STAGE_WINDOWS = 150
 STAGES = 3
-GROUPS = ((0,), (1, 2, 3, 4), (5, 6, 7, 8, 9))
+STAGE_ROUTERS = ((0,), (1, 2, 3, 4), (5, 6, 7, 8, 9))
 METRICS = (Metric("worth", 1.0, 0.02), Metric("failed", -1.0, 0.03))
-EARLIER = "447355d"  # the first build that takes its listening socket from a keeper
-FIXED = 60  # windows of the fixed test
-TROUBLES = {
-    "none": lambda t, place: 0.0,
-    "a box fails": lambda t, place: 0.25 if 80 < t < 110 else 0.0,
-    "one place worse": lambda t, place: 0.15 if place == "k0" and 75 < t < 140 else 0.0,
-    "load swings": lambda t, place: 0.06 + 0.06 * math.sin(t / 9.0),
+EARLIER_BUILD = "447355d"  # the first build that inherits its listening socket from the agent
+FIXED_TEST_WINDOWS = 60
+DISTURBANCES = {
+    "none": lambda t, site: 0.0,
+    "a box fails": lambda t, site: 0.25 if 80 < t < 110 else 0.0,
+    "one place worse": lambda t, site: 0.15 if site == "k0" and 75 < t < 140 else 0.0,
+    "load swings": lambda t, site: 0.06 + 0.06 * math.sin(t / 9.0),
 }
 
 
-def windows(seed, worse, trouble, group):
-    """Rows of each window of a stage: before, and after the group has changed."""
-    chance = random.Random(f"{seed} {group}")
-    skew = [chance.gauss(0.0, 0.02) for _ in range(ROUTERS)]
-    for t in range(BEFORE + WINDOWS):
+def generate_windows(seed, worse, disturbance_name, group):
+    """Yield each window of a stage: whether it precedes the change of the group, and a row per router."""
+    rng = random.Random(f"{seed} {group}")
+    skew = [rng.gauss(0.0, 0.02) for _ in range(ROUTERS)]
+    for t in range(BASELINE_WINDOWS + STAGE_WINDOWS):
         rows = []
         for n in range(ROUTERS):
-            place = f"k{n % 2}"
+            site = f"k{n % 2}"
             changed = n in group
-            bad = TROUBLES[trouble](t, place)
-            good = min(1.0, max(0.0, 0.93 + skew[n] - bad - (worse if changed and t >= BEFORE else 0.0)))
-            worth = sum(chance.random() < good for _ in range(QUERIES))
-            failed = sum(chance.random() < 0.01 + bad / 4.0 for _ in range(QUERIES))
+            disturbance = DISTURBANCES[disturbance_name](t, site)
+            success_rate = min(
+                1.0,
+                max(
+                    0.0, 0.93 + skew[n] - disturbance - (worse if changed and t >= BASELINE_WINDOWS else 0.0)
+                ),
+            )
+            satisfied = sum(rng.random() < success_rate for _ in range(REQUESTS_PER_WINDOW))
+            failed = sum(rng.random() < 0.01 + disturbance / 4.0 for _ in range(REQUESTS_PER_WINDOW))
             deltas = {
-                "worth": MetricDelta(QUERIES, float(worth)),
-                "failed": MetricDelta(QUERIES, float(failed)),
+                "worth": MetricDelta(REQUESTS_PER_WINDOW, float(satisfied)),
+                "failed": MetricDelta(REQUESTS_PER_WINDOW, float(failed)),
             }
-            rows.append(RouterWindow(place, changed, deltas))
-        yield t < BEFORE, rows
+            rows.append(RouterWindow(site, changed, deltas))
+        yield t < BASELINE_WINDOWS, rows
 
 
-def judged(seed, worse, trouble, group):
-    """What each method says of one stage: windows till 'worse', or None."""
+def judge_stage(seed, worse, disturbance_name, group):
+    """Return how many windows of one stage each method needs to find it worse, or None if it does not."""
     analysis = CanaryAnalysis(METRICS, 0.01 / STAGES)
-    said = dict.fromkeys(("judge", "fixed", "threshold"))
+    detected_after = dict.fromkeys(("judge", "fixed", "threshold"))
     before = []
     after = []
-    for early, rows in windows(seed, worse, trouble, group):
-        analysis.add_window(early, rows)
+    for is_baseline, rows in generate_windows(seed, worse, disturbance_name, group):
+        analysis.add_window(is_baseline, rows)
         value = difference("worth", rows)
-        (before if early else after).append(value)
-        if early:
+        (before if is_baseline else after).append(value)
+        if is_baseline:
             continue
-        if said["judge"] is None and analysis.verdict().kind == VerdictKind.WORSE:
-            said["judge"] = len(after)
-        if said["threshold"] is None and value - statistics.mean(before) < -0.05:
-            said["threshold"] = len(after)
-        if len(after) == FIXED:
-            error = math.sqrt(statistics.variance(before) / len(before) + statistics.variance(after) / FIXED)
+        if detected_after["judge"] is None and analysis.verdict().kind == VerdictKind.WORSE:
+            detected_after["judge"] = len(after)
+        if detected_after["threshold"] is None and value - statistics.mean(before) < -0.05:
+            detected_after["threshold"] = len(after)
+        if len(after) == FIXED_TEST_WINDOWS:
+            standard_error = math.sqrt(
+                statistics.variance(before) / len(before) + statistics.variance(after) / FIXED_TEST_WINDOWS
+            )
             if (
                 statistics.mean(after) - statistics.mean(before)
-            ) / error < -2.71:  # one in 300, as a stage may
-                said["fixed"] = FIXED
-        if all(said.values()) or len(after) > FIXED and said["judge"] and said["threshold"]:
+            ) / standard_error < -2.71:  # error probability of 1 in 300, as allowed per stage
+                detected_after["fixed"] = FIXED_TEST_WINDOWS
+        if (
+            all(detected_after.values())
+            or len(after) > FIXED_TEST_WINDOWS
+            and detected_after["judge"]
+            and detected_after["threshold"]
+        ):
             break
-    return said
+    return detected_after
 
 
-def rollout(job):
-    """One rollout of three stages: for each method whether it stopped it, in which window of all, and queries hurt till then."""
-    seed, worse, trouble = job
-    out = dict.fromkeys(("judge", "fixed", "threshold"))
-    for k, group in enumerate(GROUPS):
-        for method, at in judged(seed, worse, trouble, group).items():
-            if out[method] is None and at is not None:
-                hurt = worse * QUERIES * (sum(len(g) for g in GROUPS[:k]) * WINDOWS + len(group) * at)
-                out[method] = k * WINDOWS + at, hurt
-    return out
+def run_rollout(job):
+    """Return for each method the window in which it stopped a three-stage rollout, and the requests harmed.
 
+    A method that did not stop the rollout has None.
+    """
+    seed, worse, disturbance_name = job
+    stopped_at = dict.fromkeys(("judge", "fixed", "threshold"))
+    for k, group in enumerate(STAGE_ROUTERS):
+        for method, at in judge_stage(seed, worse, disturbance_name, group).items():
+            if stopped_at[method] is None and at is not None:
+                harmed_requests = (
+                    worse
+                    * REQUESTS_PER_WINDOW
+                    * (sum(len(g) for g in STAGE_ROUTERS[:k]) * STAGE_WINDOWS + len(group) * at)
+                )
+                stopped_at[method] = k * STAGE_WINDOWS + at, harmed_requests
+    return stopped_at
 
-def stopped(rows, method):
+
+def summarize(rows, method):
+    """Return the share of rollouts that a method stopped, with the mean windows and harmed requests."""
     found = [row[method] for row in rows if row[method] is not None]
     return {
         "stopped": round(len(found) / len(rows), 4),
@@ -115,117 +138,126 @@
     }
 
 
-async def processes(routers, rate, tree=None, back=False):
-    """A good change through real routers under load: what was refused or lost, and service during it against before.
-    tree: of the old program, if that is an earlier build; back: taken back in the middle of its second stage."""
+async def run_processes(routers, rate, tree=None, back=False):
+    """Roll out a good change to real routers under load, and return lost requests and satisfied shares.
+
+    Args:
+        routers: Number of routers.
+        rate: Requests per second to each router.
+        tree: Source tree of the old version, or None for the present one.
+        back: Whether the change is rolled back in the middle of its second stage.
+    """
     with tempfile.TemporaryDirectory(prefix="brookhinge-") as folder:
         async with RolloutCluster(
             folder, routers=routers, boxes=2, patience_s=2.0, stages="[0.1, 0.5, 1.0]", tree=tree
-        ) as rig:
-            async with Load(rig, dict.fromkeys(rig.names, rate), objects=200) as load:
+        ) as cluster:
+            async with Load(cluster, dict.fromkeys(cluster.names, rate), objects=200) as load:
                 await asyncio.sleep(4.0)
-                before = total(load.kinds)
+                before = sum_outcomes(load.kinds)
                 began = time.monotonic()
-                roll = await rig.start_coordinator()
+                coordinator = await cluster.start_coordinator()
                 if back:
-                    await rig.until(lambda: list(rig.versions().values()).count("v2") > 1, 200.0)
-                    rig.ask("back")
-                code = await rig.ended(roll, 400.0)
-                took = time.monotonic() - began
-                after = total(load.kinds)
-    share = [
-        told.get("satisfied", 0) / max(1, sum(told.values()))
-        for told in (before, {key: after[key] - before.get(key, 0) for key in after})
+                    await cluster.until(lambda: list(cluster.versions().values()).count("v2") > 1, 200.0)
+                    cluster.ask("back")
+                exit_code = await cluster.ended(coordinator, 400.0)
+                elapsed_s = time.monotonic() - began
+                after = sum_outcomes(load.kinds)
+    satisfied_shares = [
+        outcomes.get("satisfied", 0) / max(1, sum(outcomes.values()))
+        for outcomes in (before, {key: after[key] - before.get(key, 0) for key in after})
     ]
     return {
         "routers": routers,
-        "ended": code,
-        "seconds": round(took, 1),
+        "ended": exit_code,
+        "seconds": round(elapsed_s, 1),
         "queries": sum(after.values()),
         "lost": after.get("lost", 0) + after.get("none", 0) - before.get("lost", 0),
-        "service_before": round(share[0], 4),
-        "service_during": round(share[1], 4),
+        "service_before": round(satisfied_shares[0], 4),
+        "service_during": round(satisfied_shares[1], 4),
     }
 
 
-def total(kinds):
-    out = {}
-    for told in kinds.values():
-        for kind, count in told.items():
-            out[kind] = out.get(kind, 0) + count
-    return out
+def sum_outcomes(kinds):
+    """Return the sums of the outcome counts of all routers."""
+    sums = {}
+    for outcomes in kinds.values():
+        for kind, count in outcomes.items():
+            sums[kind] = sums.get(kind, 0) + count
+    return sums
 
 
-def chart(figures, path):
+def chart(results, path):
+    """Draw the chart of the results to a file."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    board, places = pyplot.subplots(1, 2, figsize=(12, 4))
+    figure, axes = pyplot.subplots(1, 2, figsize=(12, 4))
     for method in ("judge", "fixed", "threshold"):
-        worse = list(figures["judged"])
-        places[0].plot(
+        worse = list(results["judged"])
+        axes[0].plot(
             [float(w) for w in worse],
-            [figures["judged"][w][method]["stopped"] for w in worse],
+            [results["judged"][w][method]["stopped"] for w in worse],
             "o-",
             label=method,
         )
-        places[1].plot(
-            [float(w) for w in worse if figures["judged"][w][method]["queries_hurt"] is not None],
+        axes[1].plot(
+            [float(w) for w in worse if results["judged"][w][method]["queries_hurt"] is not None],
             [
-                figures["judged"][w][method]["queries_hurt"]
+                results["judged"][w][method]["queries_hurt"]
                 for w in worse
-                if figures["judged"][w][method]["queries_hurt"] is not None
+                if results["judged"][w][method]["queries_hurt"] is not None
             ],
             "o-",
             label=method,
         )
-    places[0].set_title("share of rollouts stopped, by how much worse (simulated)")
-    places[1].set_title("queries hurt till then (simulated)")
-    places[0].legend()
-    board.tight_layout()
-    board.savefig(path, dpi=90)
+    axes[0].set_title("share of rollouts stopped, by how much worse (simulated)")
+    axes[1].set_title("queries hurt till then (simulated)")
+    axes[0].legend()
+    figure.tight_layout()
+    figure.savefig(path, dpi=90)
 
 
 def main():
-    given = kept.given()
+    """Run the benchmark with the command-line options."""
+    options = kept.given()
     seeds = (
         {0.0: 40, 0.05: 12, 0.10: 12}
-        if given.short
+        if options.short
         else {0.0: 500, 0.01: 200, 0.02: 200, 0.05: 200, 0.10: 200}
     )
-    names = list(TROUBLES)
+    names = list(DISTURBANCES)
     jobs = [
         (seed, worse, names[seed % len(names)]) for worse, count in seeds.items() for seed in range(count)
     ]
     with ProcessPoolExecutor() as pool:
-        played = dict(zip(jobs, pool.map(rollout, jobs, chunksize=4)))
-    figures = {"judged": {}}
+        results_by_job = dict(zip(jobs, pool.map(run_rollout, jobs, chunksize=4)))
+    results = {"judged": {}}
     for worse in seeds:
-        rows = [played[job] for job in jobs if job[1] == worse]
-        figures["judged"][str(worse)] = {
-            method: stopped(rows, method) for method in ("judge", "fixed", "threshold")
+        rows = [results_by_job[job] for job in jobs if job[1] == worse]
+        results["judged"][str(worse)] = {
+            method: summarize(rows, method) for method in ("judge", "fixed", "threshold")
         }
-        print(worse, figures["judged"][str(worse)], file=sys.stderr)
-    figures["processes"] = asyncio.run(processes(*(3, 8.0) if given.short else (10, 8.0)))
-    if not given.short:
+        print(worse, results["judged"][str(worse)], file=sys.stderr)
+    results["processes"] = asyncio.run(run_processes(*(3, 8.0) if options.short else (10, 8.0)))
+    if not options.short:
         with tempfile.TemporaryDirectory(prefix="brookhinge-") as folder:
             subprocess.run(
-                ["git", "worktree", "add", "--detach", f"{folder}/earlier", EARLIER],
+                ["git", "worktree", "add", "--detach", f"{folder}/earlier", EARLIER_BUILD],
                 check=True,
                 capture_output=True,
             )
             try:
-                figures["earlier build"] = {
-                    "to the present": asyncio.run(processes(6, 8.0, f"{folder}/earlier")),
-                    "and back": asyncio.run(processes(6, 8.0, f"{folder}/earlier", True)),
+                results["earlier build"] = {
+                    "to the present": asyncio.run(run_processes(6, 8.0, f"{folder}/earlier")),
+                    "and back": asyncio.run(run_processes(6, 8.0, f"{folder}/earlier", True)),
                 }
             finally:
                 subprocess.run(
                     ["git", "worktree", "remove", "--force", f"{folder}/earlier"], capture_output=True
                 )
-    kept.finish(figures, given.keep, chart)
+    kept.finish(results, options.keep, chart)
 
 
 if __name__ == "__main__":
