--- a/benchmarks/store_kills.py
+++ b/benchmarks/store_kills.py
@@ -135,8 +135,8 @@
     )
 
 
-async def play(folder, kills, seed, slowest_s=0.8):
-    """Kill and restart a cache server under load, with up to `slowest_s` before each kill."""
+async def run_kills(folder, kills, seed, max_interval_s=0.8):
+    """Kill and restart a cache server under load, with up to `max_interval_s` before each kill."""
     rng = random.Random(seed)
     async with LocalDeployment(
         folder,
@@ -155,7 +155,7 @@
             asyncio.ensure_future(load.run_purges())
         ]
         for _ in range(kills):
-            await asyncio.sleep(rng.uniform(0.05, slowest_s))
+            await asyncio.sleep(rng.uniform(0.05, max_interval_s))
             await deployment.kill("s-1")
             await asyncio.sleep(0.02)
             counted = count_lost_purges(Path(folder) / "s-1", load.purges_sent, deployment.channel.polls)
@@ -224,7 +224,7 @@
         results["runs"] = rows
     else:
         with tempfile.TemporaryDirectory(prefix="kills-") as folder:
-            results = asyncio.run(play(folder, options.kills, options.seed))
+            results = asyncio.run(run_kills(folder, options.kills, options.seed))
     if options.keep:
         Path(options.keep).write_text(json.dumps(results, indent=1) + "\n")
     print(json.dumps(results))
--- a/tests/cache_server/test_kills.py
+++ b/tests/cache_server/test_kills.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from benchmarks.store_kills import play
+from benchmarks.store_kills import run_kills
 
 
 def test_kills(tmp_path):
-    figures = asyncio.run(play(tmp_path / "town", 20, 7, slowest_s=0.4))
+    figures = asyncio.run(run_kills(tmp_path / "town", 20, 7, max_interval_s=0.4))
     bad = {
         key: figures[key] for key in ("wrong_bytes", "purged_copies", "acknowledged_purges_lost", "faults")
     }
