--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -166,7 +166,7 @@
         Seconds until 99% of the members know of the crash, bytes per member and second, and false 'lost'
         reports per hour.
     """
-    rng, last_heard, false_lost = random.Random(seed), [[0.0] * count for _ in range(count)], 0
+    rng, last_heartbeat, false_lost = random.Random(seed), [[0.0] * count for _ in range(count)], 0
     detection_s, now = [], 0.0
     lost = [[False] * count for _ in range(count)]
     while now < seconds:
@@ -176,12 +176,12 @@
                 continue
             for b in range(count):
                 if rng.random() >= loss:
-                    last_heard[b][a] = now
+                    last_heartbeat[b][a] = now
         for b in range(count):
             if b == 1 and now > seconds / 2:
                 continue
             for a in range(count):
-                is_lost = now - last_heard[b][a] >= missed_limit * interval_s
+                is_lost = now - last_heartbeat[b][a] >= missed_limit * interval_s
                 if is_lost and not lost[b][a]:
                     if a == 1 and now > seconds / 2:
                         detection_s.append(now - seconds / 2)
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -33,12 +33,12 @@
     The latter is what all routers together may send in slow start, but at most the demand.
     """
     budget, step_s, allowed = fleet.routers[0].decisions.slow_start["cache"], 0.1, 0.0
-    for box in fleet.boxes.values():
+    for cache_server in fleet.boxes.values():
         at = begin
         while at < end:
             allowed += (
                 min(
-                    budget.fleet_rate(at, box.born, float(box.cores), fleet.work),
+                    budget.fleet_rate(at, cache_server.born, float(cache_server.cores), fleet.work),
                     fleet.rate * fleet.work / len(fleet.boxes),
                 )
                 * step_s
@@ -62,10 +62,14 @@
 
     def pull(self, n, effect):
         """Record an attempt before it is sent."""
-        box = self.boxes.get(effect.server.server)
-        if box is not None and box.born is not None and CALM_S < self.now < CALM_S + MEASURED_S:
+        cache_server = self.boxes.get(effect.server.server)
+        if (
+            cache_server is not None
+            and cache_server.born is not None
+            and CALM_S < self.now < CALM_S + MEASURED_S
+        ):
             self.cold_work += self.work
-        if box is not None and box.name == self.failing_server:
+        if cache_server is not None and cache_server.name == self.failing_server:
             self.failing_attempts.append(self.now)
         super().pull(n, effect)
 
@@ -76,8 +80,8 @@
 
 def run_cold_restart(seed, routers, share, cut=False):
     """Restart all cache servers cold; with `cut`, the fleet is split into halves 3 s before."""
-    boxes = max(3, routers // 6)
-    fleet = MeasuredFleet(seed, routers, boxes, rate=13.0 * boxes, share=share)
+    cache_servers = max(3, routers // 6)
+    fleet = MeasuredFleet(seed, routers, cache_servers, rate=13.0 * cache_servers, share=share)
     if cut:
         fleet.cut = lambda a, b: fleet.now > CALM_S - 3.0 and (a % 2 != b % 2)
     fleet.at(CALM_S, fleet.restart)
@@ -85,21 +89,21 @@
     return {
         "service": fleet.worth(CALM_S, CALM_S + MEASURED_S),
         "used": slow_start_usage(fleet, CALM_S, CALM_S + MEASURED_S),
-        "peak": max(box.peak for box in fleet.boxes.values()) / COLD.overload_multiple,
-        "fallen": sum(box.fallen for box in fleet.boxes.values()),
+        "peak": max(cache_server.peak for cache_server in fleet.boxes.values()) / COLD.overload_multiple,
+        "fallen": sum(cache_server.fallen for cache_server in fleet.boxes.values()),
         "datagrams_s": fleet.datagrams / len(fleet.routers) / fleet.now,
     }
 
 
 def run_failing_server(seed, routers, share):
     """Let one cache server fail one response in three, and compare with the same fleet without the fault."""
-    boxes = max(3, routers // 6)
-    fleet = MeasuredFleet(seed, routers, boxes, rate=10.0 * boxes, share=share)
-    baseline = MeasuredFleet(seed, routers, boxes, rate=10.0 * boxes, share=share)
+    cache_servers = max(3, routers // 6)
+    fleet = MeasuredFleet(seed, routers, cache_servers, rate=10.0 * cache_servers, share=share)
+    baseline = MeasuredFleet(seed, routers, cache_servers, rate=10.0 * cache_servers, share=share)
     fleet.at(CALM_S, fleet.fail, "s-1", 1.0 / 3.0)
     fleet.run(CALM_S + MEASURED_S + 4.0)
     baseline.run(CALM_S + MEASURED_S + 4.0)
-    healthy_rate = 10.0 * boxes / boxes  # requests per second to this cache server while it is healthy
+    healthy_rate = 10.0 * cache_servers / cache_servers  # requests per second to a healthy cache server
     left_at = next(
         (
             at
@@ -119,10 +123,10 @@
 
 def run_noise(seed, routers, share):
     """Measure unjustified ejections: one router's attempts break, and all cache servers fail one in fifty."""
-    boxes = max(3, routers // 6)
-    fleet = MeasuredFleet(seed, routers, boxes, rate=10.0 * boxes, share=share)
-    for box in fleet.boxes.values():
-        box.fails = 0.02
+    cache_servers = max(3, routers // 6)
+    fleet = MeasuredFleet(seed, routers, cache_servers, rate=10.0 * cache_servers, share=share)
+    for cache_server in fleet.boxes.values():
+        cache_server.fails = 0.02
     fleet.broken = {0: 0.5}
     ejected, duration_s = 0, 30.0
     fleet.tell("ready", 1)
@@ -135,7 +139,7 @@
                 how in ("rest", "trial") for how, _ in getattr(ejector, "verdicts", {}).values()
             )
     return {
-        "resting_share": ejected / duration_s / (routers - 1) / boxes,
+        "resting_share": ejected / duration_s / (routers - 1) / cache_servers,
         "service": fleet.worth(2.0, duration_s - 3.0),
     }
 
@@ -164,8 +168,10 @@
                 await cluster.cold(*cluster.box_names)
                 began = time.monotonic()
                 await asyncio.sleep(seconds)
-                cold_requests = sum(at >= began for box in cluster.boxes.values() for at in box.came)
-                peak = max(box.most_in(1.0, began) for box in cluster.boxes.values())
+                cold_requests = sum(
+                    at >= began for cache_server in cluster.boxes.values() for at in cache_server.came
+                )
+                peak = max(cache_server.most_in(1.0, began) for cache_server in cluster.boxes.values())
             async with Load(cluster, dict.fromkeys(cluster.names, 4.0), seed=6) as load:
                 await asyncio.sleep(2.0)
                 cluster.boxes["s-1"].fails = 0.4
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -1,4 +1,4 @@
-"""Measures how reliably canary analysis tells a worse version from an equal one, and what a rollout costs.
+"""Measures how reliably canary analysis detects a worse version, and what a rollout costs.
 
     python -m benchmarks.rollout [--short]
     python -m benchmarks.rollout --keep benchmarks/results/rollout
@@ -144,7 +144,7 @@
     Args:
         routers: Number of routers.
         rate: Requests per second to each router.
-        tree: Source tree of the old version, or None for the present one.
+        tree: Source tree of the old version, or None for the current one.
         back: Whether the change is rolled back in the middle of its second stage.
     """
     with tempfile.TemporaryDirectory(prefix="brookhinge-") as folder:
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -35,7 +35,7 @@
 from brookhinge.overload.retry_lineage import RetryLineage
 from brookhinge.overload.retry_schedule import RetrySchedule
 
-ROUTERS, BOXES, CORES, WORK_S, OBJECTS = 3, 6, 4, 0.1, 400
+ROUTERS, CACHE_SERVERS, CORES, WORK_S, OBJECTS = 3, 6, 4, 0.1, 400
 SLOW_START = SlowStart(0.3, 6.0, 3.0, 1.0)
 CONTRACT_S, PATIENCE_S, LONGEST_HINT_S = 0.5, 3.0, 2.0
 REQUEST_CLASSES = (
@@ -156,7 +156,7 @@
         proxy_share=0.2,
         keep_router_share=0.9,
     ):
-        super().__init__(seed, BOXES, CORES, SLOW_START, WORK_S)
+        super().__init__(seed, CACHE_SERVERS, CORES, SLOW_START, WORK_S)
         self.storm = storm
         self.clients = random.Random(seed + 1)
         self.calm_s, self.cut_s, self.end = calm_s, cut_s, calm_s + cut_s + after_s
@@ -310,15 +310,20 @@
 
     def cut(self):
         """Make all cache servers unreachable and drop their copies; the endpoint list shows it 1 s later."""
-        for box in self.boxes.values():
-            box.up, box.kept = False, set()
-            self.fall(box)
+        for cache_server in self.boxes.values():
+            cache_server.up, cache_server.kept = False, set()
+            self.fall(cache_server)
         self.at(self.now + 1.0, self.tell, "gone", 2)
 
     def restore(self):
         """Bring the cache servers back and let recent clients that were not served try again together."""
-        for box in self.boxes.values():
-            box.up, box.born, box.at, box.sent = True, self.now, self.now, []
+        for cache_server in self.boxes.values():
+            cache_server.up, cache_server.born, cache_server.at, cache_server.sent = (
+                True,
+                self.now,
+                self.now,
+                [],
+            )
         self.at(self.now + 0.3, self.tell, "ready", 3)
         self.at(self.now + 0.5, self.record_schedule_counts)
         for user_request in self.user_requests:
@@ -349,13 +354,16 @@
 
         A response after the contract time counts a fifth, one after the client's patience nothing.
         """
-        rows = [n for n in self.user_requests if begin <= n.first_tried_at < end]
-        requested = sum(REQUEST_CLASSES[n.request_class].utility for n in rows)
+        rows = [
+            user_request for user_request in self.user_requests if begin <= user_request.first_tried_at < end
+        ]
+        requested = sum(REQUEST_CLASSES[user_request.request_class].utility for user_request in rows)
         delivered = sum(
-            REQUEST_CLASSES[n.request_class].utility
-            * (1.0 if n.served_at - n.first_tried_at <= CONTRACT_S else 0.2)
-            for n in rows
-            if n.served_at is not None and n.served_at - n.first_tried_at <= PATIENCE_S
+            REQUEST_CLASSES[user_request.request_class].utility
+            * (1.0 if user_request.served_at - user_request.first_tried_at <= CONTRACT_S else 0.2)
+            for user_request in rows
+            if user_request.served_at is not None
+            and user_request.served_at - user_request.first_tried_at <= PATIENCE_S
         )
         return delivered / requested if requested else 0.0
 
@@ -370,7 +378,7 @@
         recovered_at = next(
             (at for i, (at, s) in enumerate(slots) if all(x >= 0.9 * calm for _, x in slots[i : i + 3])), None
         )
-        herd = [n for n in self.user_requests if n.in_herd]
+        herd = [user_request for user_request in self.user_requests if user_request.in_herd]
         schedule_counts = (
             [
                 {key: r.decisions.retry_schedule.counts[key] - counts_before[key] for key in counts_before}
@@ -384,9 +392,11 @@
             service_after=round(self.service(recovery_at, recovery_at + 8.0), 4),
             to_calm_s=None if recovered_at is None else round(recovered_at - recovery_at, 2),
             herd=len(herd),
-            herd_served=round(sum(n.served_at is not None for n in herd) / max(1, len(herd)), 4),
-            peak_over_present=round(max(b.peak for b in self.boxes.values()), 2),
-            fallen=sum(b.fallen for b in self.boxes.values()),
+            herd_served=round(
+                sum(user_request.served_at is not None for user_request in herd) / max(1, len(herd)), 4
+            ),
+            peak_over_present=round(max(cache_server.peak for cache_server in self.boxes.values()), 2),
+            fallen=sum(cache_server.fallen for cache_server in self.boxes.values()),
             places_kept_served=round(
                 sum(c["served"] for c in schedule_counts) / max(1, sum(c["kept"] for c in schedule_counts)), 4
             ),
--- a/benchmarks/structures.py
+++ b/benchmarks/structures.py
@@ -105,14 +105,14 @@
         self.attempts = {}
         self.swept_at = 0.0
 
-    def recognize(self, now, query, address, connection, name):
+    def recognize(self, now, request, address, connection, name):
         """Record an attempt and return whether an earlier attempt of the same client and object is known."""
         if now - self.swept_at > 1.0:
             self.swept_at = now
             self.attempts = {key: row for key, row in self.attempts.items() if now - row[1] < self.remember_s}
         key = address, name
         known = self.attempts.get(key)
-        self.attempts[key] = known[0] if known else now, now, query
+        self.attempts[key] = known[0] if known else now, now, request
         return known is not None
 
 
