--- a/brookhinge/emulator/__init__.py
+++ b/brookhinge/emulator/__init__.py
@@ -1,2 +1,5 @@
-"""Scripted peers for tests, demo and benchmarks: origin, command channel, caller, and a town of all of them on loopback.
-Written from the platform's protocol; they stand for outside systems and are no part of the product."""
+"""Emulated peers for tests, the demo and benchmarks.
+
+Emulates the origin, the command channel and the callers, and runs local deployments of them on loopback. They
+implement the platform's protocol in place of outside systems and are not part of the product.
+"""
--- a/brookhinge/emulator/local_deployment.py
+++ b/brookhinge/emulator/local_deployment.py
@@ -1,5 +1,9 @@
-"""A town on loopback with free ports: origin and command channel in this process, parent and boxes as processes of their
-own (so that they can be killed), and a router if wanted. Ends what it started, by id."""
+"""Runs a local deployment on free loopback ports.
+
+The origin and the command channel run in this process. The parent and the cache servers run as child
+processes, so that they can be killed, and so does the optional router. Child processes are ended by process
+id.
+"""
 
 import asyncio
 import json
@@ -33,7 +37,7 @@
 
 
 def settings(aim_s=0.3, patience_s=3.0, warm_s=5.0, longest_hint_s=0.0, flow_kb_s=0.0):
-    """The settings of a router among boxes of this town."""
+    """Returns the settings of a router in this deployment."""
     return {
         "Az": "edge-1",
         "Zones": ["hub", "edge-1"],
@@ -65,6 +69,7 @@
 
 
 async def end_all(processes):
+    """Kills the processes that still run and waits for all of them."""
     for process in processes:
         if process.returncode is None:
             process.kill()
@@ -72,8 +77,8 @@
         await process.wait()
 
 
-def memory_stand(name, port, channel_port, memory_mb):
-    """The settings of a box on loopback that keeps its copies in memory alone."""
+def memory_only_settings(name, port, channel_port, memory_mb):
+    """Returns the settings of a cache server on loopback that stores its copies in memory only."""
     return CacheServerSettings(
         name=name,
         listen=("127.0.0.1", port),
@@ -92,7 +97,27 @@
 
 
 class LocalDeployment:
-    """async with LocalDeployment(folder) as town: town.boxes, town.origin, town.channel, town.router_address."""
+    """Runs the deployment while its `async with` block runs.
+
+    Attributes:
+        folder: Directory of the settings, logs and stores of the processes.
+        router: Whether a router is started.
+        disk: Whether the cache servers other than the parent also store copies on disk.
+        settings: Arguments of `settings` for the router.
+        tier: Sizes and snapshot interval of each cache server's store.
+        storm: Value of the router's `storm` setting.
+        origin: Emulated origin.
+        channel: Emulated command channel.
+        names: Names of the cache servers other than the parent.
+        own: Names of all cache servers, the parent first.
+        processes: Running child processes by name.
+        ports: Ports by name.
+        logs: Log files by name.
+        parent_here: Whether the parent runs in this process, where its counters can be read.
+        parent_mb: Memory of the parent if it runs in this process.
+        parent: The parent if it runs in this process, else None.
+        router_address: Host and port of the router, once it has started.
+    """
 
     def __init__(
         self,
@@ -120,11 +145,7 @@
         self.names = [f"s-{i + 1}" for i in range(boxes)]
         self.own = (["p-1"] if parent else []) + self.names
         self.processes, self.ports, self.logs = {}, {}, {}
-        self.parent_here, self.parent_mb, self.parent = (
-            parent_here,
-            parent_mb,
-            None,
-        )  # in this process its counts can be read
+        self.parent_here, self.parent_mb, self.parent = parent_here, parent_mb, None
 
     async def __aenter__(self):
         self.folder.mkdir(parents=True, exist_ok=True)
@@ -142,7 +163,7 @@
         for name in self.own:
             if name == "p-1" and self.parent_here:
                 self.parent = CacheServer(
-                    memory_stand(name, self.ports[name], self.channel_port, self.parent_mb)
+                    memory_only_settings(name, self.ports[name], self.channel_port, self.parent_mb)
                 )
                 await self.parent.start()
             else:
@@ -152,6 +173,7 @@
         return self
 
     def add(self, name, kind, site, port, **other):
+        """Adds a server to the channel's list without an event."""
         self.channel.hosts[name] = {
             "host": name,
             "dial": f"127.0.0.1:{port}",
@@ -165,6 +187,7 @@
         }
 
     async def spawn(self, name, args, environ=None):
+        """Starts a process of this program; its output is appended to its log file."""
         self.logs[name] = self.folder / f"{name}.log"
         with open(self.logs[name], "ab") as log:
             self.processes[name] = await asyncio.create_subprocess_exec(
@@ -179,13 +202,13 @@
             )
 
     async def start(self, name, within_s=10.0):
-        """Starts a box; back when it accepts connections."""
-        kept = self.disk and name != "p-1"
+        """Starts a cache server; returns once it accepts connections."""
+        on_disk = self.disk and name != "p-1"
         text = BOX.format(
             name=name,
             port=self.ports[name],
             channel=self.channel_port,
-            dir=self.folder / name if kept else "",
+            dir=self.folder / name if on_disk else "",
             **self.tier,
         )
         (self.folder / f"{name}.hcl").write_text(text)
@@ -193,21 +216,28 @@
         await self.accepts(name, self.ports[name], within_s)
 
     async def accepts(self, name, port, within_s):
-        end = time.monotonic() + within_s
+        """Waits until a process accepts connections.
+
+        Raises:
+            RuntimeError: The process ended or does not accept connections in time.
+        """
+        deadline = time.monotonic() + within_s
         while True:
             try:
                 _, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.close()
                 return
             except OSError:
-                ended = self.processes[name].returncode
-                if time.monotonic() > end or ended is not None:
+                exit_code = self.processes[name].returncode
+                if time.monotonic() > deadline or exit_code is not None:
                     raise RuntimeError(
-                        f"{name} is not up ({ended}): {self.logs[name].read_text()[-800:]}"
+                        f"{name} does not accept connections (exit code {exit_code}): "
+                        f"{self.logs[name].read_text()[-800:]}"
                     ) from None
                 await asyncio.sleep(0.02)
 
     async def start_router(self):
+        """Starts the router; returns once it accepts connections."""
         self.ports["router"] = free_port()
         path = self.folder / "router.json"
         path.write_text(
@@ -229,20 +259,22 @@
         self.router_address = "127.0.0.1", self.ports["router"]
 
     async def caller(self):
+        """Returns a connected caller of the router."""
         return await ThriftCaller(self.router_address).connect()
 
     async def kill(self, name, how=signal.SIGKILL):
+        """Sends a signal to a process and waits for its end."""
         process = self.processes.pop(name)
         process.send_signal(how)
         await process.wait()
 
     async def restart(self, name):
-        """A killed box comes back at its place, told as a late start."""
+        """Starts a killed cache server again on its port; the channel lists it with its new start time."""
         await self.start(name)
         self.channel.list(name, born_ms=round(time.time() * 1000), health="up")
 
     def change(self, object_=None, group=None):
-        """The origin has other bytes, and the channel tells the purge; its number there."""
+        """Changes an object or group at the origin and publishes the purge; returns its cursor."""
         when = self.origin.change(object_, group)
         return self.channel.drop(object_, group, when)
 
--- a/brookhinge/emulator/process_cluster.py
+++ b/brookhinge/emulator/process_cluster.py
@@ -20,7 +20,7 @@
 
 from brookhinge.cache_server import CacheServer, protocol
 from brookhinge.emulator.command_channel import CommandChannel
-from brookhinge.emulator.local_deployment import end_all, memory_stand, settings
+from brookhinge.emulator.local_deployment import end_all, memory_only_settings, settings
 from brookhinge.emulator.origin import Origin
 from brookhinge.emulator.ports import free_port, own_host
 from brookhinge.emulator.thrift_caller import ThriftCaller
@@ -330,7 +330,7 @@
         if name in self.boxes:
             await self.boxes[name].stop()
         self.boxes[name] = ObservedCacheServer(
-            memory_stand(name, self.box_ports[name], self.feed_port, BOX_MB),
+            memory_only_settings(name, self.box_ports[name], self.feed_port, BOX_MB),
             self.seed,
         )
         await self.boxes[name].start()
