--- a/brookhinge/emulator/simulated_fleet.py
+++ b/brookhinge/emulator/simulated_fleet.py
@@ -1,5 +1,8 @@
-"""A fleet of routers that share limits and verdicts, or nothing, among modelled boxes in simulated time: the daemon's state,
-decisions and cores; wires and the news of the view are stood in for."""
+"""Simulates a fleet of routers that share limits and outlier evidence, or nothing, in virtual time.
+
+State, decisions and cores are the daemon's; the network, the membership view and the cache servers are
+modeled.
+"""
 
 from brookhinge.decisions.router import Router
 from brookhinge.decisions.settings import (
@@ -47,30 +50,43 @@
 
 
 class Writer:
-    """What the cores of one router write: datagrams go over the model's wires, events into its next round."""
+    """Writer of one router's cores: sends datagrams over the modeled network and queues events."""
 
     def __init__(self, fleet, n):
         self.fleet, self.n = fleet, n
 
     def post_to(self, i, message, rows):
+        """Sends a message to member i of the view."""
         self.fleet.datagram(self.n, self.fleet.views[self.n].names[i], message, rows)
 
     def post_event(self, event):
+        """Queues an event for the router's next round."""
         self.fleet.told[self.n].append(event)
 
 
 class Fleet(Model):
-    """rate: queries a second in all; skew: of a router's part of them, 0: all alike; share: with limits and verdicts."""
+    """A fleet with clients that send each request once.
+
+    Attributes:
+        share: Whether the routers share limits and outlier evidence.
+        loss: Probability that a datagram is lost.
+        rate: Requests per second, of all clients.
+        objects: Number of objects.
+        parts: Share of the requests that each router receives; its skew is the sigma of a log-normal
+        distribution. cut: Function of two routers: whether datagrams from the first to the second are lost.
+        broken: Share of a router's attempts that fail on the way, by router. open: Index in `asked` of each
+        open request, by router and client. asked: [arrival time, end time or None, outcome] of each request;
+        the outcome is `lost` until it ends. datagrams: Number of datagrams sent. told: Events queued for each
+        router. views: Membership view of each router. cores: Limits and outlier detection of each router.
+        writers: Writer of each router.
+    """
 
     def __init__(self, seed, routers, boxes, rate, skew=1.0, share=True, loss=0.0, cores=4, objects=400):
         super().__init__(seed, boxes, cores, COLD, WORK)
         self.share, self.loss, self.rate, self.objects = share, loss, rate, objects
         parts = [self.chance.lognormvariate(0.0, skew) for _ in range(routers)]
         self.parts = [part / sum(parts) for part in parts]
-        self.cut, self.broken = (
-            lambda a, b: False,
-            {},
-        )  # broken: router -> share of its pushes that fail on the way
+        self.cut, self.broken = lambda a, b: False, {}
         self.serial, self.open, self.asked, self.datagrams = 0, {}, [], 0
         kinds = (SharedLimitsMixin, FleetOutliersMixin, Router) if share else (Router,)
         kind = type("Router", kinds, {})
@@ -118,50 +134,56 @@
                 ]
             )
             for core in range(2):
-                self.at(self.chance.random() * 0.25, self.turn, n, core)
+                self.at(self.chance.random() * 0.25, self.run_core, n, core)
 
-    # talk
+    # Communication between the routers
 
-    def turn(self, n, core):
-        """A core's own round, when it is due."""
+    def run_core(self, n, core):
+        """Runs a round of a core if it is due, and schedules the next one."""
         one = self.cores[n][core]
         if self.now >= one.next_at():
             one.round(self.now, [], self.writers[n])
             self.flush(n)
-        self.at(max(one.next_at(), self.now + 0.001), self.turn, n, core)
+        self.at(max(one.next_at(), self.now + 0.001), self.run_core, n, core)
 
     def datagram(self, n, name, message, rows):
+        """Sends a message from router n to the router of that name."""
         self.datagrams += 1
         to = int(name[1:])
         if not self.cut(n, to) and self.chance.random() >= self.loss:
-            self.at(self.now + WIRE_S * (0.5 + self.chance.random()), self.letter, to, n + 1, message, rows)
+            self.at(self.now + WIRE_S * (0.5 + self.chance.random()), self.deliver, to, n + 1, message, rows)
 
-    def letter(self, n, uid, message, rows):
+    def deliver(self, n, uid, message, rows):
+        """Delivers a message to the core of router n that handles its type."""
         core = next(core for core in self.cores[n] if type(message) in core.message_types)
         core.round(self.now, [CoreMessage(uid, message, rows)], self.writers[n])
         self.flush(n)
 
     def flush(self, n):
+        """Passes queued events to router n, if there are any."""
         if self.told[n]:
             self.hear(n)
 
     def hear(self, n, *events):
+        """Passes queued and new events to router n, after its cores have dropped what expired."""
         for core in self.cores[n] if self.share else ():
             if self.now >= core.next_expiry_at:
                 core.publish(self.now, self.writers[n])
-        before, self.told[n] = self.told[n], []
-        super().hear(n, *before, *events)
+        queued, self.told[n] = self.told[n], []
+        super().hear(n, *queued, *events)
 
     def pull(self, n, effect):
+        """Starts an attempt, unless it fails on the way."""
         broken = self.broken.get(n, 0.0)
         if broken and self.chance.random() < broken:
             self.pushes += 1
             return self.at(self.now + 0.002, self.ended, n, effect.request_id, effect.attempt, "broken", 0)
         super().pull(n, effect)
 
-    # clients: each asks once
+    # Clients
 
     def arrive(self):
+        """Sends a new client's request to a random router and schedules the next arrival."""
         self.at(self.now + self.chance.expovariate(self.rate), self.arrive)
         n = self.chance.choices(range(len(self.routers)), self.parts)[0]
         self.serial += 1
@@ -187,36 +209,45 @@
             ),
         )
 
-    def over(self, n, client, how):
-        at = self.open.pop((n, client))
-        self.asked[at][1:] = self.now, how
+    def end_request(self, n, client, outcome):
+        """Records the end of a request and disconnects its client."""
+        index = self.open.pop((n, client))
+        self.asked[index][1:] = self.now, outcome
         self.at(self.now + 1e-6, self.hear, n, ClientDisconnected(client))
 
     def satisfy(self, n, effect):
-        self.over(n, effect.client, "satisfied")
+        """Records a response."""
+        self.end_request(n, effect.client, "satisfied")
 
     def nack(self, n, effect):
-        self.over(n, effect.client, "nacked")
+        """Records a rejection."""
+        self.end_request(n, effect.client, "nacked")
 
     def error(self, n, effect):
-        self.over(n, effect.client, "errored")
+        """Records a failure."""
+        self.end_request(n, effect.client, "errored")
 
-    # the day
+    # Course of a run
 
     def restart(self):
-        """All boxes start anew, cold and empty; the list says so a moment later."""
+        """Restarts all cache servers cold and empty; the routers receive the new list 50 ms later."""
         for box in self.boxes.values():
             self.fall(box)
             box.born, box.kept, box.at, box.sent = self.now, set(), self.now, []
         self.at(self.now + 0.05, self.tell, "ready", 2)
 
     def run(self, end):
+        """Runs the simulation from the start until a time."""
         self.tell("ready", 1)
         self.at(0.0, self.arrive)
         self.play(end)
 
     def worth(self, begin, end):
-        """The share of what was asked that was answered in its contract time; late ones count a fifth."""
+        """Returns the share of a period's requests that were answered in time; late ones count a fifth."""
         rows = [row for row in self.asked if begin <= row[0] < end]
-        good = sum((1.0 if at - came <= CONTRACT_S else 0.2) for came, at, how in rows if how == "satisfied")
+        good = sum(
+            (1.0 if ended - arrived <= CONTRACT_S else 0.2)
+            for arrived, ended, outcome in rows
+            if outcome == "satisfied"
+        )
         return good / max(1, len(rows))
