--- a/brookhinge/emulator/fleet_scenario.py
+++ b/brookhinge/emulator/fleet_scenario.py
@@ -1,15 +1,18 @@
-"""Plays a script (HCL) on the rig: real routers, faults in and between them, a line an event and a table at the end.
+"""Plays an HCL script of faults on a cluster of real routers.
+
+Reports a line for each event, and returns a table at the end.
 
 rig {
   routers = 6
   seed    = 7
 }
 step { kill = ["n3"] }                       # also: freeze, thaw, end (SIGTERM), start
-step { until = "one view"  within_s = 30 }   # each step may also say after_s
-step { cut = ["n1", "n2"] }                  # from all others, both ways
+step { until = "one view"  within_s = 30 }   # every step may also have after_s
+step { cut = ["n1", "n2"] }                  # off from all others, in both directions
 step { heal = true }
 step { wires { loss = 0.1  delay_s = 0.05  double = 0.1  corrupt = 0.01 } }
-step { drain = "s-1"  told = "n1" }          # told to that router alone"""
+step { drain = "s-1"  told = "n1" }          # only that router receives it
+"""
 
 import asyncio
 import time
@@ -35,24 +38,27 @@
 
 
 def names(value):
-    if not isinstance(value, list) or not value or not all(isinstance(one, str) for one in value):
+    """Returns a non-empty list of strings; ValueError otherwise."""
+    if not isinstance(value, list) or not value or not all(isinstance(item, str) for item in value):
         raise ValueError("a list of names")
     return value
 
 
 def one_view(value):
+    """Returns the only condition of `until`; ValueError otherwise."""
     if value != "one view":
         raise ValueError('"one view"')
     return value
 
 
 def true(value):
+    """Returns True; ValueError for any other value."""
     if value is not True:
         raise ValueError("true")
     return value
 
 
-DOING = {
+ACTIONS = {
     "kill": names,
     "freeze": names,
     "thaw": names,
@@ -67,12 +73,16 @@
     "after_s": (number(0, LIMIT_S), 0.0),
     "within_s": (number(0, LIMIT_S), 30.0),
     "told": (text, None),
-    **{key: (check, None) for key, check in DOING.items()},
+    **{key: (check, None) for key, check in ACTIONS.items()},
 }
 
 
 def read(source):
-    """(rig's settings, steps) of a script; OperatorError names line, block and key."""
+    """Returns the cluster's settings and the steps of a script.
+
+    Raises:
+        OperatorError: The script is invalid; the text names the line and the block or key.
+    """
     top, rig, steps = parse(source), {key: default for key, (_, default) in RIG.items()}, []
     for key, line in top.lines.items():
         raise OperatorError(f"line {line}: {key}: expected a block rig or step")
@@ -81,13 +91,13 @@
             rig = take(block, RIG)
         elif block.kind == "step" and not block.labels:
             step = take(block, STEP)
-            doing = [key for key in DOING if step[key] is not None]
+            actions = [key for key in ACTIONS if step[key] is not None]
             wires = [inner for inner in block.blocks if inner.kind == "wires"]
-            if len(wires) != len(block.blocks) or len(doing) + len(wires) != 1:
-                raise OperatorError(f"line {block.line}: step: expected one of wires, {', '.join(DOING)}")
+            if len(wires) != len(block.blocks) or len(actions) + len(wires) != 1:
+                raise OperatorError(f"line {block.line}: step: expected one of wires, {', '.join(ACTIONS)}")
             step["wires"] = take(wires[0], WIRES) if wires else None
             known = {f"n{k + 1}" for k in range(rig["routers"])}
-            for name in [n for key in doing if DOING[key] is names for n in step[key]] + [
+            for name in [n for key in actions if ACTIONS[key] is names for n in step[key]] + [
                 step["told"] or "n1"
             ]:
                 if name not in known:
@@ -99,12 +109,18 @@
 
 
 async def play(source, folder, say):
-    """Plays a script; says a line an event. Rows of the table at the end, and whether every `until` held."""
+    """Plays a script; returns the rows of the final table and whether every `until` held in time.
+
+    Args:
+        source: Text of the script.
+        folder: Directory for the files of the processes.
+        say: Called with one line per event.
+    """
     settings, steps = read(source)
     good, began = True, time.monotonic()
 
-    def line(what):
-        say(f"{time.monotonic() - began:7.2f} s  {what}")
+    def line(message):
+        say(f"{time.monotonic() - began:7.2f} s  {message}")
 
     async with ProcessCluster(folder, **settings) as rig:
         line(f"{settings['routers']} routers up")
@@ -112,7 +128,7 @@
             await asyncio.sleep(step["after_s"])
             if time.monotonic() - began > LIMIT_S:
                 raise OperatorError(f"a script may take {LIMIT_S:g} s")
-            for key, act in (
+            for key, action in (
                 ("kill", rig.kill),
                 ("end", rig.end),
                 ("start", rig.start),
@@ -122,14 +138,14 @@
                 for name in step[key] or ():
                     if (name in rig.processes) == (key == "start"):
                         raise OperatorError(f"{key}: {name} is {'up' if key == 'start' else 'not up'}")
-                    done = act(name)
-                    if done is not None:
-                        await done
+                    pending = action(name)
+                    if pending is not None:
+                        await pending
                     line(f"{key} {name}")
             if step["cut"]:
-                apart = set(step["cut"])
-                rig.wires.cut = lambda a, b, apart=apart: (a in apart) != (b in apart)
-                line(f"cut {' '.join(sorted(apart))} off")
+                isolated = set(step["cut"])
+                rig.wires.cut = lambda a, b, isolated=isolated: (a in isolated) != (b in isolated)
+                line(f"cut {' '.join(sorted(isolated))} off")
             if step["heal"]:
                 rig.wires.cut = lambda a, b: False
                 line("healed")
--- a/brookhinge/emulator/model.py
+++ b/brookhinge/emulator/model.py
@@ -106,11 +106,17 @@
 
     Attributes:
         FILL_S: Duration of a fill in seconds while the parent has at most FILLS in flight; it grows in
-        proportion beyond. FILLS: Number of concurrent fills that the parent serves at full speed. chance:
-        Random number generator of the simulation. work: Processor seconds of one job. events: Heap of (time,
-        order, function, arguments). now: Current time in seconds. boxes: Cache servers by name. out: Server
-        of each attempt in flight, by router, request and attempt. routers: State of each router, by number.
-        pushes: Number of attempts sent. parent_out: Number of fills in flight.
+            proportion beyond that.
+        FILLS: Number of concurrent fills that the parent serves at full speed.
+        chance: Random number generator of the simulation.
+        work: Processor seconds of one job.
+        events: Heap of (time, order, function, arguments).
+        now: Current time in seconds.
+        boxes: Cache servers by name.
+        out: Server of each attempt in flight, by router, request and attempt.
+        routers: State of each router, by number.
+        pushes: Number of attempts sent.
+        parent_out: Number of fills in flight.
     """
 
     FILL_S, FILLS = 0.08, 40
--- a/brookhinge/emulator/simulated_fleet.py
+++ b/brookhinge/emulator/simulated_fleet.py
@@ -72,12 +72,15 @@
         loss: Probability that a datagram is lost.
         rate: Requests per second, of all clients.
         objects: Number of objects.
-        parts: Share of the requests that each router receives; its skew is the sigma of a log-normal
-        distribution. cut: Function of two routers: whether datagrams from the first to the second are lost.
-        broken: Share of a router's attempts that fail on the way, by router. open: Index in `asked` of each
-        open request, by router and client. asked: [arrival time, end time or None, outcome] of each request;
-        the outcome is `lost` until it ends. datagrams: Number of datagrams sent. told: Events queued for each
-        router. views: Membership view of each router. cores: Limits and outlier detection of each router.
+        parts: Share of the requests that each router receives, log-normally distributed with sigma `skew`.
+        cut: Function of two routers: whether datagrams from the first to the second are lost.
+        broken: Share of a router's attempts that fail on the way, by router.
+        open: Index in `asked` of each open request, by router and client.
+        asked: [arrival time, end time or None, outcome] of each request; the outcome is `lost` until it ends.
+        datagrams: Number of datagrams sent.
+        told: Events queued for each router.
+        views: Membership view of each router.
+        cores: Limits and outlier detection of each router.
         writers: Writer of each router.
     """
 
--- a/brookhinge/emulator/simulated_purge_log.py
+++ b/brookhinge/emulator/simulated_purge_log.py
@@ -1,11 +1,14 @@
-"""Control machines and routers of the purge log in virtual time, on a network that delays, loses, doubles and cuts by one
-seed. The cores and, where bytes are counted, the encoding are those in service; only clocks and wires are stood in for.
+"""Simulates the control machines and routers of the purge log in virtual time, reproducibly from one seed.
+
+The network delays, loses, duplicates and cuts off datagrams. The cores are those in service, and so is the
+encoding if bytes are counted; only clocks and network are modeled.
 
     net = LogNet(seed=1, routers=530)
     net.run(10.0)
     purge = net.purge(machine=0)
     net.run(2.0)
-    purge.all_s, purge.known_s"""
+    purge.all_s({host.name for host in net.routers}), purge.known_s
+"""
 
 import heapq
 import math
@@ -21,11 +24,22 @@
 PROOF_S = 3.0
 KEY = b"k" * 16
 SITE = "virtual"
-WATCH_S = 0.05  # between two looks of a source at the progress of its entries
+PROGRESS_CHECK_S = 0.05  # interval at which a source checks the progress of its entries
 
 
 class Purge:
-    """One purge of a run: when it was appended, when each router applied it, when its source knew."""
+    """One purge of a run.
+
+    Attributes:
+        machine: Index of the control machine that appended it, its source.
+        position: Position in the log.
+        entry: Log entry.
+        at: Time at which it was appended.
+        applied: Time at which each router first applied it, by name.
+        known_at: Time at which the source knew the outcome, infinite before.
+        outcome: Outcome that the source knows.
+        missing: What the source reported last as missing for the outcome.
+    """
 
     def __init__(self, machine, position, entry, at):
         self.machine = machine
@@ -39,15 +53,27 @@
 
     @property
     def known_s(self):
+        """Seconds until the source knew the outcome."""
         return self.known_at - self.at
 
     def all_s(self, names):
-        """Seconds until the last of these routers applied it; infinite where one never did."""
+        """Returns the seconds until the last of these routers applied it; infinite if one never did."""
         return max(self.applied.get(name, math.inf) for name in names) - self.at
 
 
 class Host:
-    """One process: a core, its codec, and its clock's offset."""
+    """One process: a core, its codec and its clock.
+
+    Attributes:
+        number: Port of the process.
+        up: Whether the process runs.
+        frozen: Whether the process is stopped; datagrams then wait in its inbox.
+        offset: Seconds by which its clock is ahead of the simulation.
+        starts: Number of starts.
+        due: Time of its next wake-up, or None.
+        inbox: Datagrams received while frozen.
+        rules: (time, rule, fingerprints) of each copy rule since the start.
+    """
 
     def __init__(self, net, name, number):
         self.net = net
@@ -63,32 +89,55 @@
         self.rules = []
 
     def clock(self):
+        """Returns the reading of the process's clock."""
         return self.net.now + self.offset
 
-    def boot(self):
+    def new_process_id(self):
+        """Returns a random process id."""
         return 1 + self.net.chance.getrandbits(31)
 
-    # the cores' writer
+    # Methods of the cores' writer
 
     def send(self, address, message):
+        """Sends a message over the network."""
         self.net.carry(self, address, message)
 
     def apply_entry(self, entry):
+        """Records that this router applied an entry."""
         purge = self.net.purges.get(entry)
         if purge is not None:
             purge.applied.setdefault(self.name, self.net.now)
         self.applied.add(entry)
 
     def apply_copy_rule(self, rule, fingerprints):
+        """Records a copy rule."""
         self.rules.append((self.net.now, rule, fingerprints))
 
     def last_rule(self):
-        """STALE or PROVEN, whichever holds."""
-        told = [rule for _, rule, _ in self.rules if rule in (CopyRule.STALE, CopyRule.PROVEN)]
-        return told[-1] if told else CopyRule.STALE
+        """Returns the last STALE or PROVEN rule; STALE if there was none."""
+        rules = [rule for _, rule, _ in self.rules if rule in (CopyRule.STALE, CopyRule.PROVEN)]
+        return rules[-1] if rules else CopyRule.STALE
 
 
 class LogNet:
+    """The simulated processes and the network between them.
+
+    Attributes:
+        loss: Probability that a datagram is lost.
+        double: Probability that a datagram is delivered twice.
+        chance: Random number generator of the network.
+        now: Current time in seconds.
+        queue: Heap of scheduled wake-ups and datagrams.
+        cut: Function of two host names: whether datagrams from the first to the second are lost.
+        hosts: Processes by address.
+        purges: Purges of the run by log entry.
+        unresolved: Purges whose outcome their source does not know yet.
+        datagrams: Number of datagrams sent.
+        machines: Addresses and regions of the control machines.
+        controls: Processes of the control machines.
+        routers: Processes of the routers.
+    """
+
     def __init__(
         self,
         seed,
@@ -102,8 +151,20 @@
         region=None,
         serves=None,
     ):
-        """delay(a, b): seconds one way between two hosts by name; encoded: datagrams are written and read as in service,
-        and their bytes are counted."""
+        """Starts all control machines and routers.
+
+        Args:
+            seed: Seed of the run.
+            routers: Number of routers.
+            machines: Number of control machines.
+            loss: Probability that a datagram is lost.
+            double: Probability that a datagram is delivered twice.
+            delay: Function of two host names that returns the mean one-way delay, or None for 20 ms.
+            encoded: Whether datagrams are encoded and decoded as in service.
+            proof_s: Seconds for which a proof is valid.
+            region: Function of a host name that returns its region, or None for one region.
+            serves: Further regions whose routers prefer a control machine, by its index.
+        """
         self.seed = seed
         self.loss = loss
         self.double = double
@@ -119,7 +180,7 @@
         self.cut = lambda a, b: False
         self.hosts = {}
         self.purges = {}
-        self.watched = []
+        self.unresolved = []
         self.watch_at = 0.0
         self.datagrams = 0
         self.machines = [
@@ -132,17 +193,18 @@
             self.start(host)
 
     def add(self, name, number):
+        """Adds a process without starting it."""
         host = self.hosts[("10.0.0.1", number)] = Host(self, name, number)
         return host
 
     def start(self, host):
-        """Starts a host, or starts it anew with nothing in its memory."""
+        """Starts a host, or restarts it with empty memory."""
         host.starts += 1
         host.up = True
         host.frozen = False
         host.inbox = []
         host.due = None
-        host.process = host.boot()
+        host.process = host.new_process_id()
         host.codec = Codec(SITE, KEY, host.process) if self.encoded else None
         host.rules = []
         host.applied = set()
@@ -157,15 +219,18 @@
         self.plan(host, self.now)
 
     def push(self, at, host, datagram):
+        """Schedules the arrival of a datagram at a host, or a wake-up if datagram is None."""
         self.serial += 1
         heapq.heappush(self.queue, (at, self.serial, host, host.starts, datagram))
 
     def plan(self, host, at):
+        """Schedules a wake-up of a host unless an earlier one is scheduled."""
         if host.due is None or at < host.due:
             host.due = at
             self.push(at, host, None)
 
     def carry(self, sender, address, message):
+        """Sends a message over the network."""
         to = self.hosts.get(address)
         self.datagrams += 1
         datagram = (sender.process, message)
@@ -178,6 +243,7 @@
             self.push(self.now + wait, to, (sender.address, datagram))
 
     def deliver(self, host, address, datagram):
+        """Passes a datagram to a host's core if it is readable."""
         received = host.codec.read(datagram) if self.encoded else datagram
         if received is None:
             return
@@ -188,6 +254,7 @@
             host.core.receive(host.clock(), message, host)
 
     def wake(self, host):
+        """Runs the timers of a host's core and schedules its next wake-up."""
         host.core.tick(host.clock(), host)
         if isinstance(host.core, ControlNode):
             at = host.core.next_at(host.clock())
@@ -196,14 +263,14 @@
         self.plan(host, max(self.now + 0.001, at - host.offset))
 
     def run(self, seconds, until=None):
-        """Goes on for so long, or until until() holds; the seconds that it took, or None."""
+        """Runs for some seconds or until `until()` holds; returns the seconds until it held, or None."""
         began = self.now
         end = self.now + seconds
         while self.queue and self.queue[0][0] <= end:
             at, _, host, starts, datagram = heapq.heappop(self.queue)
             self.now = at
             self.handle(host, starts, datagram)
-            if self.watched and self.now >= self.watch_at:
+            if self.unresolved and self.now >= self.watch_at:
                 self.watch()
             self.check()
             if until is not None and until():
@@ -212,6 +279,7 @@
         return None
 
     def handle(self, host, starts, datagram):
+        """Handles a scheduled event, unless it is of an earlier start of the host or the host is down."""
         if starts != host.starts or not host.up:
             return
         if datagram is None and host.due is not None and self.now >= host.due:
@@ -225,12 +293,12 @@
         self.wake(host)
 
     def check(self):
-        """For tests: called after each event."""
+        """Called after each event; tests override it."""
 
     def watch(self):
-        """Sources look how far their entries have got."""
-        self.watch_at = self.now + WATCH_S
-        for purge in list(self.watched):
+        """Lets each source check the progress of its unresolved entries."""
+        self.watch_at = self.now + PROGRESS_CHECK_S
+        for purge in list(self.unresolved):
             host = self.controls[purge.machine]
             if not host.up or host.frozen:
                 continue
@@ -238,12 +306,12 @@
             if outcome != Outcome.PENDING:
                 purge.known_at = self.now
                 purge.outcome = outcome
-                self.watched.remove(purge)
+                self.unresolved.remove(purge)
 
-    # what happens
+    # Events of a run
 
     def purge(self, machine, key=None):
-        """A purge is told to a control machine; its Purge, or None where that has no epoch."""
+        """Submits a purge to a control machine; returns None if that is down or has no epoch."""
         host = self.controls[machine]
         if not host.up or host.frozen:
             return None
@@ -252,16 +320,19 @@
         if position is None:
             return None
         purge = self.purges[entry] = Purge(machine, position, entry, self.now)
-        self.watched.append(purge)
+        self.unresolved.append(purge)
         return purge
 
     def kill(self, host):
+        """Ends a host without notice to the others."""
         host.up = False
 
     def freeze(self, host):
+        """Stops a host without ending it."""
         host.frozen = True
 
     def thaw(self, host):
+        """Continues a frozen host, which first handles the datagrams received meanwhile."""
         host.frozen = False
         inbox = host.inbox
         host.inbox = []
@@ -270,4 +341,5 @@
         self.wake(host)
 
     def living(self):
+        """Returns the routers that run and are not frozen."""
         return [host for host in self.routers if host.up and not host.frozen]
