--- a/brookhinge/emulator/process_cluster.py
+++ b/brookhinge/emulator/process_cluster.py
@@ -1,12 +1,15 @@
-"""A rig of several real routers on loopback with faults between and in them: wires that lose, delay, double and cut
-datagrams by a seed, processes killed, frozen, thawed, ended, restarted, started with a clock that is off. Boxes, origin and
-a command channel for each router stand in this process. Ends only what it started, by id.
+"""Runs a cluster of several real routers on loopback, with faults between and in them.
+
+Relays lose, delay, duplicate and cut off datagrams according to a seed; processes are killed, frozen, thawed,
+ended, restarted, or started with a wrong clock. The cache servers, the origin and one command channel per
+router run in this process. Child processes are ended by process id.
 
     async with ProcessCluster(folder, routers=6) as rig:
         await rig.until(rig.one_view, 10)
         rig.kill("n3"); rig.wires.cut = lambda a, b: {a, b} == {"n1", "n2"}
 
-Waiting is always `until(it holds, at most so long)`: a slow machine takes longer and comes to the same verdict."""
+Tests wait with `until(condition, at_most_s)`, so that a slow machine takes longer for the same result.
+"""
 
 import asyncio
 import json
@@ -54,32 +57,43 @@
   proof_s   = {proof_s}
 }}
 """
-OFF = "import time; real = time.time; time.time = lambda: real() + {off}"  # a wall clock that is off
-OTHER_VERSION = (
-    "import brookhinge.membership.codec as codec; codec.VERSION += 1"  # a program that speaks other messages
-)
-BOX_MB = 16  # memory of each box
-STARTING_S = 60.0  # for a slow machine: twelve processes side by side took 12 s at load 37
+OFF = "import time; real = time.time; time.time = lambda: real() + {off}"  # patches the wall clock
+# A program that speaks another version of the fleet protocol.
+OTHER_VERSION = "import brookhinge.membership.codec as codec; codec.VERSION += 1"
+CACHE_SERVER_MB = 16  # memory of each cache server
+START_TIMEOUT_S = 60.0  # on a slow machine: 12 processes started together took 12 s at load 37
 MAIN = "; import sys; sys.argv = ['brookhinge']; from brookhinge.__main__ import main; sys.exit(main())"
 
 
 def seed_of(name):
-    """The same in every run, which `hash` is not."""
+    """Returns a number that is the same for a name in every run, unlike `hash`."""
     return zlib.crc32(name.encode()) % 65536
 
 
-class Wire(asyncio.DatagramProtocol):
-    """The way to one router: peers know it by this address."""
+class UdpRelay(asyncio.DatagramProtocol):
+    """UDP relay in front of one process, which its peers know by the relay's address."""
 
     def __init__(self, wires, name):
         self.wires, self.name = wires, name
 
     def datagram_received(self, data, address):
+        """Relays a datagram."""
         self.wires.carry(self, data, address)
 
 
-class Wires:
-    """cut(a, b): whether what a sends to b is lost; loss, double: chances; delay_s: on the mean."""
+class UdpRelays:
+    """The relays of all processes, and their faults.
+
+    Attributes:
+        chance: Random number generator of the faults.
+        loss: Probability that a datagram is lost.
+        double: Probability that a datagram is sent twice.
+        delay_s: Mean delay of a datagram.
+        corrupt: Probability that one byte of a datagram is replaced.
+        cut: Function of two process names: whether datagrams from the first to the second are lost.
+        ports: Names of the processes by the port that they send from.
+        relays: Relays by name.
+    """
 
     def __init__(self, seed):
         self.chance, self.loss, self.double, self.delay_s, self.corrupt = (
@@ -89,23 +103,30 @@
             0.0,
             0.0,
         )
-        self.cut, self.ports, self.ways = lambda a, b: False, {}, {}
+        self.cut, self.ports, self.relays = lambda a, b: False, {}, {}
 
     async def open(self, name, host, port, sender=None):
-        """Opens a way to the process that listens at host and port; the port that it is known by. sender: the process's
-        name where that has more than one way."""
+        """Opens a relay to the process that listens at host and port; returns the relay's port.
+
+        Args:
+            name: Name of the relay.
+            host: Host of the process.
+            port: Port of the process.
+            sender: Name of the process if it differs from the relay's, since it has several relays.
+        """
         self.ports[port] = sender or name
-        transport, way = await asyncio.get_running_loop().create_datagram_endpoint(
-            lambda: Wire(self, name), local_addr=("127.0.0.1", 0)
+        transport, relay = await asyncio.get_running_loop().create_datagram_endpoint(
+            lambda: UdpRelay(self, name), local_addr=("127.0.0.1", 0)
         )
-        way.transport, way.to = transport, (host, port)
-        self.ways[name] = way
+        relay.transport, relay.to = transport, (host, port)
+        self.relays[name] = relay
         return transport.get_extra_info("sockname")[1]
 
-    def carry(self, way, data, address):
+    def carry(self, relay, data, address):
+        """Relays a datagram, subject to the faults."""
         sender = self.ports.get(address[1])
         if sender is not None and (
-            self.cut(sender, way.name.partition("/")[0]) or self.chance.random() < self.loss
+            self.cut(sender, relay.name.partition("/")[0]) or self.chance.random() < self.loss
         ):
             return
         if self.chance.random() < self.corrupt:
@@ -114,35 +135,44 @@
         for _ in range(1 + (self.chance.random() < self.double)):
             wait = self.delay_s * 2 * self.chance.random()
             if wait > 0:
-                asyncio.get_running_loop().call_later(wait, self.pass_on, way, data)
+                asyncio.get_running_loop().call_later(wait, self.forward, relay, data)
             else:
-                self.pass_on(way, data)
+                self.forward(relay, data)
 
     @staticmethod
-    def pass_on(way, data):
-        if not way.transport.is_closing():
-            way.transport.sendto(data, way.to)
+    def forward(relay, data):
+        """Sends a datagram to the process behind a relay."""
+        if not relay.transport.is_closing():
+            relay.transport.sendto(data, relay.to)
 
     def close(self):
-        for way in self.ways.values():
-            way.transport.close()
+        """Closes all relays."""
+        for relay in self.relays.values():
+            relay.transport.close()
 
 
 class ObservedCacheServer(CacheServer):
-    """A box that notes when each query came, and fails some: all kinds alike, by a seed."""
+    """Cache server that records the arrival of each request and fails a seeded share of them.
+
+    Attributes:
+        came: Arrival time of each request.
+        fails: Share of the requests that are answered with `failed`.
+        chance: Random number generator of the failures.
+    """
 
-    def __init__(self, stand, seed):
-        super().__init__(stand)
-        self.came, self.fails, self.chance = [], 0.0, random.Random(f"{seed} {stand.name}")
+    def __init__(self, settings_, seed):
+        super().__init__(settings_)
+        self.came, self.fails, self.chance = [], 0.0, random.Random(f"{seed} {settings_.name}")
 
     async def answer(self, name, raw, body):
+        """Returns the answer to a request."""
         self.came.append(time.monotonic())
         if self.chance.random() < self.fails:
             return protocol.encode_answer(name, protocol.FAILED)
         return await super().answer(name, raw, body)
 
     def most_in(self, seconds, since=0.0):
-        """The most queries that came within any stretch of so many seconds."""
+        """Returns the highest number of requests that arrived within any window of this length."""
         came = [at for at in self.came if at >= since]
         first = most = 0
         for last, at in enumerate(came):
@@ -152,32 +182,42 @@
         return most
 
 
-class Pipe:
-    """The way from one router to one box: TCP, cut short by a seed."""
+class TcpRelay:
+    """TCP relay from one router to one cache server, which breaks connections according to a seed.
+
+    Attributes:
+        port: Port of the cache server.
+        breaks: Probability that a connection breaks at each block read.
+        chance: Random number generator of the breaks.
+        open: Writers of all open connections.
+    """
 
     def __init__(self, port, seed):
         self.port, self.breaks, self.chance, self.open = port, 0.0, random.Random(seed), set()
 
     async def listen(self):
+        """Starts listening; returns the port."""
         self.server = await asyncio.start_server(self.carry, "127.0.0.1", 0)
         return self.server.sockets[0].getsockname()[1]
 
     async def carry(self, reader, writer):
+        """Relays one connection until either side ends it or it breaks."""
         try:
-            there, back = await asyncio.open_connection("127.0.0.1", self.port)
+            server_reader, server_writer = await asyncio.open_connection("127.0.0.1", self.port)
         except OSError:
             return writer.transport.abort()
-        self.open |= {writer, back}
+        self.open |= {writer, server_writer}
         try:
-            await asyncio.gather(self.pump(reader, back), self.pump(there, writer))
+            await asyncio.gather(self.pump(reader, server_writer), self.pump(server_reader, writer))
         except (ConnectionError, asyncio.CancelledError):
             pass
         finally:
-            self.open -= {writer, back}
+            self.open -= {writer, server_writer}
             writer.transport.abort()
-            back.transport.abort()
+            server_writer.transport.abort()
 
     async def pump(self, reader, writer):
+        """Copies one direction of a connection; always ends with ConnectionError."""
         while data := await reader.read(65536):
             if self.chance.random() < self.breaks:
                 raise ConnectionError
@@ -186,17 +226,42 @@
         raise ConnectionError
 
     def close(self):
+        """Stops listening and aborts all connections."""
         self.server.close()
         for writer in list(self.open):
             writer.transport.abort()
 
 
 class ProcessCluster:
-    """more: lines that each router's block of the operator's file has beside the usual ones; piped: names of routers that
-    reach the boxes over ways of their own (`rig.pipes[router, box]`); first: Python that each router runs first; controls:
-    so many control machines of the purge log, c1 and so on, in two regions as the routers are: the first half stands west,
-    the rest east. Purges that `rig.feed` tells reach boxes and control machines, not the routers' own channels.
-    link_bytes_s: of each router's link; without it a router keeps no copies of its own."""
+    """Runs the cluster while its `async with` block runs.
+
+    Routers (n1, ...) and control machines of the purge log (c1, ...) are divided over two regions: the first
+    half of each is in `west`, the rest in `east`. Purges that `feed` publishes reach cache servers and
+    control machines, but not the routers' own channels.
+
+    Attributes:
+        folder: Directory of the settings and logs of the processes.
+        settings: Arguments of `local_deployment.settings` for the routers.
+        lease_s: Lease term in the routers' operator file.
+        boxes: Cache servers by name.
+        more: Additional lines of each router's block in the operator file.
+        piped: Names of the routers that reach the cache servers over TCP relays.
+        pipes: TCP relays by router and cache server.
+        seed: Seed of the faults.
+        feed: Command channel of the cache servers and control machines.
+        first: Python that each router runs before the program.
+        host: Loopback address of the processes' own listeners.
+        link_bytes_s: Bytes per second of each router's link; at 0 a router stores no copies of its own.
+        names: Names of the routers.
+        control_names: Names of the control machines.
+        proof_s: Validity of a purge log proof.
+        box_names: Names of the cache servers.
+        wires: UDP relays between the processes.
+        origin: Emulated origin.
+        channels: Command channel of each router.
+        processes: Running routers by name.
+        controls: Running control machines by name.
+    """
 
     def __init__(
         self,
@@ -226,7 +291,7 @@
         self.names = [f"n{k + 1}" for k in range(routers)]
         self.control_names, self.proof_s = [f"c{k + 1}" for k in range(controls)], proof_s
         self.box_names = [f"s-{k + 1}" for k in range(boxes)]
-        self.wires, self.origin = Wires(seed), Origin((2_000, 8_000), 0.005)
+        self.wires, self.origin = UdpRelays(seed), Origin((2_000, 8_000), 0.005)
         self.channels, self.ports, self.udp, self.relay, self.processes = {}, {}, {}, {}, {}
         self.log_ports, self.log_relay, self.controls = {}, {}, {}
 
@@ -239,7 +304,7 @@
         return self
 
     async def begin(self):
-        """Starts all of it; what fails is raised once every router is up or has failed."""
+        """Starts everything; raises the first failure of a router once all have started or failed."""
         self.folder.mkdir(parents=True, exist_ok=True)
         _, origin_port = self.origin.listen()
         rows = [self.row("origin", "origin", "hub", origin_port)]
@@ -254,7 +319,7 @@
             self.relay[name] = await self.wires.open(name, self.host, self.udp[name])
             self.channels[name] = CommandChannel([dict(row) for row in rows])
             for box in self.box_names if name in self.piped else ():
-                pipe = self.pipes[name, box] = Pipe(self.box_ports[box], f"{seed_of(name)} {box}")
+                pipe = self.pipes[name, box] = TcpRelay(self.box_ports[box], f"{seed_of(name)} {box}")
                 self.channels[name].hosts[box]["dial"] = f"127.0.0.1:{await pipe.listen()}"
             await self.channels[name].listen()
         for name in [*self.control_names, *(self.names if self.control_names else ())]:
@@ -265,11 +330,12 @@
         (self.folder / "fleet.hcl").write_text("".join(blocks))
         await asyncio.gather(*map(self.start_control, self.control_names))
         starts = await asyncio.gather(*(self.start(name) for name in self.names), return_exceptions=True)
-        for fault in starts:
-            if fault is not None:
-                raise fault
+        for error in starts:
+            if error is not None:
+                raise error
 
     def block(self, name):
+        """Returns a router's block of the operator file."""
         reader = ""
         if self.control_names:
             reader = READER.format(
@@ -290,11 +356,12 @@
         )
 
     def region(self, name):
-        """Where a router or control machine stands."""
+        """Returns the region of a router or control machine."""
         names = self.names if name in self.names else self.control_names
         return "west" if names.index(name) < (len(names) + 1) // 2 else "east"
 
     def control_block(self, name):
+        """Returns a control machine's block of the operator file."""
         return CONTROL.format(
             name=name,
             host=self.host,
@@ -307,7 +374,7 @@
         )
 
     async def start_control(self, name):
-        """Starts a control machine, with nothing in its memory."""
+        """Starts a control machine with empty memory."""
         args = ["control", "serve", "--file", str(self.folder / "fleet.hcl"), "--name", name]
         with open(self.folder / f"{name}.log", "ab") as log:
             self.controls[name] = await asyncio.create_subprocess_exec(
@@ -321,22 +388,23 @@
             )
 
     async def kill_control(self, name, how=signal.SIGKILL):
+        """Sends a signal to a control machine and waits for its end."""
         process = self.controls.pop(name)
         process.send_signal(how)
         await process.wait()
 
     async def start_box(self, name):
-        """Starts a box, or starts it anew, with nothing in its memory."""
+        """Starts or restarts a cache server with empty memory."""
         if name in self.boxes:
             await self.boxes[name].stop()
         self.boxes[name] = ObservedCacheServer(
-            memory_only_settings(name, self.box_ports[name], self.feed_port, BOX_MB),
+            memory_only_settings(name, self.box_ports[name], self.feed_port, CACHE_SERVER_MB),
             self.seed,
         )
         await self.boxes[name].start()
 
     async def cold(self, *names):
-        """Boxes start anew, and every router that has a command channel is told so."""
+        """Restarts cache servers; the routers' command channels list them with the new start time."""
         born = round(time.time() * 1000)
         await asyncio.gather(*map(self.start_box, names))
         for channel in self.channels.values():
@@ -345,6 +413,7 @@
 
     @staticmethod
     def row(name, kind, site, port):
+        """Returns a server's row of the endpoint list."""
         return {
             "host": name,
             "dial": f"127.0.0.1:{port}",
@@ -357,16 +426,26 @@
         }
 
     async def start(self, name, first="", under=None, key=None):
-        """Starts a router; back when it accepts connections and listens to the fleet. RuntimeError if it ends before.
+        """Starts a router; returns once it accepts connections and listens to the fleet.
+
+        Args:
+            name: Name of the router.
+            first: Python that its process runs before the program, or empty for the cluster's.
+            under: Name of another router that it uses instead of its own, or None.
+            key: Fleet key that it uses instead of the cluster's, or None.
 
-        under: with another's name; first: Python that its process runs before the program."""
+        Raises:
+            RuntimeError: The router ended or did not start in time.
+        """
         self.ports[name], before = free_port(self.host), self.fleet_listenings(name)
-        path, said = self.folder / f"{name}.json", under or name
-        path.write_text(self.configuration(name, said))
+        path, used_name = self.folder / f"{name}.json", under or name
+        path.write_text(self.configuration(name, used_name))
         file = self.folder / "fleet.hcl"
         if under or key:
             file = self.folder / f"{name}.hcl"
-            file.write_text(self.block(name).replace(f'"{name}"', f'"{said}"', 1).replace(KEY, key or KEY))
+            file.write_text(
+                self.block(name).replace(f'"{name}"', f'"{used_name}"', 1).replace(KEY, key or KEY)
+            )
         first = first or self.first
         args = ["-c", first + MAIN] if first else ["-m", "brookhinge"]
         with open(self.folder / f"{name}.log", "ab") as log:
@@ -380,22 +459,23 @@
             )
         process = self.processes[name]
 
-        async def settled():
+        async def started_or_ended():
             listens = self.fleet_listenings(name) > before and await self.accepts(name)
             return listens or process.returncode is not None
 
-        if not await self.until(settled, STARTING_S) or process.returncode is not None:
+        if not await self.until(started_or_ended, START_TIMEOUT_S) or process.returncode is not None:
             raise RuntimeError(f"{name} is not up: {(self.folder / f'{name}.log').read_text()[-800:]}")
 
     def fleet_listenings(self, name):
-        """How many processes under this name came as far as to listen to the fleet."""
+        """Returns how many processes have logged under this name that they listen to the fleet."""
         log = self.folder / f"{name}.log"
         return sum(line["change"] == "listening" for line in self.log(name, "fleet")) if log.exists() else 0
 
-    def configuration(self, name, said):
+    def configuration(self, name, used_name):
+        """Returns a router's configuration as JSON."""
         return json.dumps(
             {
-                "name": said,
+                "name": used_name,
                 "listen": f"{self.host}:{self.ports[name]}",
                 "seed": f"{seed_of(name):x}",
                 "channel": "%s:%d" % self.channels[name].server.sockets[0].getsockname()[:2],
@@ -408,6 +488,7 @@
         )
 
     async def accepts(self, name):
+        """Returns whether a router accepts connections."""
         try:
             _, writer = await asyncio.open_connection(self.host, self.ports[name])
             writer.close()
@@ -416,56 +497,68 @@
             return False
 
     async def kill(self, name, how=signal.SIGKILL):
+        """Sends a signal to a router and waits for its end."""
         process = self.processes.pop(name)
         process.send_signal(how)
         await process.wait()
 
     async def end(self, name):
+        """Ends a router with SIGTERM."""
         await self.kill(name, signal.SIGTERM)
 
     def freeze(self, name):
+        """Stops a process with SIGSTOP."""
         self.process(name).send_signal(signal.SIGSTOP)
 
     def thaw(self, name):
+        """Continues a stopped process."""
         self.process(name).send_signal(signal.SIGCONT)
 
     def process(self, name):
-        """The process of a router or control machine."""
+        """Returns the process of a router or control machine."""
         return self.processes.get(name) or self.controls[name]
 
     def last_rule(self, name):
-        """What a router logged last of its proof: `proven`, `stale` ..."""
+        """Returns the copy rule that a router logged last (`proven`, `stale`, ...), or None."""
         rules = ("stale", "proven", "aside", "readmit", "drop")
         changes = [line["change"] for line in self.log(name, "purge log") if line["change"] in rules]
         return changes[-1] if changes else None
 
     def read_at(self, name):
-        """The control machine at which a router reads, as it logged last."""
+        """Returns the control machine that a router reads from according to its log, or None."""
         machines = [line["machine"] for line in self.log(name, "purge log") if line["change"] == "reads at"]
         return machines[-1] if machines else None
 
     async def caller(self, name):
+        """Returns a connected caller of a router."""
         return await ThriftCaller((self.host, self.ports[name])).connect()
 
     async def view(self, name):
-        """What a router believes: {member: state}, or None if it does not answer."""
-        seen = await query_status((self.host, self.udp[name]), "rig", bytes.fromhex(KEY))
-        return seen and {row[0]: row[1] for row in seen[0]}
+        """Returns a router's view as {member: state}, or None if it does not answer."""
+        answer = await query_status((self.host, self.udp[name]), "rig", bytes.fromhex(KEY))
+        return answer and {row[0]: row[1] for row in answer[0]}
 
     async def parts(self, name):
-        """What a router says of the limits that it shares."""
-        return await self.shown(name, StatusTopic.LIMITS)
+        """Returns a router's status of the shared limits, or None if it does not answer."""
+        return await self.query_topic(name, StatusTopic.LIMITS)
 
     async def verdicts(self, name):
-        """What it says of servers in question."""
-        return await self.shown(name, StatusTopic.VERDICTS)
+        """Returns a router's status of the servers with outlier evidence, or None if it does not answer."""
+        return await self.query_topic(name, StatusTopic.VERDICTS)
 
-    async def shown(self, name, what):
-        seen = await query_status((self.host, self.udp[name]), "rig", bytes.fromhex(KEY), what)
-        return seen and seen[0]
+    async def query_topic(self, name, topic):
+        """Returns the rows of a status topic of a router, or None if it does not answer."""
+        answer = await query_status((self.host, self.udp[name]), "rig", bytes.fromhex(KEY), topic)
+        return answer and answer[0]
 
     async def one_view(self, names=None, but=(), others=()):
-        """Whether all those hold just each other for living, and `others`, who are not asked."""
+        """Returns whether the routers' views hold exactly themselves and `others` as present.
+
+        Args:
+            names: Routers that are queried, or None for all that run except `but`.
+            but: Running routers that are left out.
+            others: Members that the views must hold as well, but that are not queried.
+        """
         names = names or [name for name in self.processes if name not in but]
         views = await asyncio.gather(*map(self.view, names))
         return all(
@@ -477,23 +570,25 @@
 
     @staticmethod
     async def until(holds, at_most_s):
-        """Waits until holds() does; seconds it took, or None."""
+        """Waits until a condition holds; returns the seconds that it took, or None after `at_most_s`."""
         began = time.monotonic()
         while True:
-            told = holds()
-            if asyncio.iscoroutine(told):
-                told = await told
-            if told:
+            result = holds()
+            if asyncio.iscoroutine(result):
+                result = await result
+            if result:
                 return max(1e-6, time.monotonic() - began)
             if time.monotonic() - began > at_most_s:
                 return None
             await asyncio.sleep(0.05)
 
     def log(self, name, event):
-        """Lines of that event in a router's log."""
-        text = (self.folder / f"{name}.log").read_text().splitlines()
+        """Returns the lines of an event in a process's log."""
+        lines = (self.folder / f"{name}.log").read_text().splitlines()
         return [
-            line for line in map(json.loads, (t for t in text if t.startswith("{"))) if line["event"] == event
+            line
+            for line in map(json.loads, (text for text in lines if text.startswith("{")))
+            if line["event"] == event
         ]
 
     async def __aexit__(self, *_):
--- a/brookhinge/emulator/rollout_cluster.py
+++ b/brookhinge/emulator/rollout_cluster.py
@@ -1,6 +1,6 @@
-"""A process cluster whose routers are run by `brookhinge agent` and changed by `brookhinge rollout`, all on loopback.
+"""Runs a process cluster whose routers are run by `brookhinge agent` and changed by `brookhinge rollout`.
 
-Versions of the program that are worse are made by a line of Python that runs before it.
+A faulty version of the program is the current one with a line of Python that runs before it.
 """
 
 import asyncio
@@ -31,17 +31,20 @@
 {blocks}
 }}
 """
-# what a version may do before it runs as usual
+# Faults of a new version, as lines of Python that its process runs before the program.
 FAILS = (
-    "import brookhinge.decisions.router as d, random; real = d.Router.on_request; d.Router.on_request = lambda self, request: "
+    "import brookhinge.decisions.router as d, random; real = d.Router.on_request; "
+    "d.Router.on_request = lambda self, request: "
     "self.sink.reject(request.request_id, 0) if random.random() < {part} else real(self, request)"
 )
 LEAKS = (
-    "import brookhinge.engine.scheduler as s; S = s.EventScheduler; real = S.run_round; kept = []; S.run_round = lambda self: "
+    "import brookhinge.engine.scheduler as s; S = s.EventScheduler; real = S.run_round; kept = []; "
+    "S.run_round = lambda self: "
     "(kept.append(bytearray({kb} * 1024)), real(self))[1]"
 )
 LATE = (
-    "import brookhinge.net.client_connections as f; import asyncio; real = f.ClientConnections.respond; f.ClientConnections.respond = lambda self, *values: "
+    "import brookhinge.net.client_connections as f; import asyncio; real = f.ClientConnections.respond; "
+    "f.ClientConnections.respond = lambda self, *values: "
     "asyncio.get_running_loop().call_later({late_s}, real, self, *values)"
 )
 CRASHES = "import threading, os; threading.Timer({after_s}, lambda: os._exit(3)).start()"
@@ -49,7 +52,20 @@
 
 
 class RolloutCluster(ProcessCluster):
-    """version: a line of Python that the new program runs first; spoil(config) -> config of the new one."""
+    """A process cluster with agents (k1, ...), between which the routers are divided.
+
+    Attributes:
+        same_program: Whether the new version is the same program and differs only in its configuration.
+        tree: Source tree of the old program.
+        version: Python that the new version's processes run before the program.
+        spoil: Function that returns the new version's configuration from the old one's text.
+        plan_values: Values of the rollout plan.
+        places: Names of the routers of each agent.
+        agent_ports: Port of each agent.
+        agents: Processes of the agents.
+        coordinators: Processes of all coordinators.
+        plan: Path of the rollout plan.
+    """
 
     def __init__(
         self,
@@ -69,8 +85,8 @@
         **rig_,
     ):
         super().__init__(folder, routers=routers, **rig_)
-        self.same_program, self.tree = same_program, tree or os.getcwd()  # tree: of the old program
-        self.version, self.spoil, self.told = (
+        self.same_program, self.tree = same_program, tree or os.getcwd()
+        self.version, self.spoil, self.plan_values = (
             version,
             spoil,
             dict(
@@ -89,7 +105,7 @@
         self.agent_ports, self.agents, self.coordinators = {}, {}, []
 
     async def start(self, name, **_):
-        """Writes a router's files; its agent starts it."""
+        """Writes a router's configuration for both versions; its agent starts it."""
         self.ports[name] = free_port(self.host)
         for version in ("v1", "v2"):
             (self.folder / version).mkdir(exist_ok=True)
@@ -105,7 +121,8 @@
         new.chmod(0o700)
         blocks = "".join(
             f'  version "{version}" {{\n    tree   = "{tree}"\n    python = "{python}"\n'
-            f'    config = "{self.folder}/{version}/{{router}}.json"\n    fleet = "{self.folder}/fleet.hcl"\n  }}\n'
+            f'    config = "{self.folder}/{version}/{{router}}.json"\n'
+            f'    fleet = "{self.folder}/fleet.hcl"\n  }}\n'
             for version, tree, python in (
                 ("v1", self.tree, ""),
                 ("v2", os.getcwd(), "" if self.same_program else new),
@@ -122,52 +139,60 @@
                 f'    dir    = "{self.folder}/{place}"\n{routers}  }}\n'
             )
         self.plan = self.folder / "plan.hcl"
-        self.plan.write_text(PLAN.format(key=KEY, blocks=blocks, **self.told))
+        self.plan.write_text(PLAN.format(key=KEY, blocks=blocks, **self.plan_values))
         await asyncio.gather(*map(self.start_agent, self.places))
 
-        def up():  # their sockets are the agents' and accept before anybody answers
+        # The agents hold the listening sockets, which accept connections before a router can answer.
+        def all_up():
             return sum(self.text(place).count('"event":"took over"') for place in self.places) == len(
                 self.names
             )
 
-        if not await self.until(up, 60.0):
-            raise RuntimeError(f"not all are up: {self.text('k1')[-800:]}")
+        if not await self.until(all_up, 60.0):
+            raise RuntimeError(f"not all routers are up: {self.text('k1')[-800:]}")
         return self
 
-    async def run_(self, log, *args):
+    async def spawn(self, log, *args):
+        """Starts a process of this program; its output is appended to a log file."""
         with open(self.folder / f"{log}.log", "ab") as out:
             return await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "brookhinge", *args, stdout=out, stderr=out
             )
 
     async def start_agent(self, place):
-        self.agents[place] = await self.run_(place, "agent", str(self.plan), "--place", place)
+        """Starts an agent."""
+        self.agents[place] = await self.spawn(place, "agent", str(self.plan), "--place", place)
 
     async def start_coordinator(self, journal="roll"):
-        """Starts a coordinator on a journal; its process."""
-        process = await self.run_(
+        """Starts a coordinator with a journal; returns its process."""
+        process = await self.spawn(
             journal, "rollout", "start", str(self.plan), "--journal", self.journal(journal), "--json"
         )
         self.coordinators.append(process)
         return process
 
     def journal(self, name="roll"):
+        """Returns the path of a journal."""
         return str(self.folder / f"{name}.journal")
 
     def status(self, name="roll"):
+        """Returns the status that the coordinator of a journal wrote last, or {}."""
         return read_status(self.journal(name)) or {}
 
     def ask(self, word, name="roll"):
+        """Leaves an operator's request for the coordinator of a journal."""
         leave_request(self.journal(name), OperatorRequest(word))
 
     def text(self, log):
+        """Returns the text of a log file."""
         return (self.folder / f"{log}.log").read_text()
 
     def versions(self, name="roll"):
-        """{router: version} as the coordinator last heard it."""
+        """Returns {router: version} from the coordinator's last status."""
         return {row["router"]: row["version"] for row in self.status(name).get("members", ())}
 
     def settled(self, version, name="roll"):
+        """Returns a condition for `until`: all routers are ready with a version."""
         return lambda: (
             [
                 row["version"] == version and row["state"] == "ready"
@@ -177,7 +202,7 @@
         )
 
     async def ended(self, process, within_s):
-        """Its exit code, or None if it is not over by then."""
+        """Returns the exit code of a process, or None if it has not ended in time."""
         try:
             return await asyncio.wait_for(process.wait(), within_s)
         except TimeoutError:
@@ -188,7 +213,9 @@
             if process.returncode is None:
                 process.kill()
                 await process.wait()
-        for process in self.agents.values():  # they end their routers, whoever started those
+        for process in (
+            self.agents.values()
+        ):  # an agent ends all its routers, including those that an earlier agent started
             if process.returncode is None:
                 process.send_signal(signal.SIGTERM)
         for process in self.agents.values():
