--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -16,7 +16,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from benchmarks import kept
-from brookhinge.emulator.load_generator import Load, uneven
+from brookhinge.emulator.load_generator import Load, uneven_rates
 from brookhinge.emulator.process_cluster import ProcessCluster
 from brookhinge.emulator.simulated_fleet import COLD, Fleet
 from brookhinge.limits.lease_terms import START_S
@@ -69,7 +69,7 @@
         "service": fleet.worth(CALM, CALM + SPAN),
         "used": used(fleet, CALM, CALM + SPAN),
         "peak": max(box.peak for box in fleet.boxes.values()) / COLD.overload_multiple,
-        "fallen": sum(box.fallen for box in fleet.boxes.values()),
+        "fallen": sum(box.broken_down for box in fleet.boxes.values()),
         "datagrams_s": fleet.datagrams / len(fleet.routers) / fleet.now,
     }
 
@@ -138,19 +138,19 @@
             more=flags,
         ) as rig:
             await rig.until(rig.one_view, 60.0)
-            async with Load(rig, uneven(rig, 40.0, 1.0)):
+            async with Load(rig, uneven_rates(rig, 40.0, 1.0)):
                 await asyncio.sleep(START_S + 1.0)
-                await rig.cold(*rig.box_names)
+                await rig.restart_cold(*rig.box_names)
                 began = time.monotonic()
                 await asyncio.sleep(seconds)
-                came = sum(at >= began for box in rig.boxes.values() for at in box.came)
+                came = sum(at >= began for box in rig.boxes.values() for at in box.arrival_times)
                 peak = max(box.most_in(1.0, began) for box in rig.boxes.values())
             async with Load(rig, dict.fromkeys(rig.names, 4.0), seed=6) as load:
                 await asyncio.sleep(2.0)
                 rig.boxes["s-1"].fails = 0.4
-                began, before = time.monotonic(), len(rig.boxes["s-1"].came)
+                began, before = time.monotonic(), len(rig.boxes["s-1"].arrival_times)
                 await asyncio.sleep(seconds)
-                failed = len(rig.boxes["s-1"].came) - before
+                failed = len(rig.boxes["s-1"].arrival_times) - before
     return {
         "came_to_cold_a_second": round(came / seconds, 2),
         "most_within_a_second": peak,
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -231,8 +231,8 @@
 
     def cut(self):
         for box in self.boxes.values():
-            box.up, box.kept = False, set()
-            self.fall(box)
+            box.up, box.stored = False, set()
+            self.break_down(box)
         self.at(self.now + 1.0, self.tell, "gone", 2)
 
     def restore(self):
@@ -296,7 +296,7 @@
             herd=len(herd),
             herd_served=round(sum(n.served_at is not None for n in herd) / max(1, len(herd)), 4),
             peak_over_present=round(max(b.peak for b in self.boxes.values()), 2),
-            fallen=sum(b.fallen for b in self.boxes.values()),
+            fallen=sum(b.broken_down for b in self.boxes.values()),
             places_kept_served=round(
                 sum(c["served"] for c in plans) / max(1, sum(c["kept"] for c in plans)), 4
             ),
@@ -308,7 +308,7 @@
             told_came=round(self.counts["came_when_told"] / max(1, self.counts["told"]), 4),
             tries=self.counts["tries"],
             first_tries=len(self.needs),
-            pushes=self.pushes,
+            pushes=self.attempts_sent,
             beside=sum(r.totals.counts["beside"] for r in self.routers),
             again=sum(r.totals.counts["again"] for r in self.routers),
         )
--- a/brookhinge/emulator/command_channel.py
+++ b/brookhinge/emulator/command_channel.py
@@ -14,7 +14,7 @@
         hosts: Rows of the endpoint list by host name, in the format of the channel.
         events: Published events, at most the last 10,000.
         last: Cursor of the last event.
-        news: Event that is set when something is published; each publication replaces it.
+        published: Event that is set when something is published; each publication replaces it.
         polls: Cursors of the last 100 polls.
         deaf: Whether polls are held without an answer.
     """
@@ -23,7 +23,7 @@
         self.hosts = {h["host"]: h for h in hosts}
         self.events = []
         self.last = 1
-        self.news = asyncio.Event()
+        self.published = asyncio.Event()
         self.polls = []
         self.server = None
         self.writers = set()
@@ -39,8 +39,8 @@
         self.last += 1
         self.events.append({"cursor": self.last, **event})
         del self.events[:-10000]
-        self.news.set()
-        self.news = asyncio.Event()
+        self.published.set()
+        self.published = asyncio.Event()
         return self.last
 
     def list(self, host, **changes):
@@ -83,7 +83,7 @@
                 del self.polls[:-100]
                 while self.deaf or 0 < resume == self.last and time.monotonic() < deadline:
                     try:
-                        await asyncio.wait_for(self.news.wait(), max(0.001, deadline - time.monotonic()))
+                        await asyncio.wait_for(self.published.wait(), max(0.001, deadline - time.monotonic()))
                     except TimeoutError:
                         if self.deaf:
                             await asyncio.sleep(0.05)
--- a/brookhinge/emulator/load_generator.py
+++ b/brookhinge/emulator/load_generator.py
@@ -68,6 +68,6 @@
         await asyncio.gather(*self.callers, return_exceptions=True)
 
 
-def uneven(rig, much=40.0, little=0.5):
+def uneven_rates(rig, much=40.0, little=0.5):
     """Returns rates for `Load`: `much` requests per second for the first router, `little` for each other."""
     return {name: much if name == "n1" else little for name in rig.names}
--- a/brookhinge/emulator/model.py
+++ b/brookhinge/emulator/model.py
@@ -19,7 +19,7 @@
 from brookhinge.engine.events import AttemptEnded, EndpointsListed
 
 
-class Box:
+class CacheServerModel:
     """A modeled cache server whose jobs share its processor equally.
 
     Attributes:
@@ -28,9 +28,9 @@
         cold: Slow start settings.
         fails: Share of attempts that the server fails.
         up: Whether the server accepts attempts.
-        fallen: Whether the server broke down from overload while it warmed up.
+        broken_down: Whether the server broke down from overload while it warmed up.
         born: Start time if the server starts cold, else None.
-        kept: Keys of the stored objects.
+        stored: Keys of the stored objects.
         jobs: Virtual time at which each job is done.
         finish_heap: Heap of (virtual time, key) of jobs; canceled jobs stay in it until they reach the top.
         virtual_time: Processor seconds that a job present from the start would have received.
@@ -41,7 +41,7 @@
 
     def __init__(self, name, cores, cold):
         self.name, self.cores, self.cold, self.fails = name, cores, cold, 0.0
-        self.up, self.fallen, self.born, self.kept = True, False, None, set()
+        self.up, self.broken_down, self.born, self.stored = True, False, None, set()
         self.jobs, self.finish_heap, self.virtual_time, self.at, self.sent, self.peak = (
             {},
             [],
@@ -75,8 +75,8 @@
         load = sum(w for _, w in self.sent) / (self.capacity(now) * self.cold.window_s)
         if self.born is not None and now - self.born < self.cold.warm_up_s:
             self.peak = max(self.peak, load)
-            self.fallen = self.fallen or load > self.cold.overload_multiple
-        return not self.fallen
+            self.broken_down = self.broken_down or load > self.cold.overload_multiple
+        return not self.broken_down
 
     def next_at(self, now):
         """Returns the time at which the next job is done, or None without jobs."""
@@ -115,7 +115,7 @@
         boxes: Cache servers by name.
         out: Server of each attempt in flight, by router, request and attempt.
         routers: State of each router, by number.
-        pushes: Number of attempts sent.
+        attempts_sent: Number of attempts sent.
         parent_out: Number of fills in flight.
     """
 
@@ -124,8 +124,8 @@
     def __init__(self, seed, boxes, cores, cold, work):
         self.chance, self.work = random.Random(seed), work
         self.events, self.order, self.now = [], itertools.count(), 0.0
-        self.boxes = {f"s-{i}": Box(f"s-{i}", cores, cold) for i in range(boxes)}
-        self.out, self.routers, self.pushes, self.parent_out = {}, [], 0, 0
+        self.boxes = {f"s-{i}": CacheServerModel(f"s-{i}", cores, cold) for i in range(boxes)}
+        self.out, self.routers, self.attempts_sent, self.parent_out = {}, [], 0, 0
         self.handlers = {
             SendAttempt: self.pull,
             CancelAttempt: self.kill,
@@ -189,11 +189,11 @@
     def pull(self, n, effect):
         """Starts an attempt of router n at a server."""
         request, attempt, key = effect.request_id, effect.attempt, effect.object_key
-        self.pushes += 1
+        self.attempts_sent += 1
         box = self.boxes.get(effect.server.server)
-        if box is None or not box.up or box.fallen:
+        if box is None or not box.up or box.broken_down:
             return self.at(self.now + 0.001, self.ended, n, request, attempt, "unreachable", 0)
-        hit = key in box.kept
+        hit = key in box.stored
         if not hit and not effect.fill_from:
             return self.at(self.now + 0.002, self.ended, n, request, attempt, "miss", 0)
         if box.fails and self.chance.random() < box.fails:
@@ -217,14 +217,14 @@
         """Stores a filled object and starts the job, unless the server stopped or restarted meanwhile."""
         self.parent_out -= 1
         if box.up and box.born == born:
-            box.kept.add(key)
+            box.stored.add(key)
             if (n, request, attempt) in self.out:
                 self.start_job(n, request, attempt, box, key, 2)
 
     def start_job(self, n, request, attempt, box, key, note):
         """Starts the job of an attempt on a cache server, which may break down from it."""
         if not box.take(self.now, (n, request, attempt, note), self.work):
-            return self.fall(box)
+            return self.break_down(box)
         self.schedule_finish(box)
 
     def schedule_finish(self, box):
@@ -242,7 +242,7 @@
         if ready:
             self.schedule_finish(box)
 
-    def fall(self, box):
+    def break_down(self, box):
         """Breaks all connections of a server and drops its jobs."""
         jobs, box.jobs = list(box.jobs), {}
         for n, request, attempt, _ in jobs:
--- a/brookhinge/emulator/process_cluster.py
+++ b/brookhinge/emulator/process_cluster.py
@@ -155,28 +155,28 @@
     """Cache server that records the arrival of each request and fails a seeded share of them.
 
     Attributes:
-        came: Arrival time of each request.
+        arrival_times: Arrival time of each request.
         fails: Share of the requests that are answered with `failed`.
         chance: Random number generator of the failures.
     """
 
     def __init__(self, settings_, seed):
         super().__init__(settings_)
-        self.came, self.fails, self.chance = [], 0.0, random.Random(f"{seed} {settings_.name}")
+        self.arrival_times, self.fails, self.chance = [], 0.0, random.Random(f"{seed} {settings_.name}")
 
     async def answer(self, name, raw, body):
         """Returns the answer to a request."""
-        self.came.append(time.monotonic())
+        self.arrival_times.append(time.monotonic())
         if self.chance.random() < self.fails:
             return protocol.encode_answer(name, protocol.FAILED)
         return await super().answer(name, raw, body)
 
     def most_in(self, seconds, since=0.0):
         """Returns the highest number of requests that arrived within any window of this length."""
-        came = [at for at in self.came if at >= since]
+        arrivals = [at for at in self.arrival_times if at >= since]
         first = most = 0
-        for last, at in enumerate(came):
-            while came[first] <= at - seconds:
+        for last, at in enumerate(arrivals):
+            while arrivals[first] <= at - seconds:
                 first += 1
             most = max(most, last - first + 1)
         return most
@@ -403,7 +403,7 @@
         )
         await self.boxes[name].start()
 
-    async def cold(self, *names):
+    async def restart_cold(self, *names):
         """Restarts cache servers; the routers' command channels list them with the new start time."""
         born = round(time.time() * 1000)
         await asyncio.gather(*map(self.start_box, names))
--- a/brookhinge/emulator/rollout_cluster.py
+++ b/brookhinge/emulator/rollout_cluster.py
@@ -58,7 +58,7 @@
         same_program: Whether the new version is the same program and differs only in its configuration.
         tree: Source tree of the old program.
         version: Python that the new version's processes run before the program.
-        spoil: Function that returns the new version's configuration from the old one's text.
+        change_config: Function that returns the new version's configuration from the old one's text.
         plan_values: Values of the rollout plan.
         places: Names of the routers of each agent.
         agent_ports: Port of each agent.
@@ -73,7 +73,7 @@
         routers=4,
         agents=2,
         version="",
-        spoil=lambda text: text,
+        change_config=lambda text: text,
         stages="[0.25, 0.5, 1.0]",
         untold="go",
         same_program=False,
@@ -86,9 +86,9 @@
     ):
         super().__init__(folder, routers=routers, **rig_)
         self.same_program, self.tree = same_program, tree or os.getcwd()
-        self.version, self.spoil, self.plan_values = (
+        self.version, self.change_config, self.plan_values = (
             version,
-            spoil,
+            change_config,
             dict(
                 stages=stages,
                 untold=untold,
@@ -110,7 +110,9 @@
         for version in ("v1", "v2"):
             (self.folder / version).mkdir(exist_ok=True)
             text = self.configuration(name, name)
-            (self.folder / version / f"{name}.json").write_text(self.spoil(text) if version == "v2" else text)
+            (self.folder / version / f"{name}.json").write_text(
+                self.change_config(text) if version == "v2" else text
+            )
 
     async def __aenter__(self):
         await super().__aenter__()
--- a/brookhinge/emulator/simulated_fleet.py
+++ b/brookhinge/emulator/simulated_fleet.py
@@ -61,7 +61,7 @@
 
     def post_event(self, event):
         """Queues an event for the router's next round."""
-        self.fleet.told[self.n].append(event)
+        self.fleet.queued_events[self.n].append(event)
 
 
 class Fleet(Model):
@@ -78,7 +78,7 @@
         open: Index in `asked` of each open request, by router and client.
         asked: [arrival time, end time or None, outcome] of each request; the outcome is `lost` until it ends.
         datagrams: Number of datagrams sent.
-        told: Events queued for each router.
+        queued_events: Events queued for each router.
         views: Membership view of each router.
         cores: Limits and outlier detection of each router.
         writers: Writer of each router.
@@ -112,7 +112,7 @@
             )
             for n in range(routers)
         ]
-        self.told, self.views, self.cores, self.writers = [[] for _ in range(routers)], [], [], []
+        self.queued_events, self.views, self.cores, self.writers = [[] for _ in range(routers)], [], [], []
         for n in range(routers if share else 0):
             view = MembershipView(600.0)
             for k in range(routers):
@@ -164,7 +164,7 @@
 
     def flush(self, n):
         """Passes queued events to router n, if there are any."""
-        if self.told[n]:
+        if self.queued_events[n]:
             self.hear(n)
 
     def hear(self, n, *events):
@@ -172,14 +172,14 @@
         for core in self.cores[n] if self.share else ():
             if self.now >= core.next_expiry_at:
                 core.publish(self.now, self.writers[n])
-        queued, self.told[n] = self.told[n], []
+        queued, self.queued_events[n] = self.queued_events[n], []
         super().hear(n, *queued, *events)
 
     def pull(self, n, effect):
         """Starts an attempt, unless it fails on the way."""
         broken = self.broken.get(n, 0.0)
         if broken and self.chance.random() < broken:
-            self.pushes += 1
+            self.attempts_sent += 1
             return self.at(self.now + 0.002, self.ended, n, effect.request_id, effect.attempt, "broken", 0)
         super().pull(n, effect)
 
@@ -235,8 +235,8 @@
     def restart(self):
         """Restarts all cache servers cold and empty; the routers receive the new list 50 ms later."""
         for box in self.boxes.values():
-            self.fall(box)
-            box.born, box.kept, box.at, box.sent = self.now, set(), self.now, []
+            self.break_down(box)
+            box.born, box.stored, box.at, box.sent = self.now, set(), self.now, []
         self.at(self.now + 0.05, self.tell, "ready", 2)
 
     def run(self, end):
--- a/tests/limits/test_rig.py
+++ b/tests/limits/test_rig.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from brookhinge.emulator.load_generator import Load, uneven
+from brookhinge.emulator.load_generator import Load, uneven_rates
 from brookhinge.emulator.process_cluster import ProcessCluster
 from brookhinge.limits.lease_terms import LEASE_TERM_S, START_S
 
@@ -46,7 +46,7 @@
 
 def overload_rates(cluster):
     """Rates that add up to more than the cache servers can handle, half of them at one router."""
-    return uneven(cluster, 150.0, 150.0 / 7)
+    return uneven_rates(cluster, 150.0, 150.0 / 7)
 
 
 async def largest_quota(cluster, name):
@@ -65,16 +65,16 @@
 
 def test_busy_router_gets_quota_that_others_do_not_need(tmp_path):
     async def script(cluster):
-        await cluster.cold(*cluster.box_names)
-        async with Load(cluster, uneven(cluster)) as load:
+        await cluster.restart_cold(*cluster.box_names)
+        async with Load(cluster, uneven_rates(cluster)) as load:
 
             async def busy():
                 return await largest_quota(cluster, "n1") > 2.0 / 8
 
             assert await cluster.until(busy, TIMEOUT_S)
-            before = sum(len(box.came) for box in cluster.boxes.values())
+            before = sum(len(box.arrival_times) for box in cluster.boxes.values())
             assert await cluster.until(
-                lambda: sum(len(box.came) for box in cluster.boxes.values()) > before + 60, TIMEOUT_S
+                lambda: sum(len(box.arrival_times) for box in cluster.boxes.values()) > before + 60, TIMEOUT_S
             )
         assert load.kinds["n1"].get("lost", 0) == 0
 
@@ -84,7 +84,7 @@
 def test_requests_stay_within_the_limit_while_routers_crash_freeze_and_are_cut_off(tmp_path):
     async def script(cluster):
         async with Load(cluster, overload_rates(cluster)):
-            await cluster.cold(*cluster.box_names)
+            await cluster.restart_cold(*cluster.box_names)
             await asyncio.sleep(2.0)
             first = await find_lessor(cluster)  # it has issued leases and has granted quota of its own
             await cluster.kill(first)
@@ -101,7 +101,8 @@
             cluster.wires.cut = lambda a, b: (a in half) != (b in half)
             await asyncio.sleep(2.0)
             cluster.wires.cut = lambda a, b: False
-            await cluster.cold("s-1")  # a new process at the address, while quotas of the old one are in use
+            # a new process at the address, while quotas of the old one are in use
+            await cluster.restart_cold("s-1")
             await asyncio.sleep(2.0)
 
     run_cluster(script, tmp_path)
@@ -110,7 +111,7 @@
 def test_requests_stay_within_the_limit_when_all_routers_restart_during_a_cold_start(tmp_path):
     async def script(cluster):
         async with Load(cluster, overload_rates(cluster)):
-            await cluster.cold(*cluster.box_names)
+            await cluster.restart_cold(*cluster.box_names)
             await asyncio.sleep(1.0)
             killed = cluster.names[2:]
             await asyncio.gather(*map(cluster.kill, killed))
@@ -126,7 +127,7 @@
 def test_lessors_that_lease_more_than_was_granted_fail_the_check(tmp_path):
     async def script(cluster):
         async with Load(cluster, overload_rates(cluster)):
-            await cluster.cold(*cluster.box_names)
+            await cluster.restart_cold(*cluster.box_names)
             await asyncio.sleep(4.0)
 
     lease_everything = (
--- a/tests/membership/test_cli.py
+++ b/tests/membership/test_cli.py
@@ -113,7 +113,7 @@
             tmp_path, routers=2, boxes=1, more="share_limits = true\nshare_verdicts = true"
         ) as rig:
             assert await rig.until(rig.one_view, 60.0)
-            await rig.cold("s-1")
+            await rig.restart_cold("s-1")
             caller = await rig.caller("n1")
             await caller.ask("0000000000000007")
             assert await rig.until(lambda: rig.parts("n1"), 60.0)
--- a/tests/rollout/test_rig_worse.py
+++ b/tests/rollout/test_rig_worse.py
@@ -42,7 +42,7 @@
         assert await cluster.ended(coordinator, LONG_TIMEOUT_S) == 1, cluster.text("roll")
         assert set(cluster.versions().values()) == {"v1"}
 
-    run_script(script, tmp_path, spoil=lambda text: text.replace('"seed"', '"sead"'), untold="back")
+    run_script(script, tmp_path, change_config=lambda text: text.replace('"seed"', '"sead"'), untold="back")
 
 
 def test_degradation_of_both_versions_does_not_stop_a_rollout(tmp_path):
@@ -71,7 +71,7 @@
         await asyncio.sleep(START_S)
         coordinator = await cluster.start_coordinator()
         assert await cluster.until(lambda: "v2" in cluster.versions().values(), LONG_TIMEOUT_S)
-        await cluster.cold(*cluster.box_names)
+        await cluster.restart_cold(*cluster.box_names)
         assert await cluster.until(
             lambda: cluster.text("k1").count("took over") + cluster.text("k2").count("took over") > 5,
             LONG_TIMEOUT_S,
@@ -79,7 +79,7 @@
         await asyncio.sleep(4.0)
         for name, server in cluster.boxes.items():
             # checked against the capacity at the start, which is the least that a server has later
-            early = [at for at in server.came if at < server.came[0] + 4.0]
+            early = [at for at in server.arrival_times if at < server.arrival_times[0] + 4.0]
             max_in_window = max(sum(at - WINDOW_S < other <= at for other in early) for at in early)
             assert max_in_window <= MAX_REQUESTS and len(early) > 20, (
                 f"{name} got {max_in_window} of {len(early)} requests within {WINDOW_S} s"
--- a/tests/verdicts/test_rig.py
+++ b/tests/verdicts/test_rig.py
@@ -46,19 +46,21 @@
             await asyncio.sleep(2.0)
             cluster.boxes["s-1"].fails = 0.4
             assert await cluster.until(all_report(cluster, "s-1", ("resting",)), TIMEOUT_S)
-            before = len(cluster.boxes["s-1"].came)
+            before = len(cluster.boxes["s-1"].arrival_times)
             await asyncio.sleep(2.0)
-            others = sum(len(cluster.boxes[box].came) for box in ("s-2", "s-3"))
+            others = sum(len(cluster.boxes[box].arrival_times) for box in ("s-2", "s-3"))
             # Trials have one rate for the fleet, not one per router.
-            assert len(cluster.boxes["s-1"].came) - before < others / 4
+            assert len(cluster.boxes["s-1"].arrival_times) - before < others / 4
             assert (
                 await all_report(cluster, "s-2", ("well",))()
                 and await all_report(cluster, "s-3", ("well",))()
             )
             cluster.boxes["s-1"].fails = 0.0
             assert await cluster.until(all_report(cluster, "s-1", ("well",)), TIMEOUT_S)
-            before = len(cluster.boxes["s-1"].came)
-            assert await cluster.until(lambda: len(cluster.boxes["s-1"].came) > before + 20, TIMEOUT_S)
+            before = len(cluster.boxes["s-1"].arrival_times)
+            assert await cluster.until(
+                lambda: len(cluster.boxes["s-1"].arrival_times) > before + 20, TIMEOUT_S
+            )
         assert sum(kinds.get("lost", 0) for kinds in load.kinds.values()) == 0
 
     run_cluster(script, tmp_path)
