--- a/brookhinge/cli/store.py
+++ b/brookhinge/cli/store.py
@@ -5,32 +5,37 @@
 
 import click
 
-from brookhinge.cli import refuse, table
+from brookhinge.cli import exit_with_error, print_table
 
 if TYPE_CHECKING:
     from brookhinge.store import DiskTier
 
 _MIN_SEGMENT_BYTES = 4 << 20
-_SPARE_SEGMENTS = 16  # more than cleaning takes for itself
+_SPARE_SEGMENTS = 16  # more than cleaning needs as working space
 _COMPACTED_BELOW_LIVE_SHARE = 0.9
 
 
 class OpenedStore(NamedTuple):
-    """A store that was opened, and the damage that was met on the way."""
+    """An open store and the damage found while opening it."""
 
     tier: "DiskTier"
-    damaged_headers: list[tuple[str, str]]  # segment file and reason; opening removes such a file
+    damaged_headers: list[
+        tuple[str, str]
+    ]  # name of a segment file and reason; opening the store deletes such a file
     ledger_unreadable_bytes: list[int]
 
 
 def open_store(folder: str) -> OpenedStore:
-    """Open and so lock the store in a folder; exit if it is no store or in use, and create none."""
+    """Open and lock the store in a folder; exit if the folder holds no store or is in use.
+
+    Never creates a store.
+    """
     from brookhinge.store import DiskTier, StoreUnusableError
     from brookhinge.store.files import Files
     from brookhinge.store.folder_layout import STORE_FILE
 
     if not os.path.isfile(os.path.join(folder, STORE_FILE)):
-        refuse(f"{folder}: expected a folder with a store in it")
+        exit_with_error(f"{folder}: expected a folder with a store in it")
     sizes, damaged_headers = _inspect_segment_files(folder)
     ledger_unreadable_bytes = []
 
@@ -44,12 +49,12 @@
     try:
         tier.open()
     except (StoreUnusableError, OSError) as error:
-        refuse(f"{folder}: {getattr(error, 'strerror', None) or error}", 1)
+        exit_with_error(f"{folder}: {getattr(error, 'strerror', None) or error}", 1)
     return OpenedStore(tier, damaged_headers, ledger_unreadable_bytes)
 
 
 def _inspect_segment_files(folder: str) -> tuple[list[int], list[tuple[str, str]]]:
-    """Sizes of the segment files, and those whose header can't be read with the reason."""
+    """Return the sizes of the segment files, and the name and reason for each unreadable header."""
     from brookhinge.store.errors import DamagedError, UnsupportedVersionError
     from brookhinge.store.file_format import (
         FILE_HEADER_BYTES,
@@ -74,14 +79,14 @@
 
 @click.group("store")
 def command() -> None:
-    """Looks into the store in a folder that no process uses."""
+    """Examine the store in a folder that no process uses."""
 
 
 @command.command("inspect")
 @click.argument("folder", type=click.Path())
 @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
 def inspect(folder: str, as_json: bool) -> None:
-    """Segments, what lives in them, purges."""
+    """Show the segments, their live bytes, and the number of parts and purges."""
     tier = open_store(folder).tier
     rows = []
     for number, segment in sorted(tier.segments.items()):
@@ -94,7 +99,7 @@
     parts = tier.index.parts
     purges = len(tier.ledger.objects) + len(tier.ledger.groups)
     tier.abandon()
-    table(rows, ["segment", "bytes", "alive", "share"], as_json)
+    print_table(rows, ["segment", "bytes", "alive", "share"], as_json)
     if not as_json:
         click.echo(f"{parts} parts, {purges} purges")
 
@@ -103,7 +108,7 @@
 @click.argument("folder", type=click.Path())
 @click.option("--json", "as_json", is_flag=True, help="Print as JSON.")
 def verify(folder: str, as_json: bool) -> None:
-    """Reads every byte and names every place that is not what was written. Exit 1 if there is one."""
+    """Read every byte and list every damaged place. Exits with 1 if there is one."""
     from brookhinge.store.verification import DamagedPlace, verify_tier
 
     store = open_store(folder)
@@ -116,16 +121,16 @@
     tier.abandon()
     headers = [DamagedPlace(name, 0, why) for name, why in store.damaged_headers]
     rows = [place._asdict() for place in [*headers, *report.damaged]]
-    table(rows, ["file", "place", "why"], as_json)
+    print_table(rows, ["file", "place", "why"], as_json)
     if not as_json:
-        click.echo(f"{report.whole_records} records are whole, {len(rows)} places are not")
+        click.echo(f"{report.whole_records} records intact, {len(rows)} damaged places")
     raise SystemExit(1 if rows else 0)
 
 
 @command.command("compact")
 @click.argument("folder", type=click.Path())
 def compact(folder: str) -> None:
-    """Copies what lives out of segments that are less than nine tenths alive, and frees them."""
+    """Rewrite the live records of segments that are less than 90% live, and free those segments."""
     tier = open_store(folder).tier
     bytes_before = tier.stats()["disk_bytes"]
     sparse = [
@@ -141,5 +146,5 @@
         tier.close()
     except OSError as error:
         tier.abandon()
-        refuse(f"{folder}: {error.strerror}", 1)
+        exit_with_error(f"{folder}: {error.strerror}", 1)
     click.echo(f"{bytes_before} bytes before, {bytes_after} after")
--- a/brookhinge/emulator/capacity/hollow.py
+++ b/brookhinge/emulator/capacity/hollow.py
@@ -15,7 +15,7 @@
 from brookhinge.limits.limits import Limits
 from brookhinge.membership.udp_transport import UdpTransport
 from brookhinge.operator.schema import FLEET as FLEET_SETTINGS
-from brookhinge.operator.schema import MUST
+from brookhinge.operator.schema import REQUIRED
 from brookhinge.operator.settings import Fleet
 from brookhinge.verdicts.outlier_detection import OutlierDetection
 
@@ -28,7 +28,7 @@
 
 def fleet_settings(**values):
     """Return a `fleet` block with these values and defaults for the others."""
-    defaults = {key: default for key, (_, default) in FLEET_SETTINGS.items() if default is not MUST}
+    defaults = {key: default for key, (_, default) in FLEET_SETTINGS.items() if default is not REQUIRED}
     return Fleet(**{**defaults, **values})
 
 
