--- a/brookhinge/emulator/process_cluster.py
+++ b/brookhinge/emulator/process_cluster.py
@@ -242,7 +242,7 @@
     Attributes:
         folder: Directory of the settings and logs of the processes.
         settings: Arguments of `local_deployment.settings` for the routers.
-        lease_s: Lease term in the routers' operator file.
+        lease_s: Seconds of the `lease_s` setting in the routers' blocks of the operator file.
         boxes: Cache servers by name.
         more: Additional lines of each router's block in the operator file.
         piped: Names of the routers that reach the cache servers over TCP relays.
@@ -254,7 +254,7 @@
         link_bytes_s: Bytes per second of each router's link; at 0 a router stores no copies of its own.
         names: Names of the routers.
         control_names: Names of the control machines.
-        proof_s: Validity of a purge log proof.
+        proof_s: Seconds for which a proof of the purge log is valid.
         box_names: Names of the cache servers.
         wires: UDP relays between the processes.
         origin: Emulated origin.
@@ -552,7 +552,7 @@
         return answer and answer[0]
 
     async def one_view(self, names=None, but=(), others=()):
-        """Returns whether the routers' views hold exactly themselves and `others` as present.
+        """Returns whether the routers' views hold exactly themselves and `others` as alive or suspected.
 
         Args:
             names: Routers that are queried, or None for all that run except `but`.
