--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -19,7 +19,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from benchmarks import kept
-from brookhinge.emulator.load_generator import Load, uneven
+from brookhinge.emulator.load_generator import Load, uneven_rates
 from brookhinge.emulator.process_cluster import ProcessCluster
 from brookhinge.emulator.simulated_fleet import COLD, Fleet
 from brookhinge.limits.lease_terms import START_S
@@ -90,7 +90,7 @@
         "service": fleet.worth(CALM_S, CALM_S + MEASURED_S),
         "used": slow_start_usage(fleet, CALM_S, CALM_S + MEASURED_S),
         "peak": max(cache_server.peak for cache_server in fleet.boxes.values()) / COLD.overload_multiple,
-        "fallen": sum(cache_server.fallen for cache_server in fleet.boxes.values()),
+        "fallen": sum(cache_server.broken_down for cache_server in fleet.boxes.values()),
         "datagrams_s": fleet.datagrams / len(fleet.routers) / fleet.now,
     }
 
@@ -163,21 +163,23 @@
             more=flags,
         ) as cluster:
             await cluster.until(cluster.one_view, 60.0)
-            async with Load(cluster, uneven(cluster, 40.0, 1.0)):
+            async with Load(cluster, uneven_rates(cluster, 40.0, 1.0)):
                 await asyncio.sleep(START_S + 1.0)
-                await cluster.cold(*cluster.box_names)
+                await cluster.restart_cold(*cluster.box_names)
                 began = time.monotonic()
                 await asyncio.sleep(seconds)
                 cold_requests = sum(
-                    at >= began for cache_server in cluster.boxes.values() for at in cache_server.came
+                    at >= began
+                    for cache_server in cluster.boxes.values()
+                    for at in cache_server.arrival_times
                 )
                 peak = max(cache_server.most_in(1.0, began) for cache_server in cluster.boxes.values())
             async with Load(cluster, dict.fromkeys(cluster.names, 4.0), seed=6) as load:
                 await asyncio.sleep(2.0)
                 cluster.boxes["s-1"].fails = 0.4
-                began, before = time.monotonic(), len(cluster.boxes["s-1"].came)
+                began, before = time.monotonic(), len(cluster.boxes["s-1"].arrival_times)
                 await asyncio.sleep(seconds)
-                failing_requests = len(cluster.boxes["s-1"].came) - before
+                failing_requests = len(cluster.boxes["s-1"].arrival_times) - before
     return {
         "came_to_cold_a_second": round(cold_requests / seconds, 2),
         "most_within_a_second": peak,
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -311,8 +311,8 @@
     def cut(self):
         """Make all cache servers unreachable and drop their copies; the endpoint list shows it 1 s later."""
         for cache_server in self.boxes.values():
-            cache_server.up, cache_server.kept = False, set()
-            self.fall(cache_server)
+            cache_server.up, cache_server.stored = False, set()
+            self.break_down(cache_server)
         self.at(self.now + 1.0, self.tell, "gone", 2)
 
     def restore(self):
@@ -396,7 +396,7 @@
                 sum(user_request.served_at is not None for user_request in herd) / max(1, len(herd)), 4
             ),
             peak_over_present=round(max(cache_server.peak for cache_server in self.boxes.values()), 2),
-            fallen=sum(cache_server.fallen for cache_server in self.boxes.values()),
+            fallen=sum(cache_server.broken_down for cache_server in self.boxes.values()),
             places_kept_served=round(
                 sum(c["served"] for c in schedule_counts) / max(1, sum(c["kept"] for c in schedule_counts)), 4
             ),
@@ -410,7 +410,7 @@
             told_came=round(self.counts["followed_hints"] / max(1, self.counts["hints"]), 4),
             tries=self.counts["tries"],
             first_tries=len(self.user_requests),
-            pushes=self.pushes,
+            pushes=self.attempts_sent,
             beside=sum(r.totals.counts["beside"] for r in self.routers),
             again=sum(r.totals.counts["again"] for r in self.routers),
         )
